--- a/kernel/membership.go
+++ b/kernel/membership.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// SilentAfter is how long a neighbour may say nothing before it is accused.
-	SilentAfter = 2500 * time.Millisecond
+	// HeartbeatTimeout is how long a neighbour may say nothing before it is accused.
+	HeartbeatTimeout = 2500 * time.Millisecond
 	// accusersNeeded is how many nodes must accuse a member before it counts as dead: one
 	// cut connection accuses both its ends, wrongly.
 	accusersNeeded = 2
@@ -195,7 +195,7 @@
 	m.news = slices.DeleteFunc(m.news, func(o outgoing) bool { return o.left <= 0 })
 	for _, name := range m.watch(now) {
 		info := m.members[name]
-		if info == nil || now.Sub(info.Heard) < SilentAfter || now.Sub(m.watchedSince[name]) < SilentAfter {
+		if info == nil || now.Sub(info.Heard) < HeartbeatTimeout || now.Sub(m.watchedSince[name]) < HeartbeatTimeout {
 			continue
 		}
 		m.Take(now, News{Member: info.Member, Beat: info.Beat, Accuser: m.self.Member.Node})
@@ -204,7 +204,7 @@
 		if info.State == MemberDead && now.Sub(info.Changed) > forgetAfter {
 			delete(m.members, name)
 		}
-		if info.State == MemberLeaving && now.Sub(info.Heard) > SilentAfter && now.Sub(info.Changed) > SilentAfter {
+		if info.State == MemberLeaving && now.Sub(info.Heard) > HeartbeatTimeout && now.Sub(info.Changed) > HeartbeatTimeout {
 			m.put(now, News{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
 		}
 	}
--- a/kernel/quarantine_test.go
+++ b/kernel/quarantine_test.go
@@ -28,16 +28,16 @@
 	at := w.now
 	for _, d := range digests {
 		w.now = w.now.Add(10 * time.Millisecond)
-		w.Crashed(w.now, d, "pool", kernel.Crash{Incarnation: incarnation, At: at})
+		w.RecordCrash(w.now, d, "pool", kernel.Crash{Incarnation: incarnation, At: at})
 	}
 	w.now = w.now.Add(time.Second)
 }
 
 // judge judges the cases and learns what comes of it, as the coordinator does.
 func (w *coordinatorBed) judge() kernel.QuarantineChange {
-	change := w.Judge(w.now, keepsAll)
+	change := w.Evaluate(w.now, keepsAll)
 	for _, h := range change.Hold {
-		w.Learn(w.now, h)
+		w.ApplyHold(w.now, h)
 	}
 	for _, d := range change.Lift {
 		w.Clear(d)
@@ -45,13 +45,13 @@
 	return change
 }
 
-func (w *coordinatorBed) passage(d model.Digest) kernel.Passage {
-	passage, _, _ := w.Look(w.now, d)
+func (w *coordinatorBed) passage(d model.Digest) kernel.HoldState {
+	passage, _, _ := w.Check(w.now, d)
 	return passage
 }
 
 func (w *coordinatorBed) trial(d model.Digest) bool {
-	permitted, _ := w.TakeTrial(w.now, d)
+	permitted, _ := w.StartTrial(w.now, d)
 	return permitted
 }
 
@@ -59,29 +59,29 @@
 	for _, tc := range []struct {
 		name string
 		ends [][]model.Digest
-		want map[model.Digest]kernel.Passage
+		want map[model.Digest]kernel.HoldState
 	}{
-		{"two ends are too few", [][]model.Digest{{"a"}, {"a"}}, map[model.Digest]kernel.Passage{"a": kernel.Free}},
-		{"three are enough", [][]model.Digest{{"a"}, {"a"}, {"a"}}, map[model.Digest]kernel.Passage{"a": kernel.Held}},
+		{"two ends are too few", [][]model.Digest{{"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.NotHeld}},
+		{"three are enough", [][]model.Digest{{"a"}, {"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.Held}},
 		{
 			"what ran beside is free",
 			[][]model.Digest{{"b", "a"}, {"b", "a"}, {"c", "a"}},
-			map[model.Digest]kernel.Passage{"a": kernel.Held, "b": kernel.Free, "c": kernel.Free},
+			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.NotHeld, "c": kernel.NotHeld},
 		},
 		{
 			"what ran beside at three of four may be a cause, too",
 			[][]model.Digest{{"a"}, {"b", "a"}, {"b", "a"}, {"b", "a"}},
-			map[model.Digest]kernel.Passage{"a": kernel.Held, "b": kernel.OnTrial},
+			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.TrialOnly},
 		},
 		{
 			"two at all the same ends are to be told apart",
 			[][]model.Digest{{"a", "b"}, {"b", "a"}, {"a", "b"}},
-			map[model.Digest]kernel.Passage{"a": kernel.OnTrial, "b": kernel.OnTrial},
+			map[model.Digest]kernel.HoldState{"a": kernel.TrialOnly, "b": kernel.TrialOnly},
 		},
 		{
 			"two causes at other ends are both found",
 			[][]model.Digest{{"a", "c"}, {"b", "c"}, {"a"}, {"b"}, {"a", "c"}, {"b"}},
-			map[model.Digest]kernel.Passage{"a": kernel.Held, "b": kernel.Held, "c": kernel.OnTrial},
+			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.Held, "c": kernel.TrialOnly},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -104,16 +104,16 @@
 func TestReportsOnOneEndCountOnce(t *testing.T) {
 	w := newCoordinatorBed()
 	for range 5 {
-		w.Crashed(w.now, "a", "pool", kernel.Crash{Incarnation: "l", At: w.now})
+		w.RecordCrash(w.now, "a", "pool", kernel.Crash{Incarnation: "l", At: w.now})
 		w.now = w.now.Add(50 * time.Millisecond)
 	}
 	w.now = w.now.Add(time.Second)
 	w.judge()
-	must.EqOp(t, kernel.Free, w.passage("a"))
+	must.EqOp(t, kernel.NotHeld, w.passage("a"))
 	// A process that does not say when it started bears the same name after each start.
 	for range 2 {
 		w.now = w.now.Add(5 * time.Second)
-		w.Crashed(w.now, "a", "pool", kernel.Crash{Incarnation: "l", At: w.now})
+		w.RecordCrash(w.now, "a", "pool", kernel.Crash{Incarnation: "l", At: w.now})
 	}
 	w.now = w.now.Add(time.Second)
 	w.judge()
@@ -124,20 +124,20 @@
 	w := newCoordinatorBed()
 	w.end("1", "a", "b")
 	w.end("2", "a", "b")
-	w.Crashed(w.now, "b", "pool", kernel.Crash{Incarnation: "3", At: w.now})
-	w.now = w.now.Add(kernel.JudgeAfter / 2)
+	w.RecordCrash(w.now, "b", "pool", kernel.Crash{Incarnation: "3", At: w.now})
+	w.now = w.now.Add(kernel.EvaluationDelay / 2)
 	must.SliceEmpty(t, w.judge().Hold)
-	w.Crashed(w.now, "a", "pool", kernel.Crash{Incarnation: "3", At: w.now})
-	w.now = w.now.Add(kernel.JudgeAfter * 2 / 3)
+	w.RecordCrash(w.now, "a", "pool", kernel.Crash{Incarnation: "3", At: w.now})
+	w.now = w.now.Add(kernel.EvaluationDelay * 2 / 3)
 	must.SliceEmpty(t, w.judge().Hold, must.Sprint("the last report is too young"))
-	w.now = w.now.Add(kernel.JudgeAfter)
+	w.now = w.now.Add(kernel.EvaluationDelay)
 	must.SliceLen(t, 2, w.judge().Hold)
 }
 
 // tied is a quarantine in which two requests were under way at all the same ends.
 func tied() *coordinatorBed {
 	w := newCoordinatorBed()
-	for i := range kernel.CrashesToHold {
+	for i := range kernel.CrashThreshold {
 		w.end(fmt.Sprint(i), "bad", "good")
 	}
 	w.judge()
@@ -154,21 +154,21 @@
 	must.SliceLen(t, 1, change.Hold)
 	must.True(t, change.Hold[0].Firm)
 	must.EqOp(t, kernel.Held, w.passage("bad"))
-	must.EqOp(t, kernel.OnTrial, w.passage("good"), must.Sprint("it may be a cause as well"))
+	must.EqOp(t, kernel.TrialOnly, w.passage("good"), must.Sprint("it may be a cause as well"))
 	must.True(t, w.trial("good"), must.Sprint("which its next run tells, at once"))
-	w.Answered(w.now, "good")
+	w.RecordAnswer(w.now, "good")
 	w.Trust(w.now, "good")
-	must.EqOp(t, kernel.Free, w.passage("good"))
+	must.EqOp(t, kernel.NotHeld, w.passage("good"))
 }
 
 func TestATrialThatIsAnsweredClears(t *testing.T) {
 	w := tied()
 	must.True(t, w.trial("good"))
-	suspected, pool := w.Answered(w.now, "good")
+	suspected, pool := w.RecordAnswer(w.now, "good")
 	must.True(t, suspected)
 	must.EqOp(t, "pool", pool)
 	w.Clear("good")
-	must.EqOp(t, kernel.Free, w.passage("good"))
+	must.EqOp(t, kernel.NotHeld, w.passage("good"))
 	// With the other one cleared, it must be this one.
 	w.judge()
 	must.EqOp(t, kernel.Held, w.passage("bad"))
@@ -186,30 +186,30 @@
 	must.EqOp(t, 2, permitted)
 	w = tied()
 	w.trial("bad")
-	_, retry := w.TakeTrial(w.now, "good")
+	_, retry := w.StartTrial(w.now, "good")
 	must.EqOp(t, time.Second, retry, must.Sprint("another trial is under way"))
 	for range 2 {
 		w.now = w.now.Add(time.Minute)
 		w.trial("bad")
 	}
-	_, retry = w.TakeTrial(w.now, "bad")
+	_, retry = w.StartTrial(w.now, "bad")
 	must.EqOp(t, kernel.HoldTime-2*time.Minute, retry, must.Sprint("a time to come back that is of use"))
 	w = tied()
 	for range 10 {
 		must.True(t, w.trial("good"), must.Sprint("what was not sent does not count"))
-		w.ReturnTrial("good")
+		w.CancelTrial("good")
 	}
 }
 
 func TestAHeldRequestIsTriedAgainAfterLong(t *testing.T) {
 	w := newCoordinatorBed()
-	for i := range kernel.CrashesToHold {
+	for i := range kernel.CrashThreshold {
 		w.end(fmt.Sprint(i), "a")
 	}
 	w.judge()
 	must.False(t, w.trial("a"))
 	w.now = w.now.Add(kernel.HoldTime)
-	must.EqOp(t, kernel.OnTrial, w.passage("a"))
+	must.EqOp(t, kernel.TrialOnly, w.passage("a"))
 	must.True(t, w.trial("a"))
 	w.end("later", "a")
 	w.judge()
@@ -219,20 +219,20 @@
 func TestWhatWasAnsweredSinceIsNotAtFault(t *testing.T) {
 	held := kernel.HeldRequest{Digest: "a", Pool: "pool", Firm: true, Incarnations: []string{"1", "2", "3"}, Since: time.Minute}
 	w := newCoordinatorBed()
-	w.Answered(w.now.Add(-30*time.Second), "a")
-	must.False(t, w.Learn(w.now, held))
-	must.EqOp(t, kernel.Free, w.passage("a"))
+	w.RecordAnswer(w.now.Add(-30*time.Second), "a")
+	must.False(t, w.ApplyHold(w.now, held))
+	must.EqOp(t, kernel.NotHeld, w.passage("a"))
 	w = newCoordinatorBed()
-	w.Answered(w.now.Add(-2*time.Minute), "a")
-	must.True(t, w.Learn(w.now, held), must.Sprint("an answer before the first end says nothing"))
+	w.RecordAnswer(w.now.Add(-2*time.Minute), "a")
+	must.True(t, w.ApplyHold(w.now, held), must.Sprint("an answer before the first end says nothing"))
 	must.EqOp(t, kernel.Held, w.passage("a"))
 }
 
 func TestAnotherCoordinatorGoesOn(t *testing.T) {
 	first := tied()
-	_, held, _ := first.Look(first.now, "bad")
+	_, held, _ := first.Check(first.now, "bad")
 	w := newCoordinatorBed()
-	must.True(t, w.Learn(w.now, held))
+	must.True(t, w.ApplyHold(w.now, held))
 	must.True(t, w.trial("bad"))
 	w.end("last", "bad")
 	w.judge()
@@ -241,32 +241,32 @@
 
 func TestLateReportsOnAnExplainedEndSayNothing(t *testing.T) {
 	w := newCoordinatorBed()
-	for i := range kernel.CrashesToHold {
+	for i := range kernel.CrashThreshold {
 		w.end(fmt.Sprint(i), "bad")
 	}
 	w.judge()
-	for i := range kernel.CrashesToHold {
+	for i := range kernel.CrashThreshold {
 		w.end(fmt.Sprint(i), "good")
 	}
 	w.judge()
-	must.EqOp(t, kernel.Free, w.passage("good"))
+	must.EqOp(t, kernel.NotHeld, w.passage("good"))
 }
 
 func TestTheQuarantineIsBounded(t *testing.T) {
 	w := newCoordinatorBed()
 	for n := range 1000 {
-		w.Learn(w.now, kernel.HeldRequest{Digest: model.Digest(fmt.Sprint(n)), Pool: "pool", Firm: true, Incarnations: []string{fmt.Sprint(n)}})
+		w.ApplyHold(w.now, kernel.HeldRequest{Digest: model.Digest(fmt.Sprint(n)), Pool: "pool", Firm: true, Incarnations: []string{fmt.Sprint(n)}})
 		w.now = w.now.Add(time.Millisecond)
 	}
 	must.EqOp(t, 256, w.Len())
 	must.EqOp(t, kernel.Held, w.passage("999"), must.Sprint("the oldest yield"))
 	w = newCoordinatorBed()
 	for n := range 6000 {
-		w.Crashed(w.now, model.Digest(fmt.Sprint(n)), "pool", kernel.Crash{Incarnation: "l", At: w.now})
+		w.RecordCrash(w.now, model.Digest(fmt.Sprint(n)), "pool", kernel.Crash{Incarnation: "l", At: w.now})
 		w.now = w.now.Add(time.Millisecond)
 	}
-	must.EqOp(t, 4096, w.Cases())
+	must.EqOp(t, 4096, w.Suspects())
 	w.now = w.now.Add(time.Hour)
 	w.judge()
-	must.EqOp(t, 0, w.Cases())
+	must.EqOp(t, 0, w.Suspects())
 }
