--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -139,11 +139,11 @@
 	for range 2 {
 		g.now = g.now.Add(500 * time.Millisecond)
 		for _, info := range node.Members()[1:] {
-			node.Heard(g.now, kernel.News{Member: info.Member, Beat: info.Beat, FailureDomain: "d"})
+			node.RecordHeartbeat(g.now, kernel.GossipUpdate{Member: info.Member, Beat: info.Beat, FailureDomain: "d"})
 		}
 		node.Tick(g.now)
 		for range 2 * len(node.Neighbours()) {
-			data, _ := msgpack.Marshal(node.Outgoing())
+			data, _ := msgpack.Marshal(node.PendingUpdates())
 			bytes += len(data)
 		}
 	}
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -25,7 +25,7 @@
 	for i, m := range all {
 		node := kernel.NewMembership(g.now, m, "d")
 		for _, other := range all {
-			node.Listed(g.now, other, "d")
+			node.AddListed(g.now, other, "d")
 		}
 		g.nodes = append(g.nodes, node)
 		g.names[m.Node] = i
@@ -55,15 +55,15 @@
 }
 
 func (g *gossip) exchange(pairs [][2]int, from, to int) {
-	all := make([][]kernel.News, len(pairs))
+	all := make([][]kernel.GossipUpdate, len(pairs))
 	for i, pair := range pairs {
-		all[i] = g.nodes[pair[from]].Outgoing()
+		all[i] = g.nodes[pair[from]].PendingUpdates()
 	}
 	for i, pair := range pairs {
 		node := g.nodes[pair[to]]
-		node.Heard(g.now, all[i][0])
+		node.RecordHeartbeat(g.now, all[i][0])
 		for _, n := range all[i][1:] {
-			node.Take(g.now, n)
+			node.Apply(g.now, n)
 		}
 	}
 }
@@ -141,8 +141,8 @@
 	m := kernel.NewMembership(ledgerStart, members(1)[0], "d")
 	old := kernel.Member{Node: "x", Incarnation: "1"}
 	fresh := kernel.Member{Node: "x", Incarnation: "2"}
-	m.Take(ledgerStart, kernel.News{Member: fresh, Beat: 1})
-	must.False(t, m.Take(ledgerStart, kernel.News{Member: old, Beat: 99}))
-	must.False(t, m.Take(ledgerStart, kernel.News{Member: old, Beat: 100, State: kernel.MemberDead}))
+	m.Apply(ledgerStart, kernel.GossipUpdate{Member: fresh, Beat: 1})
+	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 99}))
+	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 100, State: kernel.MemberDead}))
 	must.Len(t, 2, m.Alive())
 }
