--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -69,7 +69,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				benchSink = q.Ahead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
+				benchSink = q.CostAhead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 }
 
 func BenchmarkLimitAndBudget(b *testing.B) {
-	l := kernel.NewLimit(10, 1, 100)
+	l := kernel.NewConcurrencyLimit(10, 1, 100)
 	budget := kernel.NewRetryBudget()
 	load := kernel.PoolLoad{Slots: 48}
 	b.ReportAllocs()
--- a/kernel/retry.go
+++ b/kernel/retry.go
@@ -1,9 +1,9 @@
 package kernel
 
 const (
-	// retryShare is how much of a retry each success earns.
-	retryShare = 0.1
-	retryMost  = 20.0
+	// retryTokensPerSuccess is how much of a retry each success earns.
+	retryTokensPerSuccess = 0.1
+	maxRetryTokens        = 20.0
 	// MaxAttempts bounds the calls of one stage of one request.
 	MaxAttempts = 4
 )
@@ -17,12 +17,12 @@
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() RetryBudget {
-	return RetryBudget{Tokens: retryMost}
+	return RetryBudget{Tokens: maxRetryTokens}
 }
 
 // WithSuccess returns the budget after a success.
 func (b RetryBudget) WithSuccess() RetryBudget {
-	b.Tokens = min(retryMost, b.Tokens+retryShare)
+	b.Tokens = min(maxRetryTokens, b.Tokens+retryTokensPerSuccess)
 	return b
 }
 
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -17,42 +17,42 @@
 
 func TestACallerThatComesBackIsToldFromANewOne(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewReturning()
-	first := kernel.Identity("ann", promptOf("a", 900))
-	r.Refused(now, first, 20*time.Millisecond)
-	must.EqOp(t, 320*time.Millisecond, r.Waited(now.Add(300*time.Millisecond), first))
-	must.EqOp(t, 0, r.Waited(now.Add(400*time.Millisecond), first), must.Sprint("a third request is a new one"))
-	must.EqOp(t, 0, r.Waited(now, kernel.Identity("ann", promptOf("a", 901))), must.Sprint("another request of the session"))
-	must.NotEq(t, first, kernel.Identity("ben", promptOf("a", 900)), must.Sprint("nobody ages another customer's request"))
-	must.EqOp(t, "", kernel.Identity("ann", model.Prompt{}))
+	r := kernel.NewRefusedRequests()
+	first := kernel.RequestIdentity("ann", promptOf("a", 900))
+	r.Add(now, first, 20*time.Millisecond)
+	must.EqOp(t, 320*time.Millisecond, r.TakeWaited(now.Add(300*time.Millisecond), first))
+	must.EqOp(t, 0, r.TakeWaited(now.Add(400*time.Millisecond), first), must.Sprint("a third request is a new one"))
+	must.EqOp(t, 0, r.TakeWaited(now, kernel.RequestIdentity("ann", promptOf("a", 901))), must.Sprint("another request of the session"))
+	must.NotEq(t, first, kernel.RequestIdentity("ben", promptOf("a", 900)), must.Sprint("nobody ages another customer's request"))
+	must.EqOp(t, "", kernel.RequestIdentity("ann", model.Prompt{}))
 }
 
 func TestWhatWasRefusedTwiceCountsFromItsFirstAttempt(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewReturning()
-	r.Refused(now, "id", 0)
+	r := kernel.NewRefusedRequests()
+	r.Add(now, "id", 0)
 	now = now.Add(300 * time.Millisecond)
-	r.Refused(now, "id", r.Waited(now, "id"))
-	must.EqOp(t, 500*time.Millisecond, r.Waited(now.Add(200*time.Millisecond), "id"))
+	r.Add(now, "id", r.TakeWaited(now, "id"))
+	must.EqOp(t, 500*time.Millisecond, r.TakeWaited(now.Add(200*time.Millisecond), "id"))
 }
 
 func TestTheMemoryOfRefusedRequestsIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewReturning()
-	r.Refused(now, "old", 0)
-	must.EqOp(t, 0, r.Waited(now.Add(time.Minute), "old"))
+	r := kernel.NewRefusedRequests()
+	r.Add(now, "old", 0)
+	must.EqOp(t, 0, r.TakeWaited(now.Add(time.Minute), "old"))
 	for i := range 20_001 {
-		r.Refused(now, fmt.Sprint(i), 0)
+		r.Add(now, fmt.Sprint(i), 0)
 	}
-	must.EqOp(t, 0, r.Waited(now.Add(time.Second), "0"))
-	must.EqOp(t, time.Second, r.Waited(now.Add(time.Second), "20000"))
+	must.EqOp(t, 0, r.TakeWaited(now.Add(time.Second), "0"))
+	must.EqOp(t, time.Second, r.TakeWaited(now.Add(time.Second), "20000"))
 }
 
 // burst plays callers against one pool: for some seconds more come than it can serve, and each that
 // is refused comes back once.
 type burst struct {
 	g        *kernel.BatchQueue
-	memory   *kernel.Returning
+	memory   *kernel.RefusedRequests
 	admitted kernel.Admission
 	running  []kernel.PieceBatch
 	// asked is when each caller first asked, again when it comes back.
@@ -67,7 +67,7 @@
 	burstEngine    = 200 * time.Millisecond
 )
 
-func newBurst(memory *kernel.Returning) *burst {
+func newBurst(memory *kernel.RefusedRequests) *burst {
 	route := model.Route{Objective: burstObjective, Timeout: 6 * time.Second, Stages: []model.StageNode{{Pool: "p", ResultBytes: 8000}}}
 	return &burst{
 		g: newBatchQueue(3), memory: memory, admitted: kernel.Admission{Route: route},
@@ -80,10 +80,10 @@
 	f := model.Forward{ReceivedAt: now, Pieces: []int{3}}
 	identity := fmt.Sprint(id)
 	if b.memory != nil {
-		f = f.WithWaited(b.memory.Waited(now, identity))
+		f = f.WithWaited(b.memory.TakeWaited(now, identity))
 	}
 	a := b.admitted
-	a.Until = now.Add(6 * time.Second)
+	a.Deadline = now.Add(6 * time.Second)
 	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.g.Wait(now, pieceGroup(id, 3, 8000, now.Add(burstObjective)))}}
 	plan := kernel.PlanStages(f, a, estimates, burstEngine)
 	refusal := kernel.AdmitStages(now, f, a, plan, estimates)
@@ -95,7 +95,7 @@
 		refusal = model.NewRefusal(model.NotRun, model.StageLate, 300*time.Millisecond, "")
 	}
 	if b.memory != nil {
-		b.memory.Refused(now, identity, f.Waited)
+		b.memory.Add(now, identity, f.Waited)
 	}
 	if now.Equal(b.asked[id]) {
 		b.again[id] = now.Add(refusal.RetryAfter)
@@ -157,7 +157,7 @@
 // both.
 func TestCallersThatComeBackDoNotMakeNewOnesLate(t *testing.T) {
 	without := newBurst(nil).play()
-	with := newBurst(kernel.NewReturning()).play()
+	with := newBurst(kernel.NewRefusedRequests()).play()
 	t.Logf("on time: %d without the memory, %d with it", without, with)
 	must.Greater(t, without*11/10, with, must.Sprintf("%d on time, %d without the memory", with, without))
 }
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -82,7 +82,7 @@
 	due := f.AskedAt().Add(a.Route.Objective - firstEventMargin)
 	for i := range stages {
 		plan.Due[i] = due.Add(-rest[i])
-		plan.Until[i] = a.Until.Add(-rest[i])
+		plan.Until[i] = a.Deadline.Add(-rest[i])
 		if !followed[i] && PiecesOf(f, i) > 0 {
 			plan.Last = append(plan.Last, i)
 		}
@@ -130,7 +130,7 @@
 		}
 	}
 	late := now.Add(time.Duration(lateMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
-	hopeless := now.Add(plan.Expected).After(a.Until)
+	hopeless := now.Add(plan.Expected).After(a.Deadline)
 	if hopeless || (late && wait > crowdedWait) {
 		return model.NewRefusal(model.NotRun, model.StageLate, RetryAfter(wait), "the stages would be late")
 	}
