--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -117,7 +117,7 @@
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{9, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := newGossip(n)
+			g := newGossipSim(n)
 			for range 60 {
 				g.round()
 			}
@@ -133,7 +133,7 @@
 
 // second lets the first node live through two rounds and returns the bytes that it sends. As
 // many heartbeats come in as go out, and each is answered.
-func second(g *gossip) int {
+func second(g *gossipSim) int {
 	node := g.nodes[0]
 	bytes := 0
 	for range 2 {
