--- a/kernel/answered.go
+++ b/kernel/answered.go
@@ -6,12 +6,12 @@
 	"basilstall.example/basilstall/model"
 )
 
-// maxAnswered bounds the answered requests that are remembered, twice over, some 100 bytes each: minutes of a
-// node's share of a fleet's requests.
+// maxAnswered bounds each generation of answered requests, some 100 bytes a request. Two generations cover minutes
+// of a node's share of the fleet's requests.
 const maxAnswered = 2048
 
-// answeredRequests remembers which requests were answered whole, and when last, in two generations: when the younger
-// one is full, the older one is forgotten.
+// answeredRequests remembers which requests were answered completely, and when last, in two generations: when the
+// young one is full it becomes the old one, and the previous old one is dropped.
 type answeredRequests struct {
 	young, old map[model.Digest]time.Time
 }
@@ -23,7 +23,7 @@
 	a.young[digest] = now
 }
 
-// answeredAfter tells whether a request was answered after a time.
+// answeredAfter reports whether a request was answered after a time.
 func (a *answeredRequests) answeredAfter(t time.Time, digest model.Digest) bool {
 	return a.young[digest].After(t) || a.old[digest].After(t)
 }
--- a/kernel/quarantine.go
+++ b/kernel/quarantine.go
@@ -8,49 +8,54 @@
 )
 
 const (
-	// CrashThreshold is how many processes of endpoints must have ended under a request before it is held back. One
-	// or two happen to what merely ran beside another request, or was caught by crashes of other causes.
+	// CrashThreshold is the number of endpoint processes that must crash while they run a request before the request
+	// is held back. One or two crashes may be a coincidence: the request ran beside the one at fault, or the crashes
+	// had other causes.
 	CrashThreshold = 3
-	// HoldTime is how long a request is held back before one more run may show whether it still ends endpoints: a
-	// release of the endpoints may have mended them.
+	// HoldTime is how long a request is held back before a trial run may show whether it still crashes endpoints: a
+	// new release of the endpoints may have fixed the fault.
 	HoldTime = 10 * time.Minute
-	// trialRetryAfter is when a caller may come back whose request is one of several that may have ended endpoints: a
-	// trial of another one takes about as long.
+	// trialRetryAfter is the retry delay for the caller of a request that may run only on trial: a trial of another
+	// request takes about as long.
 	trialRetryAfter = time.Second
-	// trialTimeout is how long a trial may take until the next one may begin.
+	// trialTimeout is how long a trial without a result keeps the next one of its pool from starting.
 	trialTimeout = 10 * time.Second
-	// maxTrials bounds the trials of one request in HoldTime. The first may tell nothing: its caller left.
+	// maxTrials bounds the trials of one request within HoldTime. It is more than one because the first trial has no
+	// result if its caller disconnects.
 	maxTrials = 2
-	// CrashDedupWindow is how far apart two reports on one process may be that are of the same end: a process that does
-	// not say when it started takes longer to be back.
+	// CrashDedupWindow is the time within which two crash reports on one incarnation count as the same crash. A
+	// process that does not report its start time keeps its incarnation over a restart, which takes longer than
+	// this.
 	CrashDedupWindow = 1500 * time.Millisecond
-	// crashRetention is how long the ends of endpoints are counted against a request.
+	// crashRetention is how long crashes count against a request.
 	crashRetention = HoldTime
-	// attributionTTL is how long reports on an end whose cause is known still come in.
+	// attributionTTL is how long a crash stays attributed to its cause. Reports on other requests that ran in the
+	// crashed process still arrive during that time, and are ignored.
 	attributionTTL = 10 * time.Second
-	// trustDuration is how long nothing counts against a request that was answered after endpoints had ended under
-	// it: one of which many are under way at any time is at each end, whatever its cause.
+	// trustDuration is how long crash reports on a request are ignored after it was answered in spite of earlier
+	// crashes. A request that is running many times over at any moment is involved in every crash, whatever the
+	// cause.
 	trustDuration = time.Minute
-	// maxSuspects bounds the requests that endpoints ended under, some 250 bytes each, and those that were answered
-	// since; mostHeld those held back, of which all nodes are told, some 400 bytes each; mostCrashes the ends that
-	// are kept of each.
+	// maxSuspects bounds the requests with recorded crashes, some 250 bytes each, and the trusted requests. maxHeld
+	// bounds the requests held back, which are sent to all nodes, some 400 bytes each. maxCrashes bounds the crashes
+	// recorded for one request.
 	maxSuspects = 4096
 	maxHeld     = 256
 	maxCrashes  = 8
 )
 
-// The passages of a request.
+// The hold states of a request.
 const (
-	// NotHeld: nothing is held against it.
+	// NotHeld: the request may be sent.
 	NotHeld HoldState = iota
-	// TrialOnly: it may run if the coordinator of its pool permits a trial.
+	// TrialOnly: the request may be sent if the coordinator of its pool permits a trial.
 	TrialOnly
-	// Held: it must not be sent.
+	// Held: the request must not be sent.
 	Held
 )
 
 type (
-	// HoldState says whether a request may be sent to endpoints.
+	// HoldState tells whether a request may be sent to endpoints.
 	HoldState int
 
 	// Crash is the end of an endpoint's process while it worked on a request.
@@ -59,29 +64,32 @@
 		At          time.Time
 	}
 
-	// HeldRequest is what nodes tell each other of a request that is held back.
+	// HeldRequest is the notice of a held request that nodes send each other.
 	HeldRequest struct {
 		Digest model.Digest
-		// Pool is whose endpoints ended.
+		// Pool is the pool whose endpoints crashed.
 		Pool string
-		// Firm is false where other requests were under way at all the same ends: trials tell which one it is.
+		// Firm is false if another suspect was running at each of the crashes: trials then show which one is the
+		// cause.
 		Firm bool
-		// Incarnations are the processes that ended, at most mostCrashes.
+		// Incarnations are the processes that crashed, at most maxCrashes.
 		Incarnations []string
-		// Since is how long before this was written the first of them ended.
+		// Since is the time from the first of the crashes to the writing of the notice.
 		Since time.Duration
 	}
 
-	// Quarantine is what a node knows of requests under which endpoints ended. A pool's coordinator, one node for all,
-	// is told of all ends in its pool and decides; all nodes hold back what it found. It changes in place.
+	// Quarantine is a node's record of the requests that crashed endpoints. One node, the coordinator of a pool,
+	// receives the reports on all crashes in the pool and decides which requests are held back; all nodes then hold
+	// them back. It changes in place.
 	Quarantine struct {
+		// suspects are the requests with recorded crashes.
 		suspects map[model.Digest]*suspect
 		held     map[model.Digest]*heldRequest
-		// attributed holds the processes whose end is known to be another request's doing.
+		// attributed holds the crashed processes for which the request at fault is known, by incarnation.
 		attributed map[string]attribution
-		// trials has the trial under way in each pool that is kept here.
+		// trials holds the running trial of each pool that this node coordinates.
 		trials map[string]trial
-		// trustedUntil holds until when nothing counts against requests that were answered.
+		// trustedUntil holds until when crash reports are ignored on requests that were answered.
 		trustedUntil map[model.Digest]time.Time
 		answered     answeredRequests
 	}
@@ -89,8 +97,8 @@
 	suspect struct {
 		pool    string
 		crashes []Crash
-		// updatedAt is when the newest crash became known, ripensAt when the case is to be judged at the latest; zero
-		// before there is anything to judge.
+		// updatedAt is when the newest crash was recorded. evaluateBy is when the suspect is evaluated at the
+		// latest; zero while there is nothing new to evaluate.
 		updatedAt  time.Time
 		evaluateBy time.Time
 	}
@@ -98,7 +106,7 @@
 	heldRequest struct {
 		HeldRequest
 		learnedAt time.Time
-		// trials counts those that were permitted since.
+		// trials counts the trials permitted since learnedAt.
 		trials int
 	}
 
@@ -113,7 +121,7 @@
 	}
 )
 
-// NewQuarantine returns a quarantine that knows nothing.
+// NewQuarantine returns an empty quarantine.
 func NewQuarantine() *Quarantine {
 	return &Quarantine{
 		suspects:     map[model.Digest]*suspect{},
@@ -124,7 +132,8 @@
 	}
 }
 
-// Check tells whether a request may be sent, and where it may not, or only on trial, when its caller may come back.
+// Check returns whether a request may be sent. If it is held back, or may run only on trial, Check also returns its
+// notice and the time after which its caller may retry.
 func (q *Quarantine) Check(now time.Time, digest model.Digest) (HoldState, HeldRequest, time.Duration) {
 	h := q.held[digest]
 	if h == nil {
@@ -136,68 +145,70 @@
 	return TrialOnly, h.HeldRequest, trialRetryAfter
 }
 
-// Len returns how many requests are held back.
+// Len returns the number of held requests.
 func (q *Quarantine) Len() int {
 	return len(q.held)
 }
 
-// Suspects returns how many requests are known under which endpoints ended.
+// Suspects returns the number of requests with recorded crashes.
 func (q *Quarantine) Suspects() int {
 	return len(q.suspects)
 }
 
-// RecordCrash notes that an endpoint's process ended while it worked on a request.
+// RecordCrash records that an endpoint process crashed while it worked on a request. Reports are ignored if the
+// crash is recorded already, if it is attributed to another request, or if the request is trusted.
 func (q *Quarantine) RecordCrash(now time.Time, digest model.Digest, pool string, crash Crash) {
 	if now.Before(q.trustedUntil[digest]) {
 		return
 	}
-	if why, known := q.attributed[crash.Incarnation]; known && why.digest != digest && now.Before(why.until) {
+	if cause, known := q.attributed[crash.Incarnation]; known && cause.digest != digest && now.Before(cause.until) {
 		return
 	}
 	if q.endTrial(digest) {
-		// It has shown what it does; the verdict follows.
+		// The trial has its result. No other may start before the next evaluation.
 		q.held[digest].trials = maxTrials
 	}
-	c := q.suspects[digest]
-	if c == nil {
+	s := q.suspects[digest]
+	if s == nil {
 		q.evictSuspect()
-		c = &suspect{}
-		q.suspects[digest] = c
+		s = &suspect{}
+		q.suspects[digest] = s
 	}
-	c.pool = pool
-	if c.has(crash) {
+	s.pool = pool
+	if s.has(crash) {
 		return
 	}
-	if len(c.crashes) == maxCrashes {
-		c.crashes = c.crashes[1:]
+	if len(s.crashes) == maxCrashes {
+		s.crashes = s.crashes[1:]
 	}
-	c.crashes = append(c.crashes, crash)
-	c.updatedAt = now
-	if len(c.crashes) >= CrashThreshold && c.evaluateBy.IsZero() {
-		c.evaluateBy = now.Add(maxEvaluationDelay)
+	s.crashes = append(s.crashes, crash)
+	s.updatedAt = now
+	if len(s.crashes) >= CrashThreshold && s.evaluateBy.IsZero() {
+		s.evaluateBy = now.Add(maxEvaluationDelay)
 	}
 }
 
-// evictSuspect forgets the case that did not change for longest where there are too many.
+// evictSuspect drops the suspect that has been unchanged for longest if maxSuspects is reached.
 func (q *Quarantine) evictSuspect() {
 	if len(q.suspects) < maxSuspects {
 		return
 	}
 	var oldest model.Digest
-	for digest, c := range q.suspects {
-		if oldest == "" || c.updatedAt.Before(q.suspects[oldest].updatedAt) {
+	for digest, s := range q.suspects {
+		if oldest == "" || s.updatedAt.Before(q.suspects[oldest].updatedAt) {
 			oldest = digest
 		}
 	}
 	delete(q.suspects, oldest)
 }
 
-// RecordAnswer notes that an endpoint answered a request whole: it does not end each endpoint that runs it. True means
-// that something is held against the request, and the coordinators of the pool are to be told.
+// RecordAnswer records that an endpoint answered a request completely, which shows that the request does not crash
+// every endpoint that runs it. It returns true if crashes are recorded against the request or it is held back; the
+// coordinators of the returned pool must then be informed.
 func (q *Quarantine) RecordAnswer(now time.Time, digest model.Digest) (suspected bool, pool string) {
 	q.answered.add(now, digest)
-	if c := q.suspects[digest]; c != nil {
-		return true, c.pool
+	if s := q.suspects[digest]; s != nil {
+		return true, s.pool
 	}
 	if h := q.held[digest]; h != nil {
 		return true, h.Pool
@@ -205,14 +216,14 @@
 	return false, ""
 }
 
-// Clear forgets what is held against a request.
+// Clear removes the crashes, the hold and the trial of a request.
 func (q *Quarantine) Clear(digest model.Digest) {
 	q.endTrial(digest)
 	delete(q.suspects, digest)
 	delete(q.held, digest)
 }
 
-// Trust forgets what is held against a request because it was answered whole.
+// Trust clears a request that was answered completely, and ignores crash reports on it for trustDuration.
 func (q *Quarantine) Trust(now time.Time, digest model.Digest) {
 	q.Clear(digest)
 	if len(q.trustedUntil) >= maxSuspects {
@@ -221,9 +232,9 @@
 	q.trustedUntil[digest] = now.Add(trustDuration)
 }
 
-// has tells whether an end is counted already: reports on one come from several nodes.
-func (c *suspect) has(crash Crash) bool {
-	return slices.ContainsFunc(c.crashes, func(known Crash) bool {
+// has reports whether a crash is recorded already: several nodes report the same one.
+func (s *suspect) has(crash Crash) bool {
+	return slices.ContainsFunc(s.crashes, func(known Crash) bool {
 		return known.Incarnation == crash.Incarnation && crash.At.Sub(known.At).Abs() < CrashDedupWindow
 	})
 }
--- a/kernel/quarantine_test.go
+++ b/kernel/quarantine_test.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// quarantineHarness is a quarantine whose node keeps all pools, and its clock.
+// quarantineHarness is the quarantine of a node that coordinates all pools, with its clock.
 type quarantineHarness struct {
 	*kernel.Quarantine
 	now time.Time
@@ -23,250 +23,251 @@
 
 func coordinatesAll(string) bool { return true }
 
-// crash lets an endpoint crash under requests, each reported a little later than the one before.
-func (w *quarantineHarness) crash(incarnation string, digests ...model.Digest) {
-	at := w.now
+// crash reports the crash of an endpoint process for each request that it ran, each report a little later than the
+// one before.
+func (q *quarantineHarness) crash(incarnation string, digests ...model.Digest) {
+	at := q.now
 	for _, d := range digests {
-		w.now = w.now.Add(10 * time.Millisecond)
-		w.RecordCrash(w.now, d, "pool", kernel.Crash{Incarnation: incarnation, At: at})
+		q.now = q.now.Add(10 * time.Millisecond)
+		q.RecordCrash(q.now, d, "pool", kernel.Crash{Incarnation: incarnation, At: at})
 	}
-	w.now = w.now.Add(time.Second)
+	q.now = q.now.Add(time.Second)
 }
 
-// evaluate judges the cases and learns what comes of it, as the coordinator does.
-func (w *quarantineHarness) evaluate() kernel.QuarantineChange {
-	change := w.Evaluate(w.now, coordinatesAll)
+// evaluate evaluates the suspects and applies the change, as the coordinator does.
+func (q *quarantineHarness) evaluate() kernel.QuarantineChange {
+	change := q.Evaluate(q.now, coordinatesAll)
 	for _, h := range change.Hold {
-		w.ApplyHold(w.now, h)
+		q.ApplyHold(q.now, h)
 	}
 	for _, d := range change.Lift {
-		w.Clear(d)
+		q.Clear(d)
 	}
 	return change
 }
 
-func (w *quarantineHarness) holdState(d model.Digest) kernel.HoldState {
-	passage, _, _ := w.Check(w.now, d)
-	return passage
+func (q *quarantineHarness) holdState(d model.Digest) kernel.HoldState {
+	state, _, _ := q.Check(q.now, d)
+	return state
 }
 
-func (w *quarantineHarness) startTrial(d model.Digest) bool {
-	permitted, _ := w.StartTrial(w.now, d)
+func (q *quarantineHarness) startTrial(d model.Digest) bool {
+	permitted, _ := q.StartTrial(q.now, d)
 	return permitted
 }
 
-func TestWhichRequestIsHeldBack(t *testing.T) {
+func TestQuarantineHoldsBackCause(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		ends [][]model.Digest
-		want map[model.Digest]kernel.HoldState
+		name    string
+		crashes [][]model.Digest
+		want    map[model.Digest]kernel.HoldState
 	}{
-		{"two ends are too few", [][]model.Digest{{"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.NotHeld}},
+		{"two crashes are too few", [][]model.Digest{{"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.NotHeld}},
 		{"three are enough", [][]model.Digest{{"a"}, {"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.Held}},
 		{
-			"what ran beside is free",
+			"requests that ran beside the cause are not held",
 			[][]model.Digest{{"b", "a"}, {"b", "a"}, {"c", "a"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.NotHeld, "c": kernel.NotHeld},
 		},
 		{
-			"what ran beside at three of four may be a cause, too",
+			"a request that ran beside the cause at three of four crashes may be a cause, too",
 			[][]model.Digest{{"a"}, {"b", "a"}, {"b", "a"}, {"b", "a"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.TrialOnly},
 		},
 		{
-			"two at all the same ends are to be told apart",
+			"two requests at the same crashes need trials",
 			[][]model.Digest{{"a", "b"}, {"b", "a"}, {"a", "b"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.TrialOnly, "b": kernel.TrialOnly},
 		},
 		{
-			"two causes at other ends are both found",
+			"two causes at different crashes are both found",
 			[][]model.Digest{{"a", "c"}, {"b", "c"}, {"a"}, {"b"}, {"a", "c"}, {"b"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.Held, "c": kernel.TrialOnly},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newQuarantineHarness()
-			for i, digests := range tc.ends {
-				w.crash(fmt.Sprint("incarnation-", i), digests...)
+			q := newQuarantineHarness()
+			for i, digests := range tc.crashes {
+				q.crash(fmt.Sprint("incarnation-", i), digests...)
 			}
-			w.evaluate()
+			q.evaluate()
 			for d, want := range tc.want {
-				must.EqOp(t, want, w.holdState(d), must.Sprint(d))
+				must.EqOp(t, want, q.holdState(d), must.Sprint(d))
 			}
-			// A second look finds nothing new, and nobody is told again.
-			again := w.evaluate()
+			// A second evaluation finds nothing new: no node is informed again.
+			again := q.evaluate()
 			must.SliceEmpty(t, again.Hold)
 			must.SliceEmpty(t, again.Lift)
 		})
 	}
 }
 
-func TestReportsOnOneEndCountOnce(t *testing.T) {
-	w := newQuarantineHarness()
+func TestQuarantineCountsCrashOnce(t *testing.T) {
+	q := newQuarantineHarness()
 	for range 5 {
-		w.RecordCrash(w.now, "a", "pool", kernel.Crash{Incarnation: "l", At: w.now})
-		w.now = w.now.Add(50 * time.Millisecond)
+		q.RecordCrash(q.now, "a", "pool", kernel.Crash{Incarnation: "l", At: q.now})
+		q.now = q.now.Add(50 * time.Millisecond)
 	}
-	w.now = w.now.Add(time.Second)
-	w.evaluate()
-	must.EqOp(t, kernel.NotHeld, w.holdState("a"))
-	// A process that does not say when it started bears the same name after each start.
+	q.now = q.now.Add(time.Second)
+	q.evaluate()
+	must.EqOp(t, kernel.NotHeld, q.holdState("a"))
+	// A process that does not report its start time keeps its incarnation after a restart.
 	for range 2 {
-		w.now = w.now.Add(5 * time.Second)
-		w.RecordCrash(w.now, "a", "pool", kernel.Crash{Incarnation: "l", At: w.now})
+		q.now = q.now.Add(5 * time.Second)
+		q.RecordCrash(q.now, "a", "pool", kernel.Crash{Incarnation: "l", At: q.now})
 	}
-	w.now = w.now.Add(time.Second)
-	w.evaluate()
-	must.EqOp(t, kernel.Held, w.holdState("a"))
+	q.now = q.now.Add(time.Second)
+	q.evaluate()
+	must.EqOp(t, kernel.Held, q.holdState("a"))
 }
 
-func TestACaseWaitsForTheReportsOnTheSameEnd(t *testing.T) {
-	w := newQuarantineHarness()
-	w.crash("1", "a", "b")
-	w.crash("2", "a", "b")
-	w.RecordCrash(w.now, "b", "pool", kernel.Crash{Incarnation: "3", At: w.now})
-	w.now = w.now.Add(kernel.EvaluationDelay / 2)
-	must.SliceEmpty(t, w.evaluate().Hold)
-	w.RecordCrash(w.now, "a", "pool", kernel.Crash{Incarnation: "3", At: w.now})
-	w.now = w.now.Add(kernel.EvaluationDelay * 2 / 3)
-	must.SliceEmpty(t, w.evaluate().Hold, must.Sprint("the last report is too young"))
-	w.now = w.now.Add(kernel.EvaluationDelay)
-	must.SliceLen(t, 2, w.evaluate().Hold)
+func TestQuarantineEvaluationWaitsForReports(t *testing.T) {
+	q := newQuarantineHarness()
+	q.crash("1", "a", "b")
+	q.crash("2", "a", "b")
+	q.RecordCrash(q.now, "b", "pool", kernel.Crash{Incarnation: "3", At: q.now})
+	q.now = q.now.Add(kernel.EvaluationDelay / 2)
+	must.SliceEmpty(t, q.evaluate().Hold)
+	q.RecordCrash(q.now, "a", "pool", kernel.Crash{Incarnation: "3", At: q.now})
+	q.now = q.now.Add(kernel.EvaluationDelay * 2 / 3)
+	must.SliceEmpty(t, q.evaluate().Hold, must.Sprint("the last report is too recent"))
+	q.now = q.now.Add(kernel.EvaluationDelay)
+	must.SliceLen(t, 2, q.evaluate().Hold)
 }
 
-// newAmbiguousHarness is a quarantine in which two requests were under way at all the same ends.
+// newAmbiguousHarness returns a quarantine in which the same two requests were running at every crash.
 func newAmbiguousHarness() *quarantineHarness {
-	w := newQuarantineHarness()
+	q := newQuarantineHarness()
 	for i := range kernel.CrashThreshold {
-		w.crash(fmt.Sprint(i), "bad", "good")
+		q.crash(fmt.Sprint(i), "bad", "good")
 	}
-	w.evaluate()
-	return w
+	q.evaluate()
+	return q
 }
 
-func TestATrialTellsTheCauseFromWhatRanBeside(t *testing.T) {
-	w := newAmbiguousHarness()
-	must.True(t, w.startTrial("bad"))
-	must.False(t, w.startTrial("good"), must.Sprint("one at a time"))
-	w.crash("last", "bad")
-	must.False(t, w.startTrial("bad"), must.Sprint("it has shown what it does"))
-	change := w.evaluate()
+func TestTrialFindsCause(t *testing.T) {
+	q := newAmbiguousHarness()
+	must.True(t, q.startTrial("bad"))
+	must.False(t, q.startTrial("good"), must.Sprint("one trial at a time"))
+	q.crash("last", "bad")
+	must.False(t, q.startTrial("bad"), must.Sprint("its trial has a result already"))
+	change := q.evaluate()
 	must.SliceLen(t, 1, change.Hold)
 	must.True(t, change.Hold[0].Firm)
-	must.EqOp(t, kernel.Held, w.holdState("bad"))
-	must.EqOp(t, kernel.TrialOnly, w.holdState("good"), must.Sprint("it may be a cause as well"))
-	must.True(t, w.startTrial("good"), must.Sprint("which its next run tells, at once"))
-	w.RecordAnswer(w.now, "good")
-	w.Trust(w.now, "good")
-	must.EqOp(t, kernel.NotHeld, w.holdState("good"))
+	must.EqOp(t, kernel.Held, q.holdState("bad"))
+	must.EqOp(t, kernel.TrialOnly, q.holdState("good"), must.Sprint("it may be a cause as well"))
+	must.True(t, q.startTrial("good"), must.Sprint("its trial may start at once"))
+	q.RecordAnswer(q.now, "good")
+	q.Trust(q.now, "good")
+	must.EqOp(t, kernel.NotHeld, q.holdState("good"))
 }
 
-func TestATrialThatIsAnsweredClears(t *testing.T) {
-	w := newAmbiguousHarness()
-	must.True(t, w.startTrial("good"))
-	suspected, pool := w.RecordAnswer(w.now, "good")
+func TestAnsweredTrialClearsRequest(t *testing.T) {
+	q := newAmbiguousHarness()
+	must.True(t, q.startTrial("good"))
+	suspected, pool := q.RecordAnswer(q.now, "good")
 	must.True(t, suspected)
 	must.EqOp(t, "pool", pool)
-	w.Clear("good")
-	must.EqOp(t, kernel.NotHeld, w.holdState("good"))
-	// With the other one cleared, it must be this one.
-	w.evaluate()
-	must.EqOp(t, kernel.Held, w.holdState("bad"))
+	q.Clear("good")
+	must.EqOp(t, kernel.NotHeld, q.holdState("good"))
+	// With the other request cleared, this one must be the cause.
+	q.evaluate()
+	must.EqOp(t, kernel.Held, q.holdState("bad"))
 }
 
-func TestTrialsAreFew(t *testing.T) {
-	w := newAmbiguousHarness()
+func TestTrialsAreLimited(t *testing.T) {
+	q := newAmbiguousHarness()
 	permitted := 0
 	for range 100 {
-		w.now = w.now.Add(5 * time.Second)
-		if w.startTrial("bad") {
+		q.now = q.now.Add(5 * time.Second)
+		if q.startTrial("bad") {
 			permitted++
 		}
 	}
 	must.EqOp(t, 2, permitted)
-	w = newAmbiguousHarness()
-	w.startTrial("bad")
-	_, retry := w.StartTrial(w.now, "good")
+	q = newAmbiguousHarness()
+	q.startTrial("bad")
+	_, retry := q.StartTrial(q.now, "good")
 	must.EqOp(t, time.Second, retry, must.Sprint("another trial is under way"))
 	for range 2 {
-		w.now = w.now.Add(time.Minute)
-		w.startTrial("bad")
+		q.now = q.now.Add(time.Minute)
+		q.startTrial("bad")
 	}
-	_, retry = w.StartTrial(w.now, "bad")
-	must.EqOp(t, kernel.HoldTime-2*time.Minute, retry, must.Sprint("a time to come back that is of use"))
-	w = newAmbiguousHarness()
+	_, retry = q.StartTrial(q.now, "bad")
+	must.EqOp(t, kernel.HoldTime-2*time.Minute, retry, must.Sprint("retry when the hold ends"))
+	q = newAmbiguousHarness()
 	for range 10 {
-		must.True(t, w.startTrial("good"), must.Sprint("what was not sent does not count"))
-		w.CancelTrial("good")
+		must.True(t, q.startTrial("good"), must.Sprint("a request that was not sent does not count"))
+		q.CancelTrial("good")
 	}
 }
 
-func TestAHeldRequestIsTriedAgainAfterLong(t *testing.T) {
-	w := newQuarantineHarness()
+func TestTrialAfterHoldTime(t *testing.T) {
+	q := newQuarantineHarness()
 	for i := range kernel.CrashThreshold {
-		w.crash(fmt.Sprint(i), "a")
+		q.crash(fmt.Sprint(i), "a")
 	}
-	w.evaluate()
-	must.False(t, w.startTrial("a"))
-	w.now = w.now.Add(kernel.HoldTime)
-	must.EqOp(t, kernel.TrialOnly, w.holdState("a"))
-	must.True(t, w.startTrial("a"))
-	w.crash("later", "a")
-	w.evaluate()
-	must.EqOp(t, kernel.Held, w.holdState("a"), must.Sprint("one more end is enough then"))
+	q.evaluate()
+	must.False(t, q.startTrial("a"))
+	q.now = q.now.Add(kernel.HoldTime)
+	must.EqOp(t, kernel.TrialOnly, q.holdState("a"))
+	must.True(t, q.startTrial("a"))
+	q.crash("later", "a")
+	q.evaluate()
+	must.EqOp(t, kernel.Held, q.holdState("a"), must.Sprint("one more crash is enough after a trial"))
 }
 
-func TestWhatWasAnsweredSinceIsNotAtFault(t *testing.T) {
+func TestApplyHoldAfterAnswer(t *testing.T) {
 	held := kernel.HeldRequest{Digest: "a", Pool: "pool", Firm: true, Incarnations: []string{"1", "2", "3"}, Since: time.Minute}
-	w := newQuarantineHarness()
-	w.RecordAnswer(w.now.Add(-30*time.Second), "a")
-	must.False(t, w.ApplyHold(w.now, held))
-	must.EqOp(t, kernel.NotHeld, w.holdState("a"))
-	w = newQuarantineHarness()
-	w.RecordAnswer(w.now.Add(-2*time.Minute), "a")
-	must.True(t, w.ApplyHold(w.now, held), must.Sprint("an answer before the first end says nothing"))
-	must.EqOp(t, kernel.Held, w.holdState("a"))
+	q := newQuarantineHarness()
+	q.RecordAnswer(q.now.Add(-30*time.Second), "a")
+	must.False(t, q.ApplyHold(q.now, held))
+	must.EqOp(t, kernel.NotHeld, q.holdState("a"))
+	q = newQuarantineHarness()
+	q.RecordAnswer(q.now.Add(-2*time.Minute), "a")
+	must.True(t, q.ApplyHold(q.now, held), must.Sprint("an answer before the first crash does not count"))
+	must.EqOp(t, kernel.Held, q.holdState("a"))
 }
 
-func TestAnotherCoordinatorGoesOn(t *testing.T) {
+func TestNewCoordinatorContinuesFromNotice(t *testing.T) {
 	first := newAmbiguousHarness()
 	_, held, _ := first.Check(first.now, "bad")
-	w := newQuarantineHarness()
-	must.True(t, w.ApplyHold(w.now, held))
-	must.True(t, w.startTrial("bad"))
-	w.crash("last", "bad")
-	w.evaluate()
-	must.EqOp(t, kernel.Held, w.holdState("bad"))
+	q := newQuarantineHarness()
+	must.True(t, q.ApplyHold(q.now, held))
+	must.True(t, q.startTrial("bad"))
+	q.crash("last", "bad")
+	q.evaluate()
+	must.EqOp(t, kernel.Held, q.holdState("bad"))
 }
 
-func TestLateReportsOnAnExplainedEndSayNothing(t *testing.T) {
-	w := newQuarantineHarness()
+func TestLateReportsOnAttributedCrashAreIgnored(t *testing.T) {
+	q := newQuarantineHarness()
 	for i := range kernel.CrashThreshold {
-		w.crash(fmt.Sprint(i), "bad")
+		q.crash(fmt.Sprint(i), "bad")
 	}
-	w.evaluate()
+	q.evaluate()
 	for i := range kernel.CrashThreshold {
-		w.crash(fmt.Sprint(i), "good")
+		q.crash(fmt.Sprint(i), "good")
 	}
-	w.evaluate()
-	must.EqOp(t, kernel.NotHeld, w.holdState("good"))
+	q.evaluate()
+	must.EqOp(t, kernel.NotHeld, q.holdState("good"))
 }
 
-func TestTheQuarantineIsBounded(t *testing.T) {
-	w := newQuarantineHarness()
+func TestQuarantineIsBounded(t *testing.T) {
+	q := newQuarantineHarness()
 	for n := range 1000 {
-		w.ApplyHold(w.now, kernel.HeldRequest{Digest: model.Digest(fmt.Sprint(n)), Pool: "pool", Firm: true, Incarnations: []string{fmt.Sprint(n)}})
-		w.now = w.now.Add(time.Millisecond)
+		q.ApplyHold(q.now, kernel.HeldRequest{Digest: model.Digest(fmt.Sprint(n)), Pool: "pool", Firm: true, Incarnations: []string{fmt.Sprint(n)}})
+		q.now = q.now.Add(time.Millisecond)
 	}
-	must.EqOp(t, 256, w.Len())
-	must.EqOp(t, kernel.Held, w.holdState("999"), must.Sprint("the oldest yield"))
-	w = newQuarantineHarness()
+	must.EqOp(t, 256, q.Len())
+	must.EqOp(t, kernel.Held, q.holdState("999"), must.Sprint("the oldest are dropped"))
+	q = newQuarantineHarness()
 	for n := range 6000 {
-		w.RecordCrash(w.now, model.Digest(fmt.Sprint(n)), "pool", kernel.Crash{Incarnation: "l", At: w.now})
-		w.now = w.now.Add(time.Millisecond)
+		q.RecordCrash(q.now, model.Digest(fmt.Sprint(n)), "pool", kernel.Crash{Incarnation: "l", At: q.now})
+		q.now = q.now.Add(time.Millisecond)
 	}
-	must.EqOp(t, 4096, w.Suspects())
-	w.now = w.now.Add(time.Hour)
-	w.evaluate()
-	must.EqOp(t, 0, w.Suspects())
+	must.EqOp(t, 4096, q.Suspects())
+	q.now = q.now.Add(time.Hour)
+	q.evaluate()
+	must.EqOp(t, 0, q.Suspects())
 }
--- a/kernel/quarantinejudge.go
+++ b/kernel/quarantinejudge.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	// EvaluationDelay is how long after the newest report on a request its case is judged: the others that were under
-	// way at the same end are reported by then, so that what merely ran beside is told from the cause.
+	// EvaluationDelay is how long after the newest crash report of a pool its suspects are evaluated. By then the
+	// other requests that ran in the crashed process have been reported, too, so that the cause can be told from
+	// requests that only ran beside it.
 	EvaluationDelay = 300 * time.Millisecond
-	// maxEvaluationDelay is after which time a case is judged although reports on others of its pool still come.
+	// maxEvaluationDelay is the time after which a suspect is evaluated although reports on other suspects of its
+	// pool keep arriving.
 	maxEvaluationDelay = 3 * EvaluationDelay
 )
 
-// QuarantineChange is what all nodes are to be told.
+// QuarantineChange is a change of the set of held requests, sent to all nodes.
 type QuarantineChange struct {
 	Hold []HeldRequest
 	Lift []model.Digest
 }
 
-// Apply returns a list of held requests with the change made: the newest last, and no more than are remembered.
+// Apply returns a list of held requests with the change applied: newest last, and cut to the newest maxHeld entries.
 func (c QuarantineChange) Apply(held []HeldRequest) []HeldRequest {
 	out := slices.DeleteFunc(slices.Clone(held), func(h HeldRequest) bool {
-		return slices.Contains(c.Lift, h.Digest) || slices.ContainsFunc(c.Hold, func(by HeldRequest) bool { return by.Digest == h.Digest })
+		return slices.Contains(c.Lift, h.Digest) || slices.ContainsFunc(c.Hold, func(added HeldRequest) bool { return added.Digest == h.Digest })
 	})
 	out = append(out, c.Hold...)
 	return out[max(0, len(out)-maxHeld):]
 }
 
-// Equal tells whether two words on a request say the same.
+// Equal reports whether two notices are equal.
 func (h HeldRequest) Equal(other HeldRequest) bool {
 	return h.Digest == other.Digest && h.Pool == other.Pool && h.Firm == other.Firm && h.Since == other.Since && slices.Equal(h.Incarnations, other.Incarnations)
 }
 
-// Evaluate decides on the cases of the pools that are kept here. A request under which enough endpoints ended is held.
-// It is the cause where at one of its ends at least no other such request was under way, and that takes its ends off
-// those that have fewer than it takes: they merely ran beside. Where others were under way at all of its ends, a trial
-// tells whether it is a cause as well.
-func (q *Quarantine) Evaluate(now time.Time, keeps func(pool string) bool) QuarantineChange {
+// Evaluate decides on the suspects of the pools that this node coordinates. A request with at least CrashThreshold
+// crashes is held back. It is taken for the cause if it was the only such suspect at one of its crashes or more. Its
+// crashes are then removed from suspects that have fewer than CrashThreshold: these only ran beside it. If others
+// were running at all of its crashes, a trial shows whether it is a cause as well.
+func (q *Quarantine) Evaluate(now time.Time, coordinates func(pool string) bool) QuarantineChange {
 	q.expire(now)
 	var change QuarantineChange
-	for _, digest := range q.dueForEvaluation(now, keeps) {
-		c := q.suspects[digest]
-		c.evaluateBy = time.Time{}
-		h := q.newHeldRequest(now, digest, c)
+	for _, digest := range q.dueForEvaluation(now, coordinates) {
+		s := q.suspects[digest]
+		s.evaluateBy = time.Time{}
+		h := q.newHeldRequest(now, digest, s)
 		if before := q.held[digest]; before != nil && before.Firm == h.Firm && len(before.Incarnations) >= len(h.Incarnations) {
 			continue
 		}
@@ -58,7 +60,7 @@
 		}
 	}
 	for digest, h := range q.held {
-		if keeps(h.Pool) && q.shouldLift(now, digest, h) {
+		if coordinates(h.Pool) && q.shouldLift(now, digest, h) {
 			change.Lift = append(change.Lift, digest)
 		}
 	}
@@ -66,22 +68,22 @@
 	return change
 }
 
-// dueForEvaluation returns the requests whose cases are ready to be judged, in the order in which they are.
-func (q *Quarantine) dueForEvaluation(now time.Time, keeps func(pool string) bool) []model.Digest {
+// dueForEvaluation returns the suspects to evaluate now, those with the most crashes first.
+func (q *Quarantine) dueForEvaluation(now time.Time, coordinates func(pool string) bool) []model.Digest {
 	var out []model.Digest
 	newest := map[string]time.Time{}
-	for digest, c := range q.suspects {
-		if len(c.crashes) < CrashThreshold || !keeps(c.pool) {
+	for digest, s := range q.suspects {
+		if len(s.crashes) < CrashThreshold || !coordinates(s.pool) {
 			continue
 		}
 		out = append(out, digest)
-		if c.updatedAt.After(newest[c.pool]) {
-			newest[c.pool] = c.updatedAt
+		if s.updatedAt.After(newest[s.pool]) {
+			newest[s.pool] = s.updatedAt
 		}
 	}
 	out = slices.DeleteFunc(out, func(digest model.Digest) bool {
-		c := q.suspects[digest]
-		return now.Sub(newest[c.pool]) < EvaluationDelay && now.Before(c.evaluateBy)
+		s := q.suspects[digest]
+		return now.Sub(newest[s.pool]) < EvaluationDelay && now.Before(s.evaluateBy)
 	})
 	slices.SortFunc(out, func(a, b model.Digest) int {
 		return cmp.Or(cmp.Compare(len(q.suspects[b].crashes), len(q.suspects[a].crashes)), cmp.Compare(a, b))
@@ -89,10 +91,10 @@
 	return out
 }
 
-func (q *Quarantine) newHeldRequest(now time.Time, digest model.Digest, c *suspect) HeldRequest {
-	h := HeldRequest{Digest: digest, Pool: c.pool, Firm: !q.shared(digest, c)}
+func (q *Quarantine) newHeldRequest(now time.Time, digest model.Digest, s *suspect) HeldRequest {
+	h := HeldRequest{Digest: digest, Pool: s.pool, Firm: !q.shared(digest, s)}
 	first := now
-	for _, crash := range c.crashes {
+	for _, crash := range s.crashes {
 		if !slices.Contains(h.Incarnations, crash.Incarnation) {
 			h.Incarnations = append(h.Incarnations, crash.Incarnation)
 		}
@@ -104,9 +106,9 @@
 	return h
 }
 
-// shared tells whether at each end of a request another one was under way that may be its cause.
-func (q *Quarantine) shared(digest model.Digest, c *suspect) bool {
-	for _, crash := range c.crashes {
+// shared reports whether at each crash of a request another suspect was running that may be the cause.
+func (q *Quarantine) shared(digest model.Digest, s *suspect) bool {
+	for _, crash := range s.crashes {
 		if !q.hasOtherSuspect(digest, crash) {
 			return false
 		}
@@ -114,29 +116,29 @@
 	return true
 }
 
-// hasOtherSuspect tells whether at an end another request was under way that has as many ends as it takes.
+// hasOtherSuspect reports whether at a crash another request was running that has at least CrashThreshold crashes.
 func (q *Quarantine) hasOtherSuspect(digest model.Digest, crash Crash) bool {
-	for other, c := range q.suspects {
-		if other != digest && len(c.crashes) >= CrashThreshold && c.has(crash) {
+	for other, s := range q.suspects {
+		if other != digest && len(s.crashes) >= CrashThreshold && s.has(crash) {
 			return true
 		}
 	}
 	return false
 }
 
-// shouldLift tells whether nothing is left to hold a request back for: its ends were another's doing, or it has
-// not been seen for long.
+// shouldLift reports whether a hold has lost its reason: too few crashes are left that are not attributed to another
+// request, or the hold has not been renewed for twice HoldTime.
 func (q *Quarantine) shouldLift(now time.Time, digest model.Digest, h *heldRequest) bool {
 	if now.Sub(h.learnedAt) > 2*HoldTime {
 		return true
 	}
-	c := q.suspects[digest]
-	return !h.Firm && c != nil && len(c.crashes) < CrashThreshold
+	s := q.suspects[digest]
+	return !h.Firm && s != nil && len(s.crashes) < CrashThreshold
 }
 
 func (q *Quarantine) expire(now time.Time) {
-	for digest, c := range q.suspects {
-		if now.Sub(c.updatedAt) > crashRetention && q.held[digest] == nil {
+	for digest, s := range q.suspects {
+		if now.Sub(s.updatedAt) > crashRetention && q.held[digest] == nil {
 			delete(q.suspects, digest)
 		}
 	}
@@ -145,8 +147,8 @@
 			delete(q.trustedUntil, digest)
 		}
 	}
-	for incarnation, why := range q.attributed {
-		if now.After(why.until) {
+	for incarnation, cause := range q.attributed {
+		if now.After(cause.until) {
 			delete(q.attributed, incarnation)
 		}
 	}
--- a/kernel/quarantinelearn.go
+++ b/kernel/quarantinelearn.go
@@ -7,8 +7,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// ApplyHold takes in that a request is held back. False means that it was answered whole here after endpoints had ended
-// under it, so that it is not at fault: its coordinators are to be told.
+// ApplyHold records that a request is held back. It returns false if the request was answered completely here after
+// the first of its crashes, or is trusted: it is then not at fault, and its coordinators must be informed.
 func (q *Quarantine) ApplyHold(now time.Time, h HeldRequest) bool {
 	if q.answered.answeredAfter(now.Add(-h.Since), h.Digest) || now.Before(q.trustedUntil[h.Digest]) {
 		q.Trust(now, h.Digest)
@@ -31,18 +31,19 @@
 	return true
 }
 
-// mergeCrashes takes over the ends that another coordinator found: one that has just started goes on from there.
+// mergeCrashes adds the crashes that another coordinator recorded, so that a coordinator that has just started
+// continues from them.
 func (q *Quarantine) mergeCrashes(now time.Time, h HeldRequest) {
-	c := q.suspects[h.Digest]
-	if c == nil {
+	s := q.suspects[h.Digest]
+	if s == nil {
 		q.evictSuspect()
-		c = &suspect{pool: h.Pool, updatedAt: now}
-		q.suspects[h.Digest] = c
+		s = &suspect{pool: h.Pool, updatedAt: now}
+		q.suspects[h.Digest] = s
 	}
 	for _, incarnation := range h.Incarnations {
-		known := slices.ContainsFunc(c.crashes, func(crash Crash) bool { return crash.Incarnation == incarnation })
-		if !known && len(c.crashes) < maxCrashes {
-			c.crashes = append(c.crashes, Crash{Incarnation: incarnation, At: now.Add(-h.Since)})
+		known := slices.ContainsFunc(s.crashes, func(crash Crash) bool { return crash.Incarnation == incarnation })
+		if !known && len(s.crashes) < maxCrashes {
+			s.crashes = append(s.crashes, Crash{Incarnation: incarnation, At: now.Add(-h.Since)})
 		}
 	}
 }
@@ -57,14 +58,14 @@
 	return oldest
 }
 
-// attribute takes an end off the other requests that were under way there: its cause is known. Those that have as many
-// ends as it takes keep them: they may be a cause as well, which a trial tells.
+// attribute marks a process's crash as caused by a request and removes it from the other suspects. Suspects with at
+// least CrashThreshold crashes keep it: they may be a cause as well, which a trial shows.
 func (q *Quarantine) attribute(now time.Time, digest model.Digest, incarnation string) {
 	q.attributed[incarnation] = attribution{digest: digest, until: now.Add(attributionTTL)}
-	for other, c := range q.suspects {
-		if other == digest || len(c.crashes) >= CrashThreshold {
+	for other, s := range q.suspects {
+		if other == digest || len(s.crashes) >= CrashThreshold {
 			continue
 		}
-		c.crashes = slices.DeleteFunc(c.crashes, func(known Crash) bool { return known.Incarnation == incarnation })
+		s.crashes = slices.DeleteFunc(s.crashes, func(known Crash) bool { return known.Incarnation == incarnation })
 	}
 }
--- a/kernel/quarantinetrial.go
+++ b/kernel/quarantinetrial.go
@@ -6,12 +6,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-// StartTrial permits a request that may only run on trial to be sent once: one in each pool at a time, so that what
-// it shows is its own doing. Where it does not, it tells when the caller may come back.
+// StartTrial permits one run of a request that may run only on trial. Only one trial runs in each pool at a time, so
+// that a crash can be attributed to it. If the run is not permitted, StartTrial returns the time after which the
+// caller may retry.
 func (q *Quarantine) StartTrial(now time.Time, digest model.Digest) (permitted bool, retryAfter time.Duration) {
-	passage, _, retry := q.Check(now, digest)
-	if passage != TrialOnly {
-		return passage == NotHeld, retry
+	state, _, retry := q.Check(now, digest)
+	if state != TrialOnly {
+		return state == NotHeld, retry
 	}
 	h := q.held[digest]
 	if now.Sub(h.learnedAt) > HoldTime {
@@ -28,13 +29,14 @@
 	return true, 0
 }
 
-// CancelTrial takes back the trial of a request that was not sent after all.
+// CancelTrial undoes StartTrial for a request that was not sent after all: the trial does not count.
 func (q *Quarantine) CancelTrial(digest model.Digest) {
 	if h := q.held[digest]; h != nil && q.endTrial(digest) {
 		h.trials--
 	}
 }
 
+// endTrial removes the running trial of a request and reports whether there was one.
 func (q *Quarantine) endTrial(digest model.Digest) bool {
 	for pool, t := range q.trials {
 		if t.digest == digest {
