--- a/kernel/membership.go
+++ b/kernel/membership.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// HeartbeatTimeout is how long a neighbour may say nothing before it is accused.
+	// HeartbeatTimeout is how long a monitored member may be silent before it is suspected.
 	HeartbeatTimeout = 2500 * time.Millisecond
-	// suspicionQuorum is how many nodes must accuse a member before it counts as dead: one
-	// cut connection accuses both its ends, wrongly.
+	// suspicionQuorum is the number of nodes that must suspect a member before it is declared dead. One is not
+	// enough: both ends of a broken connection suspect each other, wrongly.
 	suspicionQuorum = 2
-	// suspicionTTL is how long an accusation counts.
+	// suspicionTTL is how long a suspicion counts.
 	suspicionTTL = 10 * time.Second
-	// maxHeartbeatUpdates bounds the news on one heartbeat.
+	// maxHeartbeatUpdates bounds the updates in one heartbeat.
 	maxHeartbeatUpdates = 16
-	// retransmitMultiplier times the logarithm of the fleet's size is for how many rounds a piece of
-	// news is sent.
+	// retransmitMultiplier times the logarithm of the fleet's size is the number of rounds in which an update is
+	// sent.
 	retransmitMultiplier = 2
-	// deadRetention is how long a dead member is remembered, so that the lagging list does not
-	// bring it back.
+	// deadRetention is how long a dead member is remembered, so that the platform's list, which lags, does not add
+	// it again.
 	deadRetention = 2 * time.Minute
 )
 
-// MemberState is what the fleet holds of a member.
+// MemberState is the state of a member as known to a node.
 type MemberState int
 
-// The states of a member, in order of precedence at one beat.
+// The states of a member, in order of precedence among updates with the same Beat.
 const (
 	MemberAlive MemberState = iota
 	MemberLeaving
@@ -35,56 +35,57 @@
 )
 
 type (
-	// GossipUpdate is something that nodes pass on to each other. Exactly one of the three kinds:
-	// a member's state, an accusation, or an endpoint that is leaving.
+	// GossipUpdate is information that nodes pass on to each other. It is exactly one of three kinds: the state of a
+	// member, a suspicion of a member, or the notice that an endpoint is leaving.
 	GossipUpdate struct {
 		Member Member
-		// Beat orders the news of one incarnation; only the member itself raises it.
+		// Beat orders the updates on one incarnation. Only the member itself raises it.
 		Beat          uint64
 		State         MemberState
 		FailureDomain string
-		// Accuser is set on an accusation: the node that hears nothing of the member.
+		// Accuser is set on a suspicion: the node that no longer hears from the member.
 		Accuser string
-		// Pool and Endpoint are set on the news that an endpoint is leaving.
+		// Pool and Endpoint are set on the notice that an endpoint is leaving.
 		Pool     string
 		Endpoint string
 	}
 
-	// MemberInfo is what is known of a member.
+	// MemberInfo is what a node knows of a member.
 	MemberInfo struct {
 		Member        Member
 		FailureDomain string
 		State         MemberState
 		Beat          uint64
-		// LastHeard is when the member itself last spoke to this node.
+		// LastHeard is when this node last received a heartbeat, or the reply to one, from the member itself.
 		LastHeard time.Time
 		// StateChangedAt is when State last changed.
 		StateChangedAt time.Time
 
+		// suspectedBy holds when each node reported that it suspects the member.
 		suspectedBy map[string]time.Time
 	}
 
-	// Membership is a node's view of the fleet, from the platform's list, from heartbeats to
-	// a few neighbours, and from news. It changes in place.
+	// Membership is a node's view of the fleet. Its sources are the platform's list, heartbeats exchanged with a few
+	// neighbours, and the updates that these carry. It changes in place.
 	Membership struct {
 		self    MemberInfo
 		members map[string]*MemberInfo
 		queue   []queuedUpdate
 		// stableSince is when the set of live members last changed.
 		stableSince time.Time
-		// deadIndex picks the dead member that is tried next.
+		// deadIndex selects the dead member that gets the next heartbeat.
 		deadIndex int
-		// monitoredSince holds the members that the node should hear of.
+		// monitoredSince holds since when each monitored member has been monitored.
 		monitoredSince map[string]time.Time
-		// sortedNames is the ring, nil after a change.
+		// sortedNames is the ring; nil after a change of the members.
 		sortedNames []string
-		// farIndex picks the far member that is heartbeaten next.
+		// farIndex selects the distant member that gets the next heartbeat.
 		farIndex int
 	}
 
 	queuedUpdate struct {
 		update GossipUpdate
-		// roundsLeft counts the rounds in which it is still sent.
+		// roundsLeft counts the rounds in which the update is still sent.
 		roundsLeft int
 	}
 )
@@ -110,7 +111,7 @@
 	m.enqueue(m.selfUpdate())
 }
 
-// Alive returns the live members, the node itself among them unless it leaves, in order.
+// Alive returns the live members in order. The node itself is among them unless it is leaving.
 func (m *Membership) Alive() []Member {
 	var out []Member
 	if m.self.State == MemberAlive {
@@ -129,7 +130,7 @@
 	return m.stableSince
 }
 
-// Members returns what is known of all members, the node itself first.
+// Members returns all known members, the node itself first.
 func (m *Membership) Members() []MemberInfo {
 	out := []MemberInfo{m.self}
 	for _, info := range m.members {
@@ -139,23 +140,23 @@
 	return out
 }
 
-// RecordHeartbeat notes that a member itself spoke.
-func (m *Membership) RecordHeartbeat(now time.Time, news GossipUpdate) {
-	m.Apply(now, news)
-	info := m.members[news.Member.Node]
-	if info == nil || info.Member.ID() != news.Member.ID() {
+// RecordHeartbeat applies an update that a member sent about itself, and records that the member is reachable.
+func (m *Membership) RecordHeartbeat(now time.Time, update GossipUpdate) {
+	m.Apply(now, update)
+	info := m.members[update.Member.Node]
+	if info == nil || info.Member.ID() != update.Member.ID() {
 		return
 	}
 	info.LastHeard = now
 	clear(info.suspectedBy)
 	if info.State == MemberDead {
-		// It does not know that it is held dead: the news makes it raise its beat.
+		// The member does not know that it was declared dead: this update makes it raise its beat.
 		m.enqueue(info.update())
 	}
 }
 
-// AddListed notes that the platform's list names a member. The list lags: it introduces members
-// that are not known, and says nothing of those that are.
+// AddListed adds a member that is on the platform's list. Members that are known already are left as they are,
+// because the list lags.
 func (m *Membership) AddListed(now time.Time, member Member, domain string) {
 	if _, known := m.members[member.Node]; known || member.Node == m.self.Member.Node {
 		return
@@ -163,36 +164,37 @@
 	m.Apply(now, GossipUpdate{Member: member, FailureDomain: domain, State: MemberAlive})
 }
 
-// Apply takes a piece of news in and passes it on if it is new. It reports whether it was.
-func (m *Membership) Apply(now time.Time, news GossipUpdate) bool {
-	if news.Member.Node == m.self.Member.Node {
-		m.refute(news)
+// Apply applies an update and, if it is new, queues it for sending. It reports whether it was new.
+func (m *Membership) Apply(now time.Time, update GossipUpdate) bool {
+	if update.Member.Node == m.self.Member.Node {
+		m.refute(update)
 		return false
 	}
-	if news.Accuser != "" {
-		return m.recordSuspicion(now, news)
+	if update.Accuser != "" {
+		return m.recordSuspicion(now, update)
 	}
-	info := m.members[news.Member.Node]
-	if info != nil && !supersedes(news, info) {
+	info := m.members[update.Member.Node]
+	if info != nil && !supersedes(update, info) {
 		return false
 	}
-	m.setMember(now, news)
-	m.enqueue(news)
+	m.setMember(now, update)
+	m.enqueue(update)
 	return true
 }
 
-// AnnounceLeaving queues the news that an endpoint is leaving.
+// AnnounceLeaving queues the notice that an endpoint is leaving.
 func (m *Membership) AnnounceLeaving(pool, endpoint string) {
 	m.enqueue(GossipUpdate{Pool: pool, Endpoint: endpoint})
 }
 
-// Tick begins a round of heartbeats: it accuses members that went silent, forgets those long
-// dead, and drops news that was sent for enough rounds.
+// Tick begins a round of heartbeats. It drops updates that were sent in enough rounds, suspects monitored members
+// that have been silent for HeartbeatTimeout, declares leaving members dead once they are silent for as long, and
+// removes members that have been dead for deadRetention.
 func (m *Membership) Tick(now time.Time) {
 	for i := range m.queue {
 		m.queue[i].roundsLeft--
 	}
-	m.queue = slices.DeleteFunc(m.queue, func(o queuedUpdate) bool { return o.roundsLeft <= 0 })
+	m.queue = slices.DeleteFunc(m.queue, func(queued queuedUpdate) bool { return queued.roundsLeft <= 0 })
 	for _, name := range m.updateMonitored(now) {
 		info := m.members[name]
 		if info == nil || now.Sub(info.LastHeard) < HeartbeatTimeout || now.Sub(m.monitoredSince[name]) < HeartbeatTimeout {
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -9,8 +9,8 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// gossipSim drives the memberships of a fleet with made-up time: each round, every node that is
-// up heartbeats its neighbours over links that are not cut.
+// gossipSim simulates the memberships of a fleet: in each round, every node that is up sends
+// heartbeats to its neighbours over links that are not cut.
 type gossipSim struct {
 	now   time.Time
 	nodes []*kernel.Membership
@@ -33,8 +33,8 @@
 	return g
 }
 
-// round lets all heartbeats of one period pass at the same moment, then all their answers: in
-// a round news gets two steps further at most.
+// round delivers all heartbeats of one period at the same moment, then all replies: an update
+// travels at most two hops in a round.
 func (g *gossipSim) round() {
 	g.now = g.now.Add(500 * time.Millisecond)
 	var pairs [][2]int
@@ -68,7 +68,7 @@
 	}
 }
 
-// countSeeing counts the nodes that are up and see just so many alive.
+// countSeeing counts the nodes that are up and see exactly that many members alive.
 func (g *gossipSim) countSeeing(alive int) int {
 	n := 0
 	for i, node := range g.nodes {
@@ -79,6 +79,7 @@
 	return n
 }
 
+// runUntil runs rounds until all nodes that are up see that many members alive, and returns the time it took.
 func (g *gossipSim) runUntil(t *testing.T, alive int) time.Duration {
 	t.Helper()
 	began := g.now
@@ -92,22 +93,22 @@
 	return 0
 }
 
-func TestADeadMemberIsKnownEverywhereWithinSeconds(t *testing.T) {
+func TestMembershipDeadMemberIsKnownEverywhereWithinSeconds(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 100, 400} {
 		g := newGossipSim(n)
 		for range 60 {
 			g.round()
 		}
 		g.down[n/2] = true
-		took := g.runUntil(t, n-1)
-		t.Logf("%d nodes: %s", n, took)
-		must.LessEq(t, 8*time.Second, took)
+		elapsed := g.runUntil(t, n-1)
+		t.Logf("%d nodes: %s", n, elapsed)
+		must.LessEq(t, 8*time.Second, elapsed)
 		delete(g.down, n/2)
 		must.LessEq(t, 8*time.Second, g.runUntil(t, n))
 	}
 }
 
-func TestACutLinkKillsNobody(t *testing.T) {
+func TestMembershipBrokenLinkDeclaresNobodyDead(t *testing.T) {
 	g := newGossipSim(9)
 	g.cut = func(a, b int) bool { return a+b == 1 }
 	for range 60 {
@@ -116,7 +117,7 @@
 	}
 }
 
-func TestARegionThatIsCutOffComesBack(t *testing.T) {
+func TestMembershipPartitionHeals(t *testing.T) {
 	g := newGossipSim(9)
 	g.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
 	for range 40 {
@@ -125,10 +126,10 @@
 	must.EqOp(t, 3, g.countSeeing(3))
 	must.EqOp(t, 6, g.countSeeing(6))
 	g.cut = func(int, int) bool { return false }
-	t.Logf("together again after %s", g.runUntil(t, 9))
+	t.Logf("all members alive again after %s", g.runUntil(t, 9))
 }
 
-func TestALeavingMemberIsNotAliveAndSoonForgotten(t *testing.T) {
+func TestMembershipLeavingMemberIsNotAlive(t *testing.T) {
 	g := newGossipSim(9)
 	g.round()
 	g.nodes[4].Leave(g.now)
@@ -137,7 +138,7 @@
 	g.runUntil(t, 8)
 }
 
-func TestARestartedProcessReplacesTheOldOne(t *testing.T) {
+func TestMembershipRestartReplacesIncarnation(t *testing.T) {
 	m := kernel.NewMembership(ledgerStart, members(1)[0], "d")
 	old := kernel.Member{Node: "x", Incarnation: "1"}
 	fresh := kernel.Member{Node: "x", Incarnation: "2"}
--- a/kernel/membershipring.go
+++ b/kernel/membershipring.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Neighbours returns the members that the node heartbeats: those one, two and four places
-// further on the ring of names. Their answers and the heartbeats of those before it make six
-// members watched. In a large fleet one member further off, in turn, makes news spread in a
-// number of rounds that grows with the logarithm of the fleet. One dead member in turn is tried too: two sides of a cut that hold each
-// other dead would else never speak again.
+// Neighbours returns the members to send heartbeats to: those one, two and four places further on the ring of names.
+// With the members whose heartbeats it receives, a node monitors six members. A large fleet adds a more distant
+// member, a different one in each round, so that updates spread in a number of rounds that grows with the logarithm
+// of the fleet's size. One dead member is added too, in turn: otherwise two sides of a network partition that
+// declared each other dead would never reconnect.
 func (m *Membership) Neighbours() []MemberInfo {
 	ring := m.ring()
 	at := slices.Index(ring, m.self.Member.Node)
@@ -28,6 +28,7 @@
 	return out
 }
 
+// farStep returns the distance on the ring of this round's distant member; none in a small fleet.
 func (m *Membership) farStep(ringSize int) []int {
 	const shortest = 8
 	if ringSize <= shortest {
@@ -53,22 +54,23 @@
 	return dead[m.deadIndex%len(dead)], true
 }
 
-// updateMonitored returns whom the node should hear of, and notes since when: a member that was not a
-// neighbour before had no reason to speak.
+// updateMonitored returns the members to monitor and records since when each of them has been monitored: a member
+// that was not a neighbour before had no reason to send heartbeats.
 func (m *Membership) updateMonitored(now time.Time) []string {
 	names := m.monitored()
 	since := make(map[string]time.Time, len(names))
 	for _, name := range names {
 		since[name] = now
-		if before, was := m.monitoredSince[name]; was {
-			since[name] = before
+		if previous, known := m.monitoredSince[name]; known {
+			since[name] = previous
 		}
 	}
 	m.monitoredSince = since
 	return names
 }
 
-// monitored returns whom the node should hear of: its neighbours and those it is one to.
+// monitored returns the members that the node should hear from: its neighbours, and the members whose neighbour it
+// is.
 func (m *Membership) monitored() []string {
 	ring := m.ring()
 	at := slices.Index(ring, m.self.Member.Node)
