--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestFairQueueSharesByWeightWhateverABurstBrings(t *testing.T) {
+func TestFairQueueSharesByWeightDuringBurst(t *testing.T) {
 	q := kernel.NewFairQueue()
 	push := func(customer string, weight, n int) {
 		for range n {
@@ -35,7 +35,7 @@
 	must.Nil(t, q.Pop())
 }
 
-func TestAheadCountsOnlyWhatWouldBeServedBefore(t *testing.T) {
+func TestCostAheadCountsOnlyWhatIsServedBefore(t *testing.T) {
 	q := kernel.NewFairQueue()
 	push := func(customer string, weight, n, seconds int) {
 		for range n {
@@ -44,13 +44,13 @@
 	}
 	push("burst", 1, 500, 5)
 	push("other", 2, 1, 5)
-	at := func(customer string, weight, seconds int) float64 {
+	costAhead := func(customer string, weight, seconds int) float64 {
 		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
 	}
-	must.EqOp(t, 501, at("burst", 1, 9), must.Sprint("behind all of its own, and what the other has"))
-	must.EqOp(t, 1, at("burst", 1, 3), must.Sprint("its earliest deadline: before its own"))
-	must.EqOp(t, 2, at("silent", 1, 9), must.Sprint("a silent customer waits for one round"))
-	must.EqOp(t, 0.5, at("silent", 4, 9)-0.25, must.Sprint("a heavier one for less"))
+	must.EqOp(t, 501, costAhead("burst", 1, 9), must.Sprint("after all of its own and those of the other customer"))
+	must.EqOp(t, 1, costAhead("burst", 1, 3), must.Sprint("the earliest deadline: before all of its own"))
+	must.EqOp(t, 2, costAhead("silent", 1, 9), must.Sprint("a customer without waiters waits for one round"))
+	must.EqOp(t, 0.5, costAhead("silent", 4, 9)-0.25, must.Sprint("a larger weight waits for less"))
 }
 
 func TestFairQueueServesOneCustomerByEarliestDeadline(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestFairQueueDoesNotPayACustomerForComingOneByOne(t *testing.T) {
-	// "one" always has a single waiter; it must not get more than its half.
+func TestFairQueueGivesSingleWaiterNoMoreThanItsShare(t *testing.T) {
+	// "one" always has a single waiter and must not get more than half.
 	q := kernel.NewFairQueue()
 	for range 300 {
 		q.Push(&kernel.Waiter{Customer: "many", Cost: 1, Deadline: ledgerStart})
@@ -80,8 +80,8 @@
 	must.Between(t, 99, one, 101)
 }
 
-// TestFairQueueLosesNobody: whatever is pushed, removed and popped, each waiter leaves once.
-func TestFairQueueLosesNobody(t *testing.T) {
+// TestFairQueueLosesNoWaiter: whatever is pushed, removed and popped, each waiter leaves once.
+func TestFairQueueLosesNoWaiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := kernel.NewFairQueue()
 		inside := map[*kernel.Waiter]bool{}
@@ -124,53 +124,53 @@
 	})
 }
 
-func TestCanFinishRefusesAtTheDoorWithATimeToComeBack(t *testing.T) {
+func TestCanFinishRefusesWithRetryDelay(t *testing.T) {
 	stage := func(median time.Duration, queued, places float64) kernel.StageEstimate {
 		return kernel.StageEstimate{Median: median, QueuedCost: queued, Places: places}
 	}
 	cases := []struct {
-		name   string
-		left   time.Duration
-		stages []kernel.StageEstimate
-		ok     bool
-		again  time.Duration
+		name       string
+		left       time.Duration
+		stages     []kernel.StageEstimate
+		ok         bool
+		retryAfter time.Duration
 	}{
 		{"fits", time.Second, []kernel.StageEstimate{stage(300*time.Millisecond, 0, 4)}, true, 0},
-		{"too near", 100 * time.Millisecond, []kernel.StageEstimate{stage(300*time.Millisecond, 0, 4)}, false, 50 * time.Millisecond},
-		{"queues too long", time.Second, []kernel.StageEstimate{stage(300*time.Millisecond, 8, 4)}, false, 1300 * time.Millisecond},
-		{"an unknown pool is taken for quick", 50 * time.Millisecond, []kernel.StageEstimate{{}}, true, 0},
+		{"deadline too near", 100 * time.Millisecond, []kernel.StageEstimate{stage(300*time.Millisecond, 0, 4)}, false, 50 * time.Millisecond},
+		{"queue too long", time.Second, []kernel.StageEstimate{stage(300*time.Millisecond, 8, 4)}, false, 1300 * time.Millisecond},
+		{"a pool without estimates counts as fast", 50 * time.Millisecond, []kernel.StageEstimate{{}}, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ok, again := kernel.CanFinish(ledgerStart, ledgerStart.Add(c.left), c.stages)
+			ok, retryAfter := kernel.CanFinish(ledgerStart, ledgerStart.Add(c.left), c.stages)
 			must.EqOp(t, c.ok, ok)
-			must.EqOp(t, c.again, again)
+			must.EqOp(t, c.retryAfter, retryAfter)
 		})
 	}
 }
 
-func TestLimitGrowsWhileUsedAndIsCutOnceForEachCongestion(t *testing.T) {
+func TestConcurrencyLimitIncreasesInUseAndDecreasesOncePerCongestion(t *testing.T) {
 	const median = 50 * time.Millisecond
 	l := kernel.NewConcurrencyLimit(10, 1, 100)
-	free := kernel.PoolLoad{Slots: 48}
-	full := kernel.PoolLoad{Queued: 49, Slots: 48}
-	grown := l
+	idle := kernel.PoolLoad{Slots: 48}
+	congested := kernel.PoolLoad{Queued: 49, Slots: 48}
+	increased := l
 	for range 100 {
-		grown = grown.WithReply(ledgerStart, median, median, free, int(grown.Value))
+		increased = increased.WithReply(ledgerStart, median, median, idle, int(increased.Value))
 	}
-	must.InDelta(t, 20, grown.Value, 0.01)
-	must.EqOp(t, 10, l.WithReply(ledgerStart, median, median, free, 1).Value, must.Sprint("an unused limit says nothing"))
-	cut := l.WithReply(ledgerStart, median, median, full, 9)
-	must.EqOp(t, 8.5, cut.Value)
-	must.EqOp(t, 8.5, cut.WithReply(ledgerStart.Add(time.Millisecond), median, median, full, 9).Value)
+	must.InDelta(t, 20, increased.Value, 0.01)
+	must.EqOp(t, 10, l.WithReply(ledgerStart, median, median, idle, 1).Value, must.Sprint("a limit that is not in use does not grow"))
+	decreased := l.WithReply(ledgerStart, median, median, congested, 9)
+	must.EqOp(t, 8.5, decreased.Value)
+	must.EqOp(t, 8.5, decreased.WithReply(ledgerStart.Add(time.Millisecond), median, median, congested, 9).Value)
 	for i := range 200 {
-		cut = cut.WithDecrease(ledgerStart.Add(time.Duration(i)*time.Second), median)
+		decreased = decreased.WithDecrease(ledgerStart.Add(time.Duration(i)*time.Second), median)
 	}
-	must.EqOp(t, 1, cut.Value)
+	must.EqOp(t, 1, decreased.Value)
 	must.EqOp(t, 60, kernel.NewConcurrencyLimit(100, 1, 200).WithSlots(48).Value)
 }
 
-func TestRetriesAreAShareOfSuccesses(t *testing.T) {
+func TestRetryBudgetIsShareOfSuccesses(t *testing.T) {
 	b := kernel.NewRetryBudget()
 	retries := 0
 	for range 1000 {
@@ -179,7 +179,7 @@
 			retries++
 		}
 	}
-	must.EqOp(t, 20, retries, must.Sprint("a pool that answers nothing is not retried for long"))
+	must.EqOp(t, 20, retries, must.Sprint("retries without successes end with the initial budget"))
 	for range 1000 {
 		b = b.WithSuccess()
 		var ok bool
@@ -190,23 +190,23 @@
 	must.Between(t, 119, retries, 121)
 }
 
-func TestRateShareHoldsTheFleetsRateAndForgetsTheIdle(t *testing.T) {
+func TestRateShareKeepsFleetRateAndBecomesIdle(t *testing.T) {
 	var share kernel.RateShare
-	taken := 0
+	permitted := 0
 	now := ledgerStart
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		var ok bool
 		if share, ok, _ = share.WithRequest(now, 90, 9); ok {
-			taken++
+			permitted++
 		}
 	}
-	must.Between(t, 100, taken, 111)
+	must.Between(t, 100, permitted, 111)
 	must.False(t, share.Idle(now))
 	must.True(t, share.Idle(now.Add(2*time.Second)))
 }
 
-func TestQuantilesFollowWhatIsRecent(t *testing.T) {
+func TestQuantilesFollowRecentValues(t *testing.T) {
 	var q kernel.Quantiles
 	must.EqOp(t, time.Second, q.Quantile(0.5, time.Second))
 	for range 1000 {
--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// notReadyRetryAfter is when a caller may come back to a node that knows too little: the time in
-	// which a node reads the store again.
+	// notReadyRetryAfter is the retry delay from a node whose routing is missing or too old: the time within which a
+	// node reads the store again.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// ranksPerCustomerPriority is how many ranks one step of a customer's priority is worth: more than there
-	// are priorities of routes.
+	// ranksPerCustomerPriority is how many ranks one step of a customer's priority is worth: more than there are
+	// priorities of routes.
 	ranksPerCustomerPriority = 10
 )
 
-// Admission is what a request is admitted under.
+// Admission is the result of admitting a request.
 type Admission struct {
 	Route model.Route
-	// Pool is where the request itself runs.
+	// Pool runs the request itself.
 	Pool     string
 	Customer string
-	// Authenticated is true where the request was admitted for its API key.
+	// Authenticated is true if the request was admitted by its API key.
 	Authenticated bool
-	// Homes are the regions that the request may be served in.
-	Homes   Homes
+	// Homes are the regions in which the request may be served.
+	Homes Homes
+	// Version is that of the routing table.
 	Version uint64
-	// Rank orders requests by priority, the customer's first, then the route's; 0 comes first.
+	// Rank orders requests by priority, the customer's first, then the route's; 0 is served first.
 	Rank int
-	// Deadline is when the request must be answered: its route's timeout or the caller's deadline.
+	// Deadline is when the request must be answered: the earlier of its route's timeout and the caller's deadline.
 	Deadline time.Time
 }
 
-// Admit decides whether a request is for this system: its route, its customer, and whether the
-// view is young enough to tell. The limit is the greatest age of a view that keys are trusted by.
-func Admit(now time.Time, view RoutingView, limit time.Duration, f model.Forward) (Admission, *model.Refusal) {
+// Admit decides whether to accept a request, by its route, its customer's API key and its deadline. API keys are
+// trusted if the routing view is not older than maxAge.
+func Admit(now time.Time, view RoutingView, maxAge time.Duration, f model.Forward) (Admission, *model.Refusal) {
 	if view.Table == nil {
 		return Admission{}, model.NewRefusal(model.NotRun, model.NotReady, notReadyRetryAfter, "no routing is known yet")
 	}
@@ -58,7 +59,7 @@
 		if !known {
 			return Admission{}, model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key is not known")
 		}
-		if !view.Proven(now, limit) {
+		if !view.Proven(now, maxAge) {
 			return Admission{}, model.NewRefusal(model.NotRun, model.StaleRouting, notReadyRetryAfter, "the API keys known here are too old to trust")
 		}
 		a.Customer = holder.Name
@@ -74,9 +75,9 @@
 	return a, nil
 }
 
-// StillAdmitted decides again, right before a request is first sent: the process may have been
-// suspended or the key taken away since it was admitted.
-func StillAdmitted(now time.Time, view RoutingView, limit time.Duration, f model.Forward, a Admission) *model.Refusal {
+// StillAdmitted decides again, right before a request is first sent: since it was admitted, the process may have
+// been suspended or the API key revoked.
+func StillAdmitted(now time.Time, view RoutingView, maxAge time.Duration, f model.Forward, a Admission) *model.Refusal {
 	if !now.Before(a.Deadline) {
 		return model.NewRefusal(model.NotRun, model.DeadlinePassed, 0, "the deadline has passed")
 	}
@@ -87,7 +88,7 @@
 	if !known || holder.Name != a.Customer {
 		return model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key was taken away meanwhile")
 	}
-	if !view.Proven(now, limit) {
+	if !view.Proven(now, maxAge) {
 		return model.NewRefusal(model.NotRun, model.StaleRouting, notReadyRetryAfter, "the API keys known here are too old to trust")
 	}
 	return nil
--- a/kernel/committer.go
+++ b/kernel/committer.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// committerCount is how many members insert durable keys, so that the group commits of a
-// large fleet stay within the table's writes a second.
+// committerCount is how many members insert durable keys. It keeps the group commits of a large fleet within the
+// writes per second that the table takes.
 const committerCount = 4
 
-// CommitterOf returns the member that inserts a durable key. It only spreads the work: any
-// member may insert any key, since the table arbitrates.
+// CommitterOf returns the member that inserts a durable key, false if no member is alive. It only spreads the load:
+// any member may insert any key, since the table decides between concurrent inserts.
 func CommitterOf(key Key, alive []Member) (Member, bool) {
 	if len(alive) == 0 {
 		return Member{}, false
--- a/kernel/fairqueue.go
+++ b/kernel/fairqueue.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// idleTagSlack is how many tags of idle customers are kept before the old ones are dropped.
+// idleTagSlack is how many tags of idle customers are kept, beyond two for each customer that waits, before the old
+// ones are dropped.
 const idleTagSlack = 16
 
 type (
-	// Waiter is a stage call that waits for a place at a pool.
+	// Waiter is a stage call that waits for capacity in a pool.
 	Waiter struct {
 		Customer string
-		// Weight is the customer's share; at least 1.
+		// Weight is the customer's weight; below 1 it counts as 1.
 		Weight int
 		// Cost is the expected work in seconds of an endpoint.
 		Cost float64
 		// Deadline orders the waiters of one customer.
 		Deadline time.Time
-		// LatestStart is when starting becomes useless.
+		// LatestStart is the time after which a start is useless.
 		LatestStart time.Time
 		// Ready is called once, when the waiter is taken from the queue.
 		Ready func()
@@ -27,15 +28,14 @@
 		queue *customerQueue
 	}
 
-	// FairQueue shares a pool between customers by start-time fair queueing, weighted and
-	// work-conserving, and serves the waiters of one customer by earliest deadline. A
-	// customer without waiters costs nothing: its queue is dropped.
+	// FairQueue shares a pool between customers by start-time fair queueing, weighted and work-conserving, and
+	// serves the waiters of one customer by earliest deadline. The queue of a customer without waiters is dropped.
 	FairQueue struct {
 		customers map[string]*customerQueue
-		// idleTags keeps the tags of customers that ran out of waiters while ahead of the
-		// virtual time; an older tag says nothing and is dropped.
+		// idleTags keeps the start tags of customers that ran out of waiters while ahead of the virtual time. A tag
+		// that is not ahead has no effect and is dropped.
 		idleTags map[string]float64
-		// virtualTime is the start tag of the customer last served; it never falls.
+		// virtualTime is the start tag of the customer last served; it never decreases.
 		virtualTime float64
 		length      int
 		cost        float64
@@ -44,7 +44,7 @@
 	customerQueue struct {
 		name    string
 		waiters waiterHeap
-		// startTag is the virtual time at which the customer's next waiter may startTag.
+		// startTag is the virtual time at which the customer's next waiter may start.
 		startTag float64
 		// cost is the expected work of its waiters.
 		cost float64
@@ -60,12 +60,12 @@
 	return &FairQueue{customers: map[string]*customerQueue{}, idleTags: map[string]float64{}}
 }
 
-// Len returns how many wait.
+// Len returns the number of waiters.
 func (q *FairQueue) Len() int {
 	return q.length
 }
 
-// Cost returns the expected work of all that wait.
+// Cost returns the expected work of all waiters.
 func (q *FairQueue) Cost() float64 {
 	return q.cost
 }
@@ -86,9 +86,8 @@
 	q.cost += w.Cost
 }
 
-// CostAhead returns the expected work that would be done before a waiter that came now: its own
-// customer's with earlier deadlines, and of each other customer's as much as its share allows
-// in the same time.
+// CostAhead returns the expected work that would be done before a waiter that came now: the waiters of its own
+// customer whose deadlines are not later, and of each other customer as much as its weight allows in the same time.
 func (q *FairQueue) CostAhead(w Waiter) float64 {
 	own := 0.0
 	if c := q.customers[w.Customer]; c != nil {
@@ -107,11 +106,12 @@
 	return ahead
 }
 
+// effectiveWeight returns the weight, at least 1.
 func (w Waiter) effectiveWeight() float64 {
 	return float64(max(1, w.Weight))
 }
 
-// Remove takes a waiter out that gave up; it reports whether the waiter still waited.
+// Remove removes a waiter that gave up. It reports whether the waiter was still in the queue.
 func (q *FairQueue) Remove(w *Waiter) bool {
 	c := w.queue
 	if c == nil {
@@ -122,8 +122,8 @@
 	return true
 }
 
-// Pop takes the next waiter out: the customer that is furthest behind, then the earliest
-// deadline. Nil means that nobody waits.
+// Pop removes and returns the next waiter: that with the earliest deadline of the customer with the lowest start
+// tag. It returns nil if the queue is empty.
 func (q *FairQueue) Pop() *Waiter {
 	var next *customerQueue
 	for _, c := range q.customers {
@@ -141,7 +141,7 @@
 	return w
 }
 
-// accountRemoval keeps the sums right and drops what idle customers would cost.
+// accountRemoval updates the sums after a waiter was removed and drops the state of idle customers.
 func (q *FairQueue) accountRemoval(c *customerQueue, w *Waiter) {
 	w.queue = nil
 	q.length--
--- a/kernel/health.go
+++ b/kernel/health.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// ejectionThreshold is how many failures in a row put an endpoint aside.
+	// ejectionThreshold is the number of consecutive failures after which an endpoint is ejected.
 	ejectionThreshold = 3
 	minEjection       = time.Second
 	maxEjection       = 30 * time.Second
-	// minUsableShare is the share of a pool that is used however bad its health looks: when
-	// most of a pool fails, the fault is likely ours or the network's.
+	// minUsableShare is the share of a pool that stays in use however unhealthy its endpoints look: when most of a
+	// pool fails, the fault is probably on this node or in the network.
 	minUsableShare = 0.5
 )
 
-// Health is what a node's own calls tell of an endpoint.
+// Health is the health of an endpoint as seen by one node's own calls.
 type Health struct {
-	// Failures counts failures in a row.
+	// Failures counts consecutive failures.
 	Failures int
 	// EjectedUntil is zero while the endpoint is in use.
 	EjectedUntil time.Time
-	// Ejections counts ejections in a row; each lasts twice as long as the one before.
+	// Ejections counts consecutive ejections. Each lasts twice as long as the one before, up to maxEjection.
 	Ejections int
-	// Probing is true while one call tries an endpoint whose ejection ended.
+	// Probing is true while one call probes an endpoint whose ejection has ended.
 	Probing bool
 }
 
@@ -31,20 +31,20 @@
 		return h
 	}
 	h.Probing = false
-	d := minEjection << min(h.Ejections, 10)
-	h.EjectedUntil = now.Add(min(d, maxEjection))
+	ejection := minEjection << min(h.Ejections, 10)
+	h.EjectedUntil = now.Add(min(ejection, maxEjection))
 	h.Ejections++
 	return h
 }
 
-// WithUnreachable returns the health after a connection could not be opened: whatever the reason,
-// the next call would only wait as long for its failure, so the endpoint is put aside at once.
+// WithUnreachable returns the health after a connection could not be opened. The endpoint is ejected at once:
+// whatever the cause, the next call would only wait as long for its failure.
 func (h Health) WithUnreachable(now time.Time) Health {
 	h.Failures = max(h.Failures, ejectionThreshold-1)
 	return h.WithFailure(now)
 }
 
-// WithSuccess returns the health after a good call.
+// WithSuccess returns the health after a successful call.
 func (h Health) WithSuccess() Health {
 	return Health{}
 }
@@ -55,8 +55,8 @@
 	return h
 }
 
-// Usable tells whether the endpoint may get a call: it is in use, or its ejection ended and
-// no other call tries it.
+// Usable reports whether the endpoint may get a call: it is not ejected, or its ejection has ended and no other call
+// probes it.
 func (h Health) Usable(now time.Time) bool {
 	if h.EjectedUntil.IsZero() {
 		return true
@@ -64,7 +64,7 @@
 	return !now.Before(h.EjectedUntil) && !h.Probing
 }
 
-// Ejected tells whether the endpoint was put aside and has not answered well since.
+// Ejected reports whether the endpoint was ejected and no call to it has succeeded since.
 func (h Health) Ejected() bool {
 	return !h.EjectedUntil.IsZero()
 }
--- a/kernel/leaving_test.go
+++ b/kernel/leaving_test.go
@@ -10,15 +10,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-func TestTakeWhileLeaving(t *testing.T) {
+func TestAdmitWhileLeaving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	stream := model.Route{Kind: model.Stream, Timeout: 20 * time.Second}
 	unary := model.Route{Kind: model.Unsafe, Timeout: 1500 * time.Millisecond}
 	for _, tc := range []struct {
-		name  string
-		route model.Route
-		left  time.Duration
-		taken bool
+		name     string
+		route    model.Route
+		left     time.Duration
+		accepted bool
 	}{
 		{"a stream at the start", stream, 7 * time.Second, true},
 		{"a stream that might be cut", stream, 4 * time.Second, false},
@@ -27,7 +27,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			refusal := kernel.AdmitWhileLeaving(now, now.Add(tc.left), tc.route)
-			must.Eq(t, tc.taken, refusal == nil)
+			must.Eq(t, tc.accepted, refusal == nil)
 			if refusal != nil {
 				must.Eq(t, model.NotRun, refusal.Verdict)
 				must.Positive(t, refusal.RetryAfter)
--- a/kernel/limit.go
+++ b/kernel/limit.go
@@ -5,51 +5,52 @@
 )
 
 const (
+	// limitDecreaseFactor multiplies a limit on congestion.
 	limitDecreaseFactor = 0.85
-	// limitIncrease is how much a limit grows with each reply while it is in use: a tenth in
-	// each round of calls.
+	// limitIncrease is added to a limit with each reply while the limit is in use: a tenth of the limit in each
+	// round of calls.
 	limitIncrease = 0.1
-	// minDecreaseInterval is the least time between two cuts.
+	// minDecreaseInterval is the least time between two decreases.
 	minDecreaseInterval = 100 * time.Millisecond
-	// congestedQueueShare is how much queue at the endpoints, as a share of their slots, is
-	// taken for congestion. Some queue keeps them busy although the nodes' views lag and
-	// their choices clash; docs/design/limits.md has the measurement.
+	// congestedQueueShare is the queue at the endpoints, as a share of their slots, above which a pool counts as
+	// congested. Some queue keeps the endpoints busy although the nodes' views lag and several nodes may choose the
+	// same endpoint; docs/design/limits.md has the measurement.
 	congestedQueueShare = 1.0
-	// limitSlotsFactor bounds a limit by the pool's slots: a node may use the whole pool while
-	// the others idle.
+	// limitSlotsFactor bounds a limit by the pool's slots: one node may use the whole pool while the others are
+	// idle.
 	limitSlotsFactor = 1.25
-	// congestedLatencyFactor is how far above the median the latency may rise before it is taken
-	// for congestion, where endpoints do not report their load.
+	// congestedLatencyFactor is how many times the median the latency must exceed for a pool to count as congested,
+	// where endpoints do not report their load.
 	congestedLatencyFactor = 4
 )
 
 type (
-	// ConcurrencyLimit is one node's limit on calls in flight to a pool. It grows while it is used
-	// without congestion and is cut by a share on congestion, at most once in the time in
-	// which a cut can show its effect.
+	// ConcurrencyLimit is one node's limit on calls in flight to a pool, with additive increase and multiplicative
+	// decrease (AIMD). It grows while it is used without congestion and is decreased on congestion, at most once in
+	// the time that a decrease takes to show its effect.
 	ConcurrencyLimit struct {
 		// Value is between Min and Max.
 		Value float64
 		Min   float64
 		Max   float64
-		// LastDecrease is when Value was last cut.
+		// LastDecrease is when Value was last decreased.
 		LastDecrease time.Time
 	}
 
-	// PoolLoad sums up what the endpoints of a pool last reported.
+	// PoolLoad is the sum of the loads that the endpoints of a pool last reported.
 	PoolLoad struct {
 		Queued int
-		// Slots is zero where no endpoint reports.
+		// Slots is zero if no endpoint reports its load.
 		Slots int
 	}
 )
 
-// NewConcurrencyLimit returns a limit that starts at a value.
-func NewConcurrencyLimit(start, least, most float64) ConcurrencyLimit {
-	return ConcurrencyLimit{Value: start, Min: least, Max: most}
+// NewConcurrencyLimit returns a limit with its initial value and its bounds.
+func NewConcurrencyLimit(initial, lowest, highest float64) ConcurrencyLimit {
+	return ConcurrencyLimit{Value: initial, Min: lowest, Max: highest}
 }
 
-// SumPoolLoad sums up the fresh reports of a pool's endpoints.
+// SumPoolLoad sums up the recent reports of the endpoints that take work.
 func SumPoolLoad(now time.Time, reports []Candidate) PoolLoad {
 	var sum PoolLoad
 	for _, c := range reports {
@@ -62,7 +63,7 @@
 	return sum
 }
 
-// WithReply returns the limit after a reply. The median is the pool's service time.
+// WithReply returns the limit after a reply that took latency. The median is the pool's service time.
 func (l ConcurrencyLimit) WithReply(now time.Time, latency, median time.Duration, load PoolLoad, inFlight int) ConcurrencyLimit {
 	if load.congested(latency, median) {
 		return l.WithDecrease(now, median)
@@ -84,7 +85,7 @@
 	return l
 }
 
-// WithSlots returns the limit bounded by the pool's slots, as far as they are known.
+// WithSlots returns the limit bounded by the pool's slots, zero if they are not known.
 func (l ConcurrencyLimit) WithSlots(slots int) ConcurrencyLimit {
 	if slots == 0 {
 		return l
@@ -94,7 +95,7 @@
 	return l
 }
 
-// Allows tells whether one more call may start.
+// Allows reports whether one more call may start.
 func (l ConcurrencyLimit) Allows(inFlight int) bool {
 	return float64(inFlight) < l.Value
 }
--- a/kernel/placement.go
+++ b/kernel/placement.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// maxExtraPrefillTokens is how many tokens more than the least loaded engine of its choice an engine
-	// may have to read before a prompt moves on to its next one: reading them takes about as long
-	// as reading a long shared prefix again.
+	// maxExtraPrefillTokens is how many tokens more than the least loaded engine an engine may have to prefill
+	// before a prompt goes to its next engine by hash: prefilling them takes about as long as prefilling a long
+	// shared prefix again.
 	maxExtraPrefillTokens = 6000
-	// decodeLoadTokens is what a request that generates counts for beside the tokens to be read: its
-	// share of the step time of the others, in tokens.
+	// decodeLoadTokens is the load of a request that generates, beside its prompt tokens: the time that it adds to
+	// the decode steps of the other requests, in tokens of prefill.
 	decodeLoadTokens = 150
-	// smallTransferBytes is how many bytes are moved between failure domains without waiting for an endpoint
-	// where they lie: less than a millisecond of a usual link.
+	// smallTransferBytes is how many bytes are moved between failure domains without waiting for an endpoint where
+	// they are: less than a millisecond on a usual link.
 	smallTransferBytes = 100_000
-	// localityWaitShare is the part of a group's slack that it may wait for a worker near its inputs: with three stages
-	// on the way half of it is left for queues.
+	// localityWaitShare is the share of a group's slack that it may wait for a worker near its inputs: with three
+	// stages, half of the slack is left for queues.
 	localityWaitShare = 1.0 / 6
-	// maxSlotShare is the share of an engine's slots that may be taken before others are preferred.
+	// maxSlotShare is the share of an engine's slots in use from which other engines are preferred.
 	maxSlotShare = 0.9
 )
 
 // EngineCandidate is an engine that may get a prompt.
 type EngineCandidate struct {
 	Candidate
-	// PendingPrefillTokens is how many prompt tokens this node's requests there have still to be read.
+	// PendingPrefillTokens is how many prompt tokens of this node's requests the engine has still to prefill.
 	PendingPrefillTokens int
 }
 
-// AffinityKey returns the part of a prompt that decides where it goes: the last one that other
-// requests share. The parts before it are then cached with it.
+// AffinityKey returns the ID of the part of a prompt that decides its engine: the last part that other requests
+// share. The parts before it are then cached with it.
 func AffinityKey(p model.Prompt) string {
 	switch len(p.Parts) {
 	case 0:
@@ -44,8 +44,8 @@
 	}
 }
 
-// AffinityDomain returns the failure domain of the engine where all nodes place the prompts of a key,
-// so that stages can make their results near it. Empty for no engines.
+// AffinityDomain returns the failure domain of the engine where all nodes place the prompts of a key, so that stages
+// can make their results near it. It is empty if no engine takes work.
 func AffinityDomain(key string, engines []model.Endpoint) string {
 	best, domain := uint64(0), ""
 	for _, e := range engines {
@@ -59,20 +59,20 @@
 	return domain
 }
 
-// LocalityWait returns how long pieces wait for a worker in the failure domain that they prefer (delay scheduling), by
-// how many bytes they would else move: for its next call, whose full length is given, as far as that leaves them on
-// time.
-func LocalityWait(bytes int64, full, slack time.Duration) time.Duration {
+// LocalityWait returns how long pieces wait for a worker in the failure domain that they prefer (delay scheduling)
+// instead of moving bytes to another one. They wait for the next call there, at most the duration of a full call and
+// at most localityWaitShare of the slack, so that they stay on time. Small transfers do not wait.
+func LocalityWait(bytes int64, fullCall, slack time.Duration) time.Duration {
 	if bytes < smallTransferBytes {
 		return 0
 	}
-	return max(0, min(full, time.Duration(localityWaitShare*float64(slack))))
+	return max(0, min(fullCall, time.Duration(localityWaitShare*float64(slack))))
 }
 
-// PickEngine returns the index of the engine for a prompt, -1 for none: by the affinity key, and
-// the next one by hash where an engine has much more to read than the least loaded. The failure
-// domain where the prompt's inputs lie does not count: moving them takes a few milliseconds,
-// reading a long prefix again takes a hundred.
+// PickEngine returns the index of the engine for a prompt, -1 if there is none. It takes the first engine in the
+// rendezvous order of the affinity key that has not much more to prefill than the least loaded one and is not nearly
+// full. The failure domain of the prompt's inputs does not count: moving them takes a few milliseconds, prefilling a
+// long prefix again takes a hundred.
 func PickEngine(now time.Time, engines []EngineCandidate, key string) int {
 	if len(engines) == 0 {
 		return -1
@@ -86,10 +86,10 @@
 	if key == "" {
 		return leastLoaded
 	}
-	most := engines[leastLoaded].loadTokens(now) + maxExtraPrefillTokens
+	maxLoad := engines[leastLoaded].loadTokens(now) + maxExtraPrefillTokens
 	best, bestScore := -1, uint64(0)
 	for i, e := range engines {
-		if e.loadTokens(now) > most || e.nearlyFull(now) {
+		if e.loadTokens(now) > maxLoad || e.nearlyFull(now) {
 			continue
 		}
 		if score := rendezvousScore(key, e.Endpoint.Name); best < 0 || score > bestScore {
--- a/kernel/placement_test.go
+++ b/kernel/placement_test.go
@@ -28,7 +28,7 @@
 	must.Eq(t, "", kernel.AffinityKey(model.Prompt{}))
 }
 
-func TestPromptsOfOneKeyMeetInOneEngine(t *testing.T) {
+func TestPickEngineIsConsistentByKey(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(12)
 	var endpoints []model.Endpoint
@@ -40,7 +40,7 @@
 		key := fmt.Sprint("key-", k)
 		i := kernel.PickEngine(now, all, key)
 		must.Eq(t, i, kernel.PickEngine(now, all, key))
-		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("results are made near the engine"))
+		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("the domain is that of the engine"))
 		used[i]++
 	}
 	must.MapLen(t, 12, used)
@@ -49,17 +49,17 @@
 	}
 }
 
-func TestAPromptMovesOnFromAnEngineWithMuchToRead(t *testing.T) {
+func TestPickEngineAvoidsEngineWithMuchToPrefill(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(12)
 	i := kernel.PickEngine(now, all, "key")
 	all[i].PendingPrefillTokens = 5000
-	must.Eq(t, i, kernel.PickEngine(now, all, "key"), must.Sprint("a short queue is cheaper than a prefix read again"))
+	must.Eq(t, i, kernel.PickEngine(now, all, "key"), must.Sprint("a short queue costs less than prefilling the prefix again"))
 	all[i].PendingPrefillTokens = 20000
 	must.NotEq(t, i, kernel.PickEngine(now, all, "key"))
 }
 
-func TestAPromptWithoutPartsGoesToTheLeastLoaded(t *testing.T) {
+func TestPickEngineWithoutKeyTakesLeastLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(3)
 	all[0].PendingPrefillTokens, all[2].PendingPrefillTokens = 100, 200
@@ -67,10 +67,10 @@
 	must.Eq(t, -1, kernel.PickEngine(now, nil, "key"))
 }
 
-func TestTheLocalityWaitGrowsWithWhatIsMoved(t *testing.T) {
+func TestLocalityWait(t *testing.T) {
 	full := 444 * time.Millisecond
 	must.EqOp(t, 0, kernel.LocalityWait(50_000, full, time.Minute), must.Sprint("little to move"))
-	must.EqOp(t, full, kernel.LocalityWait(3_600_000, full, time.Minute), must.Sprint("the next call of the domain"))
+	must.EqOp(t, full, kernel.LocalityWait(3_600_000, full, time.Minute), must.Sprint("until the next call in the domain"))
 	must.EqOp(t, 100*time.Millisecond, kernel.LocalityWait(3_600_000, full, 600*time.Millisecond), must.Sprint("a sixth of the slack"))
 	must.EqOp(t, 0, kernel.LocalityWait(3_600_000, full, -time.Second), must.Sprint("late already"))
 }
--- a/kernel/retry.go
+++ b/kernel/retry.go
@@ -1,17 +1,18 @@
 package kernel
 
 const (
-	// retryTokensPerSuccess is how much of a retry each success earns.
+	// retryTokensPerSuccess is the part of a retry that each success adds to the budget.
 	retryTokensPerSuccess = 0.1
-	maxRetryTokens        = 20.0
-	// MaxAttempts bounds the calls of one stage of one request.
+	// maxRetryTokens bounds the retries that a budget can save up.
+	maxRetryTokens = 20.0
+	// MaxAttempts bounds the calls for one stage of one request.
 	MaxAttempts = 4
 )
 
 // RetryBudget bounds retries and hedges of a pool to a share of its successes, so that
 // retries cannot multiply the load of a failing pool.
 type RetryBudget struct {
-	// Tokens is between 0 and retryMost.
+	// Tokens is the number of retries that may be made, between 0 and maxRetryTokens.
 	Tokens float64
 }
 
--- a/kernel/returning.go
+++ b/kernel/returning.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// refusalRetention is how long a refused request is remembered: longer than callers are told to
-	// stay away and wait for an answer in all.
+	// refusalRetention is how long a refused request is remembered: longer than the retry delay told to the caller
+	// and the caller's wait for an answer together.
 	refusalRetention = 15 * time.Second
-	// maxRefusedRequests bounds the requests that are remembered, some 100 bytes each; when it is
-	// reached, all are forgotten, and callers that come back count as new ones.
+	// maxRefusedRequests bounds the requests that are remembered, some 100 bytes each. When it is reached and none
+	// has expired, all are dropped, and their retries count as new requests.
 	maxRefusedRequests = 20000
 )
 
-// RefusedRequests remembers the requests that were refused, so that a caller who comes back is told from
-// a new one: its objective counts from its first attempt. Under load it would else take the calls
-// of requests that can still be on time, and be late all the same. It changes in place.
+// RefusedRequests remembers requests that were refused, to tell a caller's retry from a new request: the latency
+// objective of a request counts from its first attempt. Under overload, retries that count as new requests would
+// take capacity from requests that can still be on time, and be late all the same. It changes in place.
 type RefusedRequests struct {
 	// firstAttemptAt is when the first attempt of a request was received, by identity.
 	firstAttemptAt map[string]time.Time
 }
 
-// NewRefusedRequests returns a memory that holds nothing.
+// NewRefusedRequests returns an empty RefusedRequests.
 func NewRefusedRequests() *RefusedRequests {
 	return &RefusedRequests{firstAttemptAt: map[string]time.Time{}}
 }
 
-// RequestIdentity returns what attempts of the same request share although each has an ID of its own: the
-// customer, the last part of the prompt, which belongs to the request or its session, and its size.
-// Empty where the request has no prompt.
+// RequestIdentity returns what the attempts of a request have in common although each has an ID of its own: the
+// customer, the ID of the last part of the prompt, which belongs to the request or its session, and the size of the
+// prompt. It is empty for a request without a prompt.
 func RequestIdentity(customer string, p model.Prompt) string {
 	if len(p.Parts) == 0 {
 		return ""
@@ -48,7 +48,7 @@
 	return b.String()
 }
 
-// Add notes that a request was refused after its caller had waited for a time.
+// Add records that a request was refused after its caller had waited for a time.
 func (r *RefusedRequests) Add(now time.Time, identity string, waited time.Duration) {
 	if len(r.firstAttemptAt) >= maxRefusedRequests {
 		r.evict(now)
@@ -56,21 +56,21 @@
 	r.firstAttemptAt[identity] = now.Add(-waited)
 }
 
-// TakeWaited returns how long the caller of a request has waited since its first attempt; zero for a
-// new request. The request is forgotten: another one with the same identity is a new one.
+// TakeWaited returns how long the caller of a request has waited since its first attempt; zero for a new request. It
+// removes the request: a later one with the same identity is new.
 func (r *RefusedRequests) TakeWaited(now time.Time, identity string) time.Duration {
-	asked, known := r.firstAttemptAt[identity]
+	firstAttempt, known := r.firstAttemptAt[identity]
 	delete(r.firstAttemptAt, identity)
-	if !known || now.Sub(asked) > refusalRetention {
+	if !known || now.Sub(firstAttempt) > refusalRetention {
 		return 0
 	}
-	return now.Sub(asked)
+	return now.Sub(firstAttempt)
 }
 
-// evict drops what is too old, or all if that is not enough.
+// evict removes the requests that have expired, or all if that is not enough.
 func (r *RefusedRequests) evict(now time.Time) {
-	for identity, asked := range r.firstAttemptAt {
-		if now.Sub(asked) > refusalRetention {
+	for identity, firstAttempt := range r.firstAttemptAt {
+		if now.Sub(firstAttempt) > refusalRetention {
 			delete(r.firstAttemptAt, identity)
 		}
 	}
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -15,19 +15,19 @@
 	return model.Prompt{TokensIn: tokens, TokensOut: 80, Parts: []model.PromptPart{{ID: "shared", Tokens: 400}, {ID: session, Tokens: tokens - 400}}}
 }
 
-func TestACallerThatComesBackIsToldFromANewOne(t *testing.T) {
+func TestRefusedRequestsTellsRetryFromNewRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRefusedRequests()
 	first := kernel.RequestIdentity("ann", promptOf("a", 900))
 	r.Add(now, first, 20*time.Millisecond)
 	must.EqOp(t, 320*time.Millisecond, r.TakeWaited(now.Add(300*time.Millisecond), first))
-	must.EqOp(t, 0, r.TakeWaited(now.Add(400*time.Millisecond), first), must.Sprint("a third request is a new one"))
-	must.EqOp(t, 0, r.TakeWaited(now, kernel.RequestIdentity("ann", promptOf("a", 901))), must.Sprint("another request of the session"))
-	must.NotEq(t, first, kernel.RequestIdentity("ben", promptOf("a", 900)), must.Sprint("nobody ages another customer's request"))
+	must.EqOp(t, 0, r.TakeWaited(now.Add(400*time.Millisecond), first), must.Sprint("a third request counts as new"))
+	must.EqOp(t, 0, r.TakeWaited(now, kernel.RequestIdentity("ann", promptOf("a", 901))), must.Sprint("another request of the same session"))
+	must.NotEq(t, first, kernel.RequestIdentity("ben", promptOf("a", 900)), must.Sprint("a request of another customer"))
 	must.EqOp(t, "", kernel.RequestIdentity("ann", model.Prompt{}))
 }
 
-func TestWhatWasRefusedTwiceCountsFromItsFirstAttempt(t *testing.T) {
+func TestRefusedRequestsCountsFromFirstAttempt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRefusedRequests()
 	r.Add(now, "id", 0)
@@ -36,7 +36,7 @@
 	must.EqOp(t, 500*time.Millisecond, r.TakeWaited(now.Add(200*time.Millisecond), "id"))
 }
 
-func TestTheMemoryOfRefusedRequestsIsBounded(t *testing.T) {
+func TestRefusedRequestsIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRefusedRequests()
 	r.Add(now, "old", 0)
@@ -48,14 +48,14 @@
 	must.EqOp(t, time.Second, r.TakeWaited(now.Add(time.Second), "20000"))
 }
 
-// overloadSim plays callers against one pool: for some seconds more come than it can serve, and each that
-// is refused comes back once.
+// overloadSim simulates one pool that gets more requests than it can serve for some seconds. The caller of
+// each refused request retries once.
 type overloadSim struct {
 	queue     *kernel.BatchQueue
 	refused   *kernel.RefusedRequests
 	admission kernel.Admission
 	running   []kernel.PieceBatch
-	// firstAttempt is when each caller first firstAttempt, again when it comes back.
+	// firstAttempt is when each request was first sent, retryAt when it is to be sent again.
 	firstAttempt map[uint64]time.Time
 	retryAt      map[uint64]time.Time
 	onTime       int
@@ -67,26 +67,26 @@
 	engineTime        = 200 * time.Millisecond
 )
 
-func newOverloadSim(memory *kernel.RefusedRequests) *overloadSim {
+func newOverloadSim(refused *kernel.RefusedRequests) *overloadSim {
 	route := model.Route{Objective: overloadObjective, Timeout: 6 * time.Second, Stages: []model.StageNode{{Pool: "p", ResultBytes: 8000}}}
 	return &overloadSim{
-		queue: newBatchQueue(3), refused: memory, admission: kernel.Admission{Route: route},
+		queue: newBatchQueue(3), refused: refused, admission: kernel.Admission{Route: route},
 		firstAttempt: map[uint64]time.Time{}, retryAt: map[uint64]time.Time{},
 	}
 }
 
-// request asks the door for a caller's request of three pieces.
+// request submits a request of three pieces for admission.
 func (b *overloadSim) request(now time.Time, id uint64) {
 	f := model.Forward{ReceivedAt: now, Pieces: []int{3}}
 	identity := fmt.Sprint(id)
 	if b.refused != nil {
 		f = f.WithWaited(b.refused.TakeWaited(now, identity))
 	}
-	a := b.admission
-	a.Deadline = now.Add(6 * time.Second)
+	admitted := b.admission
+	admitted.Deadline = now.Add(6 * time.Second)
 	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.Wait(now, pieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
-	plan := kernel.PlanStages(f, a, estimates, engineTime)
-	refusal := kernel.AdmitStages(now, f, a, plan, estimates)
+	plan := kernel.PlanStages(f, admitted, estimates, engineTime)
+	refusal := kernel.AdmitStages(now, f, admitted, plan, estimates)
 	if refusal == nil {
 		group := pieceGroup(id, 3, 8000, plan.Due[0])
 		if ok, _ := b.queue.Add(now, group); ok {
@@ -102,16 +102,16 @@
 	}
 }
 
-// advanceCalls ends the calls that are due and starts others.
+// advanceCalls ends the calls that are due and starts new ones.
 func (b *overloadSim) advanceCalls(now time.Time) {
-	var still []kernel.PieceBatch
+	var unfinished []kernel.PieceBatch
 	for _, batch := range b.running {
 		if b.queue.Expected(batch) > now.Sub(batch.StartedAt()) {
-			still = append(still, batch)
+			unfinished = append(unfinished, batch)
 			continue
 		}
-		ended, _ := b.queue.Done(now, batch, madeAll(batch))
-		for _, o := range ended {
+		outcomes, _ := b.queue.Done(now, batch, madeAll(batch))
+		for _, o := range outcomes {
 			for _, m := range o.Made {
 				b.queue.Release(now, m)
 			}
@@ -120,7 +120,7 @@
 			}
 		}
 	}
-	b.running = still
+	b.running = unfinished
 	b.queue.Expire(now)
 	for {
 		batch, ok := b.queue.Next(now)
@@ -131,7 +131,7 @@
 	}
 }
 
-// run returns how many requests of a burst of 1.8 times the pool's capacity were on time.
+// run returns how many requests were on time under a load of 1.8 times the pool's capacity.
 func (b *overloadSim) run() int {
 	start := time.Unix(1000, 0)
 	id := uint64(0)
@@ -142,10 +142,10 @@
 				b.request(now, id+1)
 			}
 		}
-		for who, at := range b.retryAt {
+		for retry, at := range b.retryAt {
 			if !now.Before(at) {
-				delete(b.retryAt, who)
-				b.request(now, who)
+				delete(b.retryAt, retry)
+				b.request(now, retry)
 			}
 		}
 		b.advanceCalls(now)
@@ -153,11 +153,11 @@
 	return b.onTime
 }
 
-// Overload with callers that come back once: what they take from those still on time is lost for
-// both.
-func TestCallersThatComeBackDoNotMakeNewOnesLate(t *testing.T) {
+// Under overload, retries of refused requests must not take capacity from requests that can still be on time:
+// both would then be late.
+func TestRetriesDoNotMakeNewRequestsLate(t *testing.T) {
 	without := newOverloadSim(nil).run()
 	with := newOverloadSim(kernel.NewRefusedRequests()).run()
-	t.Logf("on time: %d without the memory, %d with it", without, with)
-	must.Greater(t, without*11/10, with, must.Sprintf("%d on time, %d without the memory", with, without))
+	t.Logf("on time: %d without RefusedRequests, %d with it", without, with)
+	must.Greater(t, without*11/10, with, must.Sprintf("%d on time, %d without RefusedRequests", with, without))
 }
