--- a/kernel/answered.go
+++ b/kernel/answered.go
@@ -6,24 +6,24 @@
 	"basilstall.example/basilstall/model"
 )
 
-// mostAnswered bounds the answered requests that are remembered, twice over, some 100 bytes each: minutes of a
-// node's share of a fleet's requests.
-const mostAnswered = 2048
+// maxAnswered bounds each generation of answered requests, some 100 bytes a request. Two generations cover minutes
+// of a node's share of the fleet's requests.
+const maxAnswered = 2048
 
-// answeredRequests remembers which requests were answered whole, and when last, in two generations: when the younger
-// one is full, the older one is forgotten.
+// answeredRequests remembers which requests were answered completely, and when last, in two generations: when the
+// young one is full it becomes the old one, and the previous old one is dropped.
 type answeredRequests struct {
 	young, old map[model.Digest]time.Time
 }
 
 func (a *answeredRequests) add(now time.Time, digest model.Digest) {
-	if a.young == nil || len(a.young) >= mostAnswered {
+	if a.young == nil || len(a.young) >= maxAnswered {
 		a.young, a.old = make(map[model.Digest]time.Time), a.young
 	}
 	a.young[digest] = now
 }
 
-// since tells whether a request was answered after a time.
-func (a *answeredRequests) since(t time.Time, digest model.Digest) bool {
+// answeredAfter reports whether a request was answered after a time.
+func (a *answeredRequests) answeredAfter(t time.Time, digest model.Digest) bool {
 	return a.young[digest].After(t) || a.old[digest].After(t)
 }
--- a/kernel/leaving.go
+++ b/kernel/leaving.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// streamNeeds is the time that a stream may need from its receipt to its last event. A leaving node takes none
-	// that might not end before it is gone.
-	streamNeeds = 5 * time.Second
-	// unaryNeeds is the most that a unary request is taken to need; its route's timeout if that
-	// is less.
-	unaryNeeds = 2 * time.Second
+	// streamAllowance is the time that a stream may need from its receipt to its last event. A leaving node accepts
+	// no stream that might not end before the node stops.
+	streamAllowance = 5 * time.Second
+	// unaryAllowance is the longest time that a unary request is assumed to need; its route's timeout if that is
+	// shorter.
+	unaryAllowance = 2 * time.Second
 )
 
-// TakeWhileLeaving decides whether a node that will be gone at a time still takes a request that
-// comes on an open connection. One that might be cut is refused at once, so that its caller can
-// go to another node while there is time.
-func TakeWhileLeaving(now, gone time.Time, route model.Route) *model.Refusal {
-	needs := min(unaryNeeds, route.Timeout)
+// AdmitWhileLeaving decides whether a node that is about to stop still accepts a request from an open connection. A
+// request that might be cut off is refused at once, so that its caller can go to another node while there is time.
+func AdmitWhileLeaving(now, stopsAt time.Time, route model.Route) *model.Refusal {
+	needed := min(unaryAllowance, route.Timeout)
 	if route.Kind == model.Stream {
-		needs = min(streamNeeds, route.Timeout)
+		needed = min(streamAllowance, route.Timeout)
 	}
-	if now.Add(needs).After(gone) {
+	if now.Add(needed).After(stopsAt) {
 		return model.NewRefusal(model.NotRun, model.Draining, RetryAfter(0), "the node is leaving")
 	}
 	return nil
--- a/kernel/membership.go
+++ b/kernel/membership.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// SilentAfter is how long a neighbour may say nothing before it is accused.
-	SilentAfter = 2500 * time.Millisecond
-	// accusersNeeded is how many nodes must accuse a member before it counts as dead: one
-	// cut connection accuses both its ends, wrongly.
-	accusersNeeded = 2
-	// accusationLasts is how long an accusation counts.
-	accusationLasts = 10 * time.Second
-	// newsMost bounds the news on one heartbeat.
-	newsMost = 16
-	// newsRounds times the logarithm of the fleet's size is for how many rounds a piece of
-	// news is sent.
-	newsRounds = 2
-	// forgetAfter is how long a dead member is remembered, so that the lagging list does not
-	// bring it back.
-	forgetAfter = 2 * time.Minute
+	// HeartbeatTimeout is how long a monitored member may be silent before it is suspected.
+	HeartbeatTimeout = 2500 * time.Millisecond
+	// suspicionQuorum is the number of nodes that must suspect a member before it is declared dead. One is not
+	// enough: both ends of a broken connection suspect each other, wrongly.
+	suspicionQuorum = 2
+	// suspicionTTL is how long a suspicion counts.
+	suspicionTTL = 10 * time.Second
+	// maxHeartbeatUpdates bounds the updates in one heartbeat.
+	maxHeartbeatUpdates = 16
+	// retransmitMultiplier times the logarithm of the fleet's size is the number of rounds in which an update is
+	// sent.
+	retransmitMultiplier = 2
+	// deadRetention is how long a dead member is remembered, so that the platform's list, which lags, does not add
+	// it again.
+	deadRetention = 2 * time.Minute
 )
 
-// MemberState is what the fleet holds of a member.
+// MemberState is the state of a member as known to a node.
 type MemberState int
 
-// The states of a member, in order of precedence at one beat.
+// The states of a member, in order of precedence among updates with the same Beat.
 const (
 	MemberAlive MemberState = iota
 	MemberLeaving
@@ -35,65 +35,66 @@
 )
 
 type (
-	// News is something that nodes pass on to each other. Exactly one of the three kinds:
-	// a member's state, an accusation, or an endpoint that is leaving.
-	News struct {
+	// GossipUpdate is information that nodes pass on to each other. It is exactly one of three kinds: the state of a
+	// member, a suspicion of a member, or the notice that an endpoint is leaving.
+	GossipUpdate struct {
 		Member Member
-		// Beat orders the news of one incarnation; only the member itself raises it.
+		// Beat orders the updates on one incarnation. Only the member itself raises it.
 		Beat          uint64
 		State         MemberState
 		FailureDomain string
-		// Accuser is set on an accusation: the node that hears nothing of the member.
+		// Accuser is set on a suspicion: the node that no longer hears from the member.
 		Accuser string
-		// Pool and Endpoint are set on the news that an endpoint is leaving.
+		// Pool and Endpoint are set on the notice that an endpoint is leaving.
 		Pool     string
 		Endpoint string
 	}
 
-	// MemberInfo is what is known of a member.
+	// MemberInfo is what a node knows of a member.
 	MemberInfo struct {
 		Member        Member
 		FailureDomain string
 		State         MemberState
 		Beat          uint64
-		// Heard is when the member itself last spoke to this node.
-		Heard time.Time
-		// Changed is when State last changed.
-		Changed time.Time
+		// LastHeard is when this node last received a heartbeat, or the reply to one, from the member itself.
+		LastHeard time.Time
+		// StateChangedAt is when State last changed.
+		StateChangedAt time.Time
 
-		accusers map[string]time.Time
+		// suspectedBy holds when each node reported that it suspects the member.
+		suspectedBy map[string]time.Time
 	}
 
-	// Membership is a node's view of the fleet, from the platform's list, from heartbeats to
-	// a few neighbours, and from news. It changes in place.
+	// Membership is a node's view of the fleet. Its sources are the platform's list, heartbeats exchanged with a few
+	// neighbours, and the updates that these carry. It changes in place.
 	Membership struct {
 		self    MemberInfo
 		members map[string]*MemberInfo
-		news    []outgoing
-		// stoodSince is when the set of live members last changed.
-		stoodSince time.Time
-		// turn picks the dead member that is tried next.
-		turn int
-		// watchedSince holds the members that the node should hear of.
-		watchedSince map[string]time.Time
-		// order is the ring, nil after a change.
-		order []string
-		// longTurn picks the far member that is heartbeaten next.
-		longTurn int
-	}
-
-	outgoing struct {
-		news News
-		// left counts the rounds in which it is still sent.
-		left int
+		queue   []queuedUpdate
+		// stableSince is when the set of live members last changed.
+		stableSince time.Time
+		// deadIndex selects the dead member that gets the next heartbeat.
+		deadIndex int
+		// monitoredSince holds since when each monitored member has been monitored.
+		monitoredSince map[string]time.Time
+		// sortedNames is the ring; nil after a change of the members.
+		sortedNames []string
+		// farIndex selects the distant member that gets the next heartbeat.
+		farIndex int
+	}
+
+	queuedUpdate struct {
+		update GossipUpdate
+		// roundsLeft counts the rounds in which the update is still sent.
+		roundsLeft int
 	}
 )
 
 // NewMembership returns the view of a node that knows only itself.
 func NewMembership(now time.Time, self Member, domain string) *Membership {
-	info := MemberInfo{Member: self, FailureDomain: domain, State: MemberAlive, Beat: 1, Heard: now, Changed: now}
-	m := &Membership{self: info, members: map[string]*MemberInfo{}, stoodSince: now}
-	m.tell(m.selfNews())
+	info := MemberInfo{Member: self, FailureDomain: domain, State: MemberAlive, Beat: 1, LastHeard: now, StateChangedAt: now}
+	m := &Membership{self: info, members: map[string]*MemberInfo{}, stableSince: now}
+	m.enqueue(m.selfUpdate())
 	return m
 }
 
@@ -106,11 +107,11 @@
 func (m *Membership) Leave(now time.Time) {
 	m.self.State = MemberLeaving
 	m.self.Beat++
-	m.stoodSince = now
-	m.tell(m.selfNews())
+	m.stableSince = now
+	m.enqueue(m.selfUpdate())
 }
 
-// Alive returns the live members, the node itself among them unless it leaves, in order.
+// Alive returns the live members in order. The node itself is among them unless it is leaving.
 func (m *Membership) Alive() []Member {
 	var out []Member
 	if m.self.State == MemberAlive {
@@ -124,12 +125,12 @@
 	return sortedMembers(out)
 }
 
-// StoodSince returns since when the set of live members has not changed.
-func (m *Membership) StoodSince() time.Time {
-	return m.stoodSince
+// StableSince returns since when the set of live members has not changed.
+func (m *Membership) StableSince() time.Time {
+	return m.stableSince
 }
 
-// Members returns what is known of all members, the node itself first.
+// Members returns all known members, the node itself first.
 func (m *Membership) Members() []MemberInfo {
 	out := []MemberInfo{m.self}
 	for _, info := range m.members {
@@ -139,73 +140,74 @@
 	return out
 }
 
-// Heard notes that a member itself spoke.
-func (m *Membership) Heard(now time.Time, news News) {
-	m.Take(now, news)
-	info := m.members[news.Member.Node]
-	if info == nil || info.Member.ID() != news.Member.ID() {
+// RecordHeartbeat applies an update that a member sent about itself, and records that the member is reachable.
+func (m *Membership) RecordHeartbeat(now time.Time, update GossipUpdate) {
+	m.Apply(now, update)
+	info := m.members[update.Member.Node]
+	if info == nil || info.Member.ID() != update.Member.ID() {
 		return
 	}
-	info.Heard = now
-	clear(info.accusers)
+	info.LastHeard = now
+	clear(info.suspectedBy)
 	if info.State == MemberDead {
-		// It does not know that it is held dead: the news makes it raise its beat.
-		m.tell(info.news())
+		// The member does not know that it was declared dead: this update makes it raise its beat.
+		m.enqueue(info.update())
 	}
 }
 
-// Listed notes that the platform's list names a member. The list lags: it introduces members
-// that are not known, and says nothing of those that are.
-func (m *Membership) Listed(now time.Time, member Member, domain string) {
+// AddListed adds a member that is on the platform's list. Members that are known already are left as they are,
+// because the list lags.
+func (m *Membership) AddListed(now time.Time, member Member, domain string) {
 	if _, known := m.members[member.Node]; known || member.Node == m.self.Member.Node {
 		return
 	}
-	m.Take(now, News{Member: member, FailureDomain: domain, State: MemberAlive})
+	m.Apply(now, GossipUpdate{Member: member, FailureDomain: domain, State: MemberAlive})
 }
 
-// Take takes a piece of news in and passes it on if it is new. It reports whether it was.
-func (m *Membership) Take(now time.Time, news News) bool {
-	if news.Member.Node == m.self.Member.Node {
-		m.refute(news)
+// Apply applies an update and, if it is new, queues it for sending. It reports whether it was new.
+func (m *Membership) Apply(now time.Time, update GossipUpdate) bool {
+	if update.Member.Node == m.self.Member.Node {
+		m.refute(update)
 		return false
 	}
-	if news.Accuser != "" {
-		return m.accuse(now, news)
+	if update.Accuser != "" {
+		return m.recordSuspicion(now, update)
 	}
-	info := m.members[news.Member.Node]
-	if info != nil && !supersedes(news, info) {
+	info := m.members[update.Member.Node]
+	if info != nil && !supersedes(update, info) {
 		return false
 	}
-	m.put(now, news)
-	m.tell(news)
+	m.setMember(now, update)
+	m.enqueue(update)
 	return true
 }
 
-// PassOn queues the news that an endpoint is leaving.
-func (m *Membership) PassOn(pool, endpoint string) {
-	m.tell(News{Pool: pool, Endpoint: endpoint})
+// AnnounceLeaving queues the notice that an endpoint is leaving.
+func (m *Membership) AnnounceLeaving(pool, endpoint string) {
+	m.enqueue(GossipUpdate{Pool: pool, Endpoint: endpoint})
 }
 
-// Tick begins a round of heartbeats: it accuses members that went silent, forgets those long
-// dead, and drops news that was sent for enough rounds.
+// Tick begins a round of heartbeats. It drops updates that were sent in enough rounds, suspects monitored members
+// that have been silent for HeartbeatTimeout, declares leaving members dead once they are silent for as long, and
+// removes members that have been dead for deadRetention.
 func (m *Membership) Tick(now time.Time) {
-	for i := range m.news {
-		m.news[i].left--
+	for i := range m.queue {
+		m.queue[i].roundsLeft--
 	}
-	m.news = slices.DeleteFunc(m.news, func(o outgoing) bool { return o.left <= 0 })
-	for _, name := range m.watch(now) {
+	m.queue = slices.DeleteFunc(m.queue, func(queued queuedUpdate) bool { return queued.roundsLeft <= 0 })
+	for _, name := range m.updateMonitored(now) {
 		info := m.members[name]
-		if info == nil || now.Sub(info.Heard) < SilentAfter || now.Sub(m.watchedSince[name]) < SilentAfter {
+		if info == nil || now.Sub(info.LastHeard) < HeartbeatTimeout || now.Sub(m.monitoredSince[name]) < HeartbeatTimeout {
 			continue
 		}
-		m.Take(now, News{Member: info.Member, Beat: info.Beat, Accuser: m.self.Member.Node})
+		m.Apply(now, GossipUpdate{Member: info.Member, Beat: info.Beat, Accuser: m.self.Member.Node})
 	}
 	for name, info := range m.members {
-		if info.State == MemberDead && now.Sub(info.Changed) > forgetAfter {
+		if info.State == MemberDead && now.Sub(info.StateChangedAt) > deadRetention {
 			delete(m.members, name)
 		}
-		if info.State == MemberLeaving && now.Sub(info.Heard) > SilentAfter && now.Sub(info.Changed) > SilentAfter {
-			m.put(now, News{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
+		if info.State == MemberLeaving && now.Sub(info.LastHeard) > HeartbeatTimeout && now.Sub(info.StateChangedAt) > HeartbeatTimeout {
+			m.setMember(now, GossipUpdate{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
 		}
 	}
 }
--- a/kernel/membershipring.go
+++ b/kernel/membershipring.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Neighbours returns the members that the node heartbeats: those one, two and four places
-// further on the ring of names. Their answers and the heartbeats of those before it make six
-// members watched. In a large fleet one member further off, in turn, makes news spread in a
-// number of rounds that grows with the logarithm of the fleet. One dead member in turn is tried too: two sides of a cut that hold each
-// other dead would else never speak again.
+// Neighbours returns the members to send heartbeats to: those one, two and four places further on the ring of names.
+// With the members whose heartbeats it receives, a node monitors six members. A large fleet adds a more distant
+// member, a different one in each round, so that updates spread in a number of rounds that grows with the logarithm
+// of the fleet's size. One dead member is added too, in turn: otherwise two sides of a network partition that
+// declared each other dead would never reconnect.
 func (m *Membership) Neighbours() []MemberInfo {
 	ring := m.ring()
 	at := slices.Index(ring, m.self.Member.Node)
 	var out []MemberInfo
-	for _, step := range append([]int{1, 2, 4}, m.longStep(len(ring))...) {
+	for _, step := range append([]int{1, 2, 4}, m.farStep(len(ring))...) {
 		if step < len(ring) {
 			out = append(out, *m.members[ring[(at+step)%len(ring)]])
 		}
 	}
 	if dead, ok := m.nextDead(); ok {
-		m.tell(dead.news())
+		m.enqueue(dead.update())
 		out = append(out, dead)
 	}
 	return out
 }
 
-func (m *Membership) longStep(ringSize int) []int {
+// farStep returns the distance on the ring of this round's distant member; none in a small fleet.
+func (m *Membership) farStep(ringSize int) []int {
 	const shortest = 8
 	if ringSize <= shortest {
 		return nil
 	}
-	m.longTurn++
+	m.farIndex++
 	steps := bits.Len(uint(ringSize-1)) - bits.Len(shortest) + 1
-	return []int{shortest << (m.longTurn % steps)}
+	return []int{shortest << (m.farIndex % steps)}
 }
 
 func (m *Membership) nextDead() (MemberInfo, bool) {
@@ -49,27 +50,28 @@
 		return MemberInfo{}, false
 	}
 	slices.SortFunc(dead, func(a, b MemberInfo) int { return strings.Compare(a.Member.Node, b.Member.Node) })
-	m.turn++
-	return dead[m.turn%len(dead)], true
+	m.deadIndex++
+	return dead[m.deadIndex%len(dead)], true
 }
 
-// watch returns whom the node should hear of, and notes since when: a member that was not a
-// neighbour before had no reason to speak.
-func (m *Membership) watch(now time.Time) []string {
-	names := m.watched()
+// updateMonitored returns the members to monitor and records since when each of them has been monitored: a member
+// that was not a neighbour before had no reason to send heartbeats.
+func (m *Membership) updateMonitored(now time.Time) []string {
+	names := m.monitored()
 	since := make(map[string]time.Time, len(names))
 	for _, name := range names {
 		since[name] = now
-		if before, was := m.watchedSince[name]; was {
-			since[name] = before
+		if previous, known := m.monitoredSince[name]; known {
+			since[name] = previous
 		}
 	}
-	m.watchedSince = since
+	m.monitoredSince = since
 	return names
 }
 
-// watched returns whom the node should hear of: its neighbours and those it is one to.
-func (m *Membership) watched() []string {
+// monitored returns the members that the node should hear from: its neighbours, and the members whose neighbour it
+// is.
+func (m *Membership) monitored() []string {
 	ring := m.ring()
 	at := slices.Index(ring, m.self.Member.Node)
 	var out []string
@@ -83,15 +85,15 @@
 
 // ring returns the names of all members that are not dead, in order.
 func (m *Membership) ring() []string {
-	if m.order != nil {
-		return m.order
+	if m.sortedNames != nil {
+		return m.sortedNames
 	}
-	m.order = []string{m.self.Member.Node}
+	m.sortedNames = []string{m.self.Member.Node}
 	for name, info := range m.members {
 		if info.State != MemberDead {
-			m.order = append(m.order, name)
+			m.sortedNames = append(m.sortedNames, name)
 		}
 	}
-	slices.Sort(m.order)
-	return m.order
+	slices.Sort(m.sortedNames)
+	return m.sortedNames
 }
