--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -51,8 +51,8 @@
 		}
 		return CreateClaims
 	}
-	if !sameMembers(row.Newest().Members, alive) {
-		if waited >= k.Settle && !row.Newest().From.After(now.Add(k.Horizon)) {
+	if !sameMembers(row.NewestEra().Members, alive) {
+		if waited >= k.Settle && !row.NewestEra().From.After(now.Add(k.Horizon)) {
 			return StartEra
 		}
 		// Members that keep coming and going must not let the key time run out.
