--- a/kernel/claims.go
+++ b/kernel/claims.go
@@ -6,43 +6,45 @@
 )
 
 type (
-	// Member is one process that may own keys. A restarted process is another member.
+	// Member is a node process that can own keys. A restarted process is another member.
 	Member struct {
 		Node        string
 		Incarnation string
-		// Address is where peers reach the member, HOST:PORT.
+		// Address is the HOST:PORT at which peers reach the member.
 		Address string
 	}
 
-	// Era is an interval of key time with the members that own the keys issued in it.
+	// Era is an interval of key time with the members that own the keys issued in it. Key time is the time of issue
+	// that a timed key carries (see Key).
 	Era struct {
 		Number uint64
-		// From is the first key time of the era; it ends where the next era begins.
+		// From is the start of the era, inclusive; the era ends where the next one begins.
 		From time.Time
 		// Members is sorted by ID and never empty.
 		Members []Member
 	}
 
-	// Transfer gives all keys of a member that has left for ever to another one.
+	// Transfer permanently gives all keys of a member that has left to another member.
 	Transfer struct {
 		From string
 		To   Member
 	}
 
-	// Claims is the row that the whole fleet agrees on: who owns which keys. Every
-	// (key, time) that a member may run has one owner for ever: below Firm, because an era
-	// only ever begins at or above the Firm written before; from Firm up to Horizon, because
-	// a member runs such keys only as far as all members of the newest era have granted, and
-	// whoever starts an era starts it above what at least one of them granted (see Grants).
+	// Claims is the row of the shared table that assigns keys to members. Each key that a member may run has one
+	// owner, which only a Transfer changes: below Firm, because a new era never begins below the Firm that was
+	// written before; from Firm up to Horizon, because a member runs such keys only up to the time that all members
+	// of the newest era have granted, and a new era begins at or above what at least one of them has granted (see
+	// Grants).
 	Claims struct {
 		// Number grows by one with each write of the row.
 		Number uint64
-		// Writer is unique to the write, so that a lost answer can be resolved by reading.
+		// Writer is unique to the write, so that a writer that lost the reply can tell by reading whether the write
+		// took effect.
 		Writer string
-		// Firm is the end of the key time whose owners are final. It never shrinks.
+		// Firm is the end of the key time whose owners are final. It never decreases.
 		Firm time.Time
-		// Horizon is the end of the key time that is given out; it is not below Firm. What
-		// lies between serves while the table is down.
+		// Horizon is the end of the key time that has owners; it is not below Firm. Keys issued from Firm up to
+		// Horizon can run under grants while the table is unavailable.
 		Horizon time.Time
 		// Eras is in order of From; all but the newest are closed.
 		Eras []Era
@@ -51,12 +53,12 @@
 	}
 )
 
-// ID identifies the member: the node's name and the process's incarnation.
+// ID returns the identifier of the member, which is the name of the node and the incarnation of its process.
 func (m Member) ID() string {
 	return m.Node + "/" + m.Incarnation
 }
 
-// NewClaims returns the first row: one era, from one point in key time to another.
+// NewClaims returns the first row. It has one era, which begins at from.
 func NewClaims(from, firm, horizon time.Time, members []Member, writer string) Claims {
 	return Claims{
 		Number:  1,
@@ -67,7 +69,7 @@
 	}
 }
 
-// NewestEra returns the era that is open; the zero era if there is none.
+// NewestEra returns the era that is open, or the zero Era if there is none.
 func (c Claims) NewestEra() Era {
 	if len(c.Eras) == 0 {
 		return Era{}
@@ -75,7 +77,7 @@
 	return c.Eras[len(c.Eras)-1]
 }
 
-// WithHorizon returns the row with Firm and Horizon moved on, never back.
+// WithHorizon returns the row with Firm and Horizon moved forward. Neither ever moves back.
 func (c Claims) WithHorizon(firm, horizon time.Time, writer string) Claims {
 	c.Number++
 	c.Writer = writer
@@ -84,15 +86,15 @@
 	return c
 }
 
-// WithEra returns the row with a new era. It starts at from, which is above all that was run
-// beyond Firm, and not below Firm.
+// WithEra returns the row with a new era that starts at from, but not below Firm. From must not be below any key time
+// beyond Firm at which keys may have run (see Grants.BeginEra and Grants.Seal).
 func (c Claims) WithEra(members []Member, from, firm, horizon time.Time, writer string) Claims {
 	era := Era{Number: c.NewestEra().Number + 1, From: later(c.Firm, from), Members: sortedMembers(members)}
 	c.Eras = append(slices.Clone(c.Eras), era)
 	return c.WithHorizon(firm, horizon, writer)
 }
 
-// WithTransfer returns the row in which every key of the member that left belongs to another.
+// WithTransfer returns the row in which all keys of the member that left belong to another member.
 func (c Claims) WithTransfer(left string, to Member, writer string) Claims {
 	c.Transfers = append(slices.Clone(c.Transfers), Transfer{From: left, To: to})
 	c.Number++
@@ -100,14 +102,14 @@
 	return c
 }
 
-// WithoutBefore returns the row without eras that ended before the cutoff and without
-// transfers from members that no kept era names and no transfer leads to.
+// WithoutBefore returns the row without the eras that ended before the cutoff, and without transfers from members
+// that neither a kept era nor a kept transfer names.
 func (c Claims) WithoutBefore(cutoff time.Time) Claims {
-	first := 0
-	for first+1 < len(c.Eras) && c.Eras[first+1].From.Before(cutoff) {
-		first++
+	oldest := 0
+	for oldest+1 < len(c.Eras) && c.Eras[oldest+1].From.Before(cutoff) {
+		oldest++
 	}
-	c.Eras = slices.Clone(c.Eras[first:])
+	c.Eras = slices.Clone(c.Eras[oldest:])
 	needed := map[string]bool{}
 	for _, era := range c.Eras {
 		for _, m := range era.Members {
@@ -115,17 +117,18 @@
 		}
 	}
 	var kept []Transfer
-	for _, t := range c.Transfers {
-		if needed[t.From] {
-			kept = append(kept, t)
-			needed[t.To.ID()] = true
+	for _, transfer := range c.Transfers {
+		if needed[transfer.From] {
+			kept = append(kept, transfer)
+			needed[transfer.To.ID()] = true
 		}
 	}
 	c.Transfers = kept
 	return c
 }
 
-// EraOf returns the era that holds a key time, if that time is given out.
+// EraOf returns the era that contains a key time. It returns false if the time is at or beyond the horizon, or before
+// the oldest era.
 func (c Claims) EraOf(t time.Time) (Era, bool) {
 	if !t.Before(c.Horizon) {
 		return Era{}, false
@@ -138,7 +141,8 @@
 	return Era{}, false
 }
 
-// OwnerOf returns the member that owns a timed key, as far as this row tells.
+// OwnerOf returns the member that owns a timed key according to this row. It returns false if no era of the row
+// contains the time of the key.
 func (c Claims) OwnerOf(k Key) (Member, bool) {
 	era, ok := c.EraOf(k.Issued)
 	if !ok {
@@ -147,12 +151,13 @@
 	return c.successor(rendezvous(k.ID, era.Members)), true
 }
 
-// BeyondHorizon tells whether the key's time is beyond the horizon of this row.
+// BeyondHorizon reports whether the key was issued at or after the horizon of this row.
 func (c Claims) BeyondHorizon(k Key) bool {
 	return !k.Issued.Before(c.Horizon)
 }
 
-// successor follows the transfers. A member that left never comes back, so the chain ends.
+// successor follows the transfers from a member to the one that holds its keys. A member that left never comes back,
+// so the chain ends.
 func (c Claims) successor(m Member) Member {
 	for range c.Transfers {
 		i := slices.IndexFunc(c.Transfers, func(t Transfer) bool { return t.From == m.ID() })
@@ -164,7 +169,7 @@
 	return m
 }
 
-// HasLeft tells whether the member has given its keys away.
+// HasLeft reports whether the member has transferred its keys.
 func (c Claims) HasLeft(id string) bool {
 	return slices.ContainsFunc(c.Transfers, func(t Transfer) bool { return t.From == id })
 }
@@ -176,6 +181,7 @@
 	return a
 }
 
+// rendezvous returns the member with the highest score for a subject (rendezvous hashing).
 func rendezvous(subject string, members []Member) Member {
 	var best Member
 	var bestScore uint64
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -21,13 +21,13 @@
 	return out
 }
 
-// TestOwnersNeverChange: whatever is written to the row, a key time that had an owner keeps
-// it, unless the owner itself gave its keys away.
+// TestOwnersNeverChange checks that the owner of a key time below Firm stays the same whatever is written to the row,
+// unless the owner itself has transferred its keys.
 func TestOwnersNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(6)
 		row := kernel.NewClaims(ledgerStart, ledgerStart.Add(time.Second), ledgerStart.Add(time.Second), all[:3], "w")
-		given := map[string]bool{}
+		transferred := map[string]bool{}
 		for range rapid.IntRange(1, 12).Draw(t, "writes") {
 			before := row
 			step := time.Duration(rapid.IntRange(0, 3000).Draw(t, "step")) * time.Millisecond
@@ -39,12 +39,12 @@
 				row = row.WithEra(all[from:], time.Time{}, row.Firm.Add(step), row.Firm.Add(step), "w")
 			case 2:
 				left := all[rapid.IntRange(0, 5).Draw(t, "left")]
-				heir := all[rapid.IntRange(0, 5).Draw(t, "heir")]
-				if given[left.ID()] || given[heir.ID()] || left == heir {
+				successor := all[rapid.IntRange(0, 5).Draw(t, "successor")]
+				if transferred[left.ID()] || transferred[successor.ID()] || left == successor {
 					continue
 				}
-				given[left.ID()] = true
-				row = row.WithTransfer(left.ID(), heir, "w")
+				transferred[left.ID()] = true
+				row = row.WithTransfer(left.ID(), successor, "w")
 			}
 			must.EqOp(t, before.Number+1, row.Number)
 			must.False(t, row.Horizon.Before(before.Horizon))
@@ -57,7 +57,7 @@
 				}
 				owner, ok := row.OwnerOf(key)
 				must.True(t, ok)
-				must.True(t, owner == old || given[old.ID()])
+				must.True(t, owner == old || transferred[old.ID()])
 			}
 		}
 	})
@@ -109,12 +109,12 @@
 	}{
 		{"nothing to do", 0, row, all, time.Second, kernel.KeepClaims},
 		{"the first extends", 0, row, all, 11 * time.Second, kernel.ExtendHorizon},
-		{"the second waits for it", 1, row, all, 10500 * time.Millisecond, kernel.KeepClaims},
-		{"the second extends in its place", 1, row, all, 12 * time.Second, kernel.ExtendHorizon},
+		{"the second waits for the first", 1, row, all, 10500 * time.Millisecond, kernel.KeepClaims},
+		{"the second extends if the first has not", 1, row, all, 12 * time.Second, kernel.ExtendHorizon},
 		{"a member is gone", 0, row, all[:2], 3 * time.Second, kernel.StartEra},
-		{"its absence has not stood yet", 0, row, all[:2], time.Second, kernel.KeepClaims},
-		{"members keep changing and key time runs out", 0, kernel.NewClaims(ledgerStart, ledgerStart.Add(10*time.Second), ledgerStart.Add(time.Hour), all, "w"), all[:2], time.Second, kernel.ExtendHorizon},
-		{"who is not alive itself writes nothing", 2, row, all[:2], 9 * time.Second, kernel.KeepClaims},
+		{"a member has been gone for less than Settle", 0, row, all[:2], time.Second, kernel.KeepClaims},
+		{"members keep changing and Firm comes close", 0, kernel.NewClaims(ledgerStart, ledgerStart.Add(10*time.Second), ledgerStart.Add(time.Hour), all, "w"), all[:2], time.Second, kernel.ExtendHorizon},
+		{"a member that is not alive writes nothing", 2, row, all[:2], 9 * time.Second, kernel.KeepClaims},
 		{"no row yet", 0, kernel.Claims{}, all, 3 * time.Second, kernel.CreateClaims},
 	}
 	for _, c := range cases {
@@ -162,7 +162,7 @@
 	for i := range grants {
 		grants[i] = kernel.NewGrants(all[i])
 	}
-	give := func(i, until int) bool {
+	grantUntil := func(i, until int) bool {
 		granted, ok := grants[i].Grant(row, 1, at(until))
 		if ok {
 			grants[0].Record(all[i].ID(), 1, granted)
@@ -170,23 +170,23 @@
 		return ok
 	}
 	must.EqOp(t, at(6), grants[0].Bound(row))
-	must.True(t, give(0, 10))
-	must.True(t, give(1, 12))
-	must.EqOp(t, at(6), grants[0].Bound(row), must.Sprint("one is missing"))
-	must.True(t, give(2, 9))
+	must.True(t, grantUntil(0, 10))
+	must.True(t, grantUntil(1, 12))
+	must.EqOp(t, at(6), grants[0].Bound(row), must.Sprint("the grant of one member is missing"))
+	must.True(t, grantUntil(2, 9))
 	must.EqOp(t, at(9), grants[0].Bound(row))
-	must.True(t, give(2, 500))
+	must.True(t, grantUntil(2, 500))
 	must.EqOp(t, at(10), grants[0].Bound(row))
 
-	must.EqOp(t, at(12), grants[1].BeginEra(row), must.Sprint("an era starts above what its writer granted"))
-	must.False(t, give(1, 20), must.Sprint("and its writer grants no more"))
+	must.EqOp(t, at(12), grants[1].BeginEra(row), must.Sprint("an era starts at what its writer granted"))
+	must.False(t, grantUntil(1, 20), must.Sprint("the writer of an era grants nothing until the row has changed"))
 	grants[1].CancelEra()
-	must.True(t, give(1, 20))
-	must.EqOp(t, at(60), grants[2].Seal(row, row.Number), must.Sprint("the horizon caps a grant"))
-	must.False(t, give(2, 30))
+	must.True(t, grantUntil(1, 20))
+	must.EqOp(t, at(60), grants[2].Seal(row, row.Number), must.Sprint("a grant ends at the horizon at most"))
+	must.False(t, grantUntil(2, 30))
 	row = row.WithHorizon(at(14), at(70), "w")
-	must.True(t, give(2, 30), must.Sprint("a newer row ends the seal: the era against the old one cannot be written"))
+	must.True(t, grantUntil(2, 30), must.Sprint("a newer row ends the seal, as an era against the old row can no longer be written"))
 	row = row.WithEra(all[1:], at(30), at(32), at(70), "w")
-	must.EqOp(t, at(32), grants[0].Bound(row), must.Sprint("grants of an older era count no more"))
-	must.False(t, give(1, 40), must.Sprint("an older era"))
+	must.EqOp(t, at(32), grants[0].Bound(row), must.Sprint("grants of an older era are void"))
+	must.False(t, grantUntil(1, 40), must.Sprint("an older era"))
 }
--- a/kernel/explorer_actions_test.go
+++ b/kernel/explorer_actions_test.go
@@ -8,7 +8,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// read lets a process read any row version that is not older than what it knows.
+// read lets a process read any row version newer than the one it knows.
 func (e *explorer) read(s exploreState, p int) {
 	for v := max(0, s.procs[p].known+1); v < len(s.rows); v++ {
 		next := s.clone()
@@ -17,7 +17,7 @@
 	}
 }
 
-// swap lets a process that knows the newest row write the next; its answer may be lost.
+// swap lets a process that knows the newest row write the next one; the reply may be lost.
 func (e *explorer) swap(s exploreState, p int) {
 	if e.grants || s.procs[p].known != len(s.rows)-1 {
 		return
@@ -45,8 +45,8 @@
 	return out
 }
 
-// beginEra lets a process send an era to the table: it starts above what the process granted,
-// or what a member of the newest era says, or above the whole horizon.
+// beginEra lets a process send an era to the table. The era starts above what the process has granted, or what
+// another member of the newest era returns when it is sealed, or above the whole horizon.
 func (e *explorer) beginEra(s exploreState, p int) {
 	known := s.procs[p].known
 	if known != len(s.rows)-1 || len(s.rows[known].Eras) >= exploreMaxEras || len(s.pending) > 0 || s.procs[p].stopped {
@@ -73,16 +73,16 @@
 		from = row.Firm
 	}
 	end := time.UnixMilli(exploreMaxTime)
-	sets := [][]int{{1}, {2}, {1, 2}, {0}}
+	memberSets := [][]int{{1}, {2}, {1, 2}, {0}}
 	if e.grants {
-		sets = [][]int{{1}, {2}}
+		memberSets = [][]int{{1}, {2}}
 	}
-	for _, set := range sets {
-		var chosen []kernel.Member
+	for _, set := range memberSets {
+		var eraMembers []kernel.Member
 		for _, m := range set {
-			chosen = append(chosen, exploreMember(m))
+			eraMembers = append(eraMembers, exploreMember(m))
 		}
-		era := row.WithEra(chosen, from, end, end, "w")
+		era := row.WithEra(eraMembers, from, end, end, "w")
 		if e.fault == eraBelowHorizon {
 			era.Eras[len(era.Eras)-1].From = time.UnixMilli(exploreKeyTime)
 		}
@@ -92,7 +92,7 @@
 			e.push(next)
 			continue
 		}
-		// Without grants nothing can change between the two steps that the row does not show.
+		// Without grants, any change between the two steps shows in the row, so that one step is enough.
 		next.rows = append(next.rows, era)
 		next.rowsKey += rowKey(era)
 		e.push(next)
@@ -111,7 +111,7 @@
 	e.push(next)
 }
 
-// grant lets a process ask another, or itself, for a grant; the answer may be lost.
+// grant lets a process ask a process, which may be itself, for a grant; the reply may be lost.
 func (e *explorer) grant(s exploreState, p int) {
 	if !e.grants || s.procs[p].known < 0 {
 		return
@@ -123,11 +123,11 @@
 			continue
 		}
 		next := s.clone()
-		giver := next.grants[q]
+		grantor := next.grants[q]
 		if e.fault == sealIgnored {
-			giver.CancelEra()
+			grantor.CancelEra()
 		}
-		until, ok := giver.Grant(s.rows[s.procs[q].known], era, time.UnixMilli(exploreKeyTime+1))
+		until, ok := grantor.Grant(s.rows[s.procs[q].known], era, time.UnixMilli(exploreKeyTime+1))
 		if !ok {
 			continue
 		}
@@ -149,7 +149,7 @@
 	return slices.Contains(members, m)
 }
 
-// heir is the process that the leaver hands its keys to.
+// heir returns the process to which the leaving one hands over its keys.
 func (e *explorer) heir(s exploreState) int {
 	if s.procs[restart].alive || s.procs[restart].known >= 0 {
 		return restart
@@ -157,7 +157,7 @@
 	return crashed
 }
 
-// arrive lets an attempt reach a process as the entry node.
+// arrive lets an attempt reach a process as its entry node.
 func (e *explorer) arrive(s exploreState, p int) {
 	if s.attempts >= exploreAttempts || s.procs[p].known < 0 {
 		return
@@ -177,7 +177,7 @@
 	e.push(next)
 }
 
-// deliver hands a message to its owner, however late.
+// deliver passes a message to its owner, after any delay.
 func (e *explorer) deliver(s exploreState, i int) {
 	message := s.messages[i]
 	p := message.to
@@ -216,28 +216,28 @@
 	}
 }
 
-// end lets a running key end in each way: answered, sent without an answer, failed before the
-// call was sent, refused before anything ran.
+// end ends a running key in each possible way: answered, sent without an answer, failed before the call was sent,
+// refused before anything ran.
 func (e *explorer) end(s exploreState, p int) {
 	entry, ok := s.ledgers[p][exploreKey.ID]
 	if !ok || entry.State != kernel.KeyRunning {
 		return
 	}
-	ends := []string{"answered", "lost", "unsent", "refused"}
+	outcomes := []string{"answered", "lost", "unsent", "refused"}
 	if e.grants {
-		ends = []string{"answered", "refused"}
+		outcomes = []string{"answered", "refused"}
 	}
-	for _, how := range ends {
+	for _, outcome := range outcomes {
 		next := s.clone()
 		ledger := kernel.NewLedger(time.Time{})
 		ledger.Import("", next.ledgers[p], time.Time{})
-		if how == "answered" || how == "lost" {
+		if outcome == "answered" || outcome == "lost" {
 			next.runs++
 			if next.runs == 1 {
 				next.runAttempt = entry.Attempt
 			}
 		}
-		switch how {
+		switch outcome {
 		case "answered":
 			ledger.Finish(exploreKey, model.Answer{})
 		case "lost":
@@ -250,7 +250,7 @@
 			}
 		}
 		next.store(p, ledger)
-		if e.fault == refusalForgotten && how == "refused" {
+		if e.fault == refusalForgotten && outcome == "refused" {
 			delete(next.ledgers[p], exploreKey.ID)
 		}
 		e.tellHeir(&next, p)
@@ -258,19 +258,19 @@
 	}
 }
 
-// tellHeir gives the heir the outcome of a key that still ran at the handover.
+// tellHeir sends the successor the outcome of a key that was still running at the handover.
 func (e *explorer) tellHeir(s *exploreState, p int) {
 	if p != leaver || !s.handed {
 		return
 	}
-	heir := e.heir(*s)
+	successor := e.heir(*s)
 	ledger := kernel.NewLedger(time.Time{})
-	ledger.Import("", s.ledgers[heir], time.Time{})
+	ledger.Import("", s.ledgers[successor], time.Time{})
 	ledger.Import(exploreMember(leaver).ID(), s.ledgers[p], time.Time{})
-	s.store(heir, ledger)
+	s.store(successor, ledger)
 }
 
-// crash ends the first process with its memory; the third is its restart.
+// crash ends the first process, whose ledger is lost; the third process is its restart.
 func (e *explorer) crash(s exploreState) {
 	if e.grants || e.leaves || !s.procs[crashed].alive {
 		return
@@ -282,10 +282,10 @@
 	e.push(next)
 }
 
-// handOver lets the leaver stop and send its entries to the heir.
+// handOver stops the leaving process and sends its entries to the successor.
 func (e *explorer) handOver(s exploreState) {
-	heir := e.heir(s)
-	if !e.leaves || s.handed || !s.procs[heir].alive {
+	successor := e.heir(s)
+	if !e.leaves || s.handed || !s.procs[successor].alive {
 		return
 	}
 	next := s.clone()
@@ -294,10 +294,10 @@
 	from := kernel.NewLedger(time.Time{})
 	from.Import("", next.ledgers[leaver], time.Time{})
 	to := kernel.NewLedger(time.Time{})
-	to.Import("", next.ledgers[heir], time.Time{})
+	to.Import("", next.ledgers[successor], time.Time{})
 	if e.fault != heirWithoutMemory {
 		to.Import(exploreMember(leaver).ID(), from.Export(exploreMember(leaver).ID()), time.Time{})
 	}
-	next.store(heir, to)
+	next.store(successor, to)
 	e.push(next)
 }
--- a/kernel/explorer_test.go
+++ b/kernel/explorer_test.go
@@ -9,14 +9,13 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// This file explores the claims protocol exhaustively for a small case, over the kernel's own
-// functions: one key, three processes (the third is the restart of the first), stale reads, lost
-// answers to swaps, messages held up for ever, pauses (an action that simply does not come), a
-// crash, and one leave with a handover. The key's time is beyond the first row's Firm, so that
-// it runs under grants, or once the row has moved on. With grants an era is written in two steps,
-// so that anything can happen between the seal and the write. Two invariants hold in every state:
-// the key's service is called at most once, and an attempt that was told NotRun does not run. The
-// actions are in explorer_actions_test.go.
+// This file checks the claims protocol exhaustively in a small configuration, using the functions of package kernel:
+// one key, three processes (the third is the restart of the first), stale reads, lost replies to conditional writes,
+// messages delayed without bound, pauses (an action that is never taken), one crash, and one departure with a
+// handover. The time of the key is beyond Firm of the first row, so the key runs under grants, or once the row has
+// been extended. With grants an era is written in two steps, so that anything can happen between the seal and the
+// write. Two invariants hold in every state: the service is called at most once for the key, and an attempt that was
+// answered with NotRun does not run. The actions are in explorer_actions_test.go.
 
 const (
 	exploreKeyTime  = 1
@@ -29,7 +28,7 @@
 	leaver          = 1
 )
 
-// fault is a mistake put into the protocol, which the explorer must find.
+// fault is a defect injected into the protocol, which the explorer must find.
 type fault int
 
 const (
@@ -51,24 +50,26 @@
 		// known is the index of the row version that was read; -1 before the first read.
 		known int
 		alive bool
-		// stopped is true from the handover's first message on.
+		// stopped is set from the first message of the handover on.
 		stopped bool
 	}
 
+	// explorePending is an era that was sent to the table and may still take effect.
 	explorePending struct {
-		// version is the index of the row against which it was written.
+		// version is the index of the row against which the era was written.
 		version int
 		row     kernel.Claims
 	}
 
+	// exploreMessage is an attempt on its way from the entry node to an owner.
 	exploreMessage struct {
 		to, attempt int
 	}
 
-	// exploreState is one state; key() makes it comparable.
+	// exploreState is one state of the protocol. Its key method returns a comparable form.
 	exploreState struct {
 		rows []kernel.Claims
-		// rowsKey is the rows' part of key().
+		// rowsKey is the part of the key for rows.
 		rowsKey  string
 		procs    [exploreProcs]exploreProc
 		ledgers  [exploreProcs]map[string]kernel.LedgerEntry
@@ -77,27 +78,26 @@
 		// runs counts calls of the service; runAttempt is the attempt that made the first.
 		runs       int
 		runAttempt int
-		// told is the highest attempt that was told NotRun, -1 for none.
-		told   int
-		grants [exploreProcs]*kernel.Grants
-		// pending are eras that were sent to the table and may yet take effect.
+		// told is the highest attempt that was answered with NotRun, -1 for none.
+		told    int
+		grants  [exploreProcs]*kernel.Grants
 		pending []explorePending
-		// handed is true once the leaver's entries were sent to the heir.
+		// handed is set once the entries of the leaving process were sent to its successor.
 		handed bool
 	}
 
 	explorer struct {
-		t        *testing.T
-		fault    fault
+		t     *testing.T
+		fault fault
+		// numbered gives each attempt its own number; otherwise all attempts have number 0.
 		numbered bool
-		// grants lets members grant keys beyond Firm. To keep the states few enough to visit,
-		// nobody crashes or leaves then, the third process is a live one that is not of the
-		// first era, and Firm moves only with an era.
+		// grants lets members grant keys beyond Firm. To limit the number of states, no process then crashes or
+		// leaves, the third process is a live one outside the first era, and Firm moves only with an era.
 		grants bool
-		// leaves lets a member hand over and leave; otherwise one crashes and is restarted.
+		// leaves lets a member hand over its keys and leave; otherwise one member crashes and is restarted.
 		leaves bool
 		seen   map[string]bool
-		// todo holds the states of the next step.
+		// todo holds the states to expand at the next depth.
 		todo  []exploreState
 		steps int
 		found string
@@ -147,11 +147,11 @@
 		s.grants[p] = s.grants[p].Clone()
 	}
 	for p := range s.ledgers {
-		copied := map[string]kernel.LedgerEntry{}
+		entries := map[string]kernel.LedgerEntry{}
 		for id, entry := range s.ledgers[p] {
-			copied[id] = entry
+			entries[id] = entry
 		}
-		s.ledgers[p] = copied
+		s.ledgers[p] = entries
 	}
 	return s
 }
@@ -173,28 +173,28 @@
 
 func (s exploreState) key() string {
 	key := []byte(s.rowsKey)
-	flag := func(b bool) {
+	appendFlag := func(b bool) {
 		if b {
 			key = append(key, '+')
 		}
 	}
-	number := func(n int) { key = append(key, byte('a'+n)) }
+	appendNumber := func(n int) { key = append(key, byte('a'+n)) }
 	for p, proc := range s.procs {
 		key = append(key, '|')
-		number(proc.known)
-		flag(proc.alive)
+		appendNumber(proc.known)
+		appendFlag(proc.alive)
 		key = append(key, ',')
-		flag(proc.stopped)
+		appendFlag(proc.stopped)
 		if entry, ok := s.ledgers[p][exploreKey.ID]; ok {
 			key = append(key, 'e')
-			number(int(entry.State))
-			number(entry.Attempt)
-			number(entry.RefusedAttempt)
-			number(entry.ReachedAttempt)
+			appendNumber(int(entry.State))
+			appendNumber(entry.Attempt)
+			appendNumber(entry.RefusedAttempt)
+			appendNumber(entry.ReachedAttempt)
 			if entry.State == kernel.KeyRunning {
-				number(entry.LowestRunning)
+				appendNumber(entry.LowestRunning)
 			}
-			flag(entry.Pending != "")
+			appendFlag(entry.Pending != "")
 		}
 	}
 	for _, g := range s.grants {
@@ -202,21 +202,21 @@
 	}
 	for _, p := range s.pending {
 		key = append(key, 'p')
-		number(p.version)
+		appendNumber(p.version)
 		key = append(key, rowKey(p.row)...)
 	}
 	messages := slices.Clone(s.messages)
 	slices.SortFunc(messages, func(a, b exploreMessage) int { return a.to*10 + a.attempt - b.to*10 - b.attempt })
 	for _, m := range messages {
 		key = append(key, 'm')
-		number(m.to)
-		number(m.attempt)
+		appendNumber(m.to)
+		appendNumber(m.attempt)
 	}
 	key = append(key, '|')
 	for _, n := range []int{s.attempts, s.runs, s.runAttempt, s.told} {
-		number(n)
+		appendNumber(n)
 	}
-	flag(s.handed)
+	appendFlag(s.handed)
 	return string(key)
 }
 
@@ -231,14 +231,14 @@
 	e.seen[key] = true
 	switch {
 	case s.runs > 1:
-		e.found = "doubled: " + key
+		e.found = "service called twice: " + key
 	case s.runs > 0 && s.runAttempt <= s.told:
-		e.found = "NotRun untrue: " + key
+		e.found = "attempt ran after NotRun: " + key
 	}
 	e.todo = append(e.todo, s)
 }
 
-// explore visits all states, by breadth: a fault is found in the fewest steps.
+// explore visits all states breadth-first, so that a violation is found in the fewest steps.
 func (e *explorer) explore() {
 	e.seen = map[string]bool{}
 	e.push(e.first())
@@ -289,23 +289,23 @@
 			if e.found != "" {
 				t.Fatal(e.found)
 			}
-			t.Logf("holds in all %d states, %d steps deep", len(e.seen), e.steps)
+			t.Logf("invariants hold in all %d states, %d steps deep", len(e.seen), e.steps)
 		})
 	}
 }
 
 func TestExplorerFindsTheFaultsPutIn(t *testing.T) {
 	faults := map[string]fault{
-		"entry node says NotRun":                entrySaysNotRun,
-		"refusals are not remembered":           refusalForgotten,
-		"era starts below the horizon":          eraBelowHorizon,
-		"restart counts as the same member":     sameIncarnation,
-		"member runs on after its handover":     leaverRunsOn,
-		"owner runs beyond Firm without grants": runsWithoutGrants,
-		"one grant is taken for all":            oneGrantIsEnough,
-		"era starts below what was granted":     eraBelowGrants,
-		"grants go on while an era is written":  sealIgnored,
-		"heir does not get the leaver's memory": heirWithoutMemory,
+		"entry node answers NotRun":                  entrySaysNotRun,
+		"refusals are not remembered":                refusalForgotten,
+		"era starts below the horizon":               eraBelowHorizon,
+		"restart counts as the same member":          sameIncarnation,
+		"member runs keys after its handover":        leaverRunsOn,
+		"owner runs keys beyond Firm without grants": runsWithoutGrants,
+		"one grant is taken for all":                 oneGrantIsEnough,
+		"era starts below what was granted":          eraBelowGrants,
+		"grants go on while an era is written":       sealIgnored,
+		"successor does not get the entries":         heirWithoutMemory,
 	}
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -316,7 +316,7 @@
 			}
 			e.explore()
 			if e.found == "" {
-				t.Fatalf("not found in %d states", len(e.seen))
+				t.Fatalf("fault not found in %d states", len(e.seen))
 			}
 			t.Logf("found after %d states and %d steps: %s", len(e.seen), e.steps, e.found)
 		})
--- a/kernel/grants.go
+++ b/kernel/grants.go
@@ -7,35 +7,34 @@
 	"time"
 )
 
-// Grants lets a fleet go on with keys while the table is down, without anybody becoming
-// irreplaceable for the whole horizon. Each member of the newest era may grant that the keys up
-// to some time keep their owners; an owner runs keys beyond Firm only up to what all of them
-// have granted. Whoever starts an era starts it above what a member has granted, and that
-// member grants no more until the row has changed: so no key that was run under grants can get
-// a second owner. No clock is trusted; a member that is lost stops further grants, not safety.
-// The value changes in place and is guarded by its owner.
+// Grants allows owners to run keys issued beyond Firm while the table is down, without making any single member
+// irreplaceable until the horizon. Each member of the newest era can grant that keys issued up to some time keep
+// their owners; an owner runs keys beyond Firm only up to the time that all of them have granted. Whoever starts an
+// era starts it at or above what one of these members has granted, and that member grants no more until the row has
+// changed, so no key that ran under grants can get a second owner. Safety depends on no clock; the loss of a member
+// stops further grants but does not affect safety. Grants changes in place and is guarded by its owner.
 type Grants struct {
 	self string
-	// era is the number of the era that given and got belong to.
+	// era is the number of the era that granted and received belong to.
 	era uint64
-	// granted is how far this member itself has granted.
+	// granted is the end of the key time that this member has granted.
 	granted time.Time
-	// sealedRow and writing are the numbers of the rows against which another node and this one
-	// are writing an era: nothing is granted while the row that this member knows is not
-	// newer.
+	// sealedRow and writingRow are the numbers of the rows against which another node and this one are writing an
+	// era. This member grants nothing until it knows a newer row.
 	sealedRow  uint64
 	writingRow uint64
-	// received is how far the others have granted.
+	// received is the end of the key time that each other member has granted, by member ID.
 	received map[string]time.Time
 }
 
-// NewGrants returns the grants of a member that gave and got none.
+// NewGrants returns the state of a member that has granted and received nothing.
 func NewGrants(self Member) *Grants {
 	return &Grants{self: self.ID(), received: map[string]time.Time{}}
 }
 
-// Grant extends what this member grants, up to the row's horizon. It refuses where the era is
-// not the newest that it knows, where it is not of it, or where an era may be under way.
+// Grant extends what this member grants, at most up to the horizon of the row, and returns the end of what it has
+// granted. It returns false if era is not the newest one in the row, if this member is not part of it, or if a new
+// era may be under way.
 func (g *Grants) Grant(row Claims, era uint64, until time.Time) (time.Time, bool) {
 	newest := row.NewestEra()
 	if newest.Number != era || row.Number <= max(g.sealedRow, g.writingRow) || !newest.hasMember(g.self) {
@@ -49,7 +48,7 @@
 	return g.granted, true
 }
 
-// Record notes what another member has granted.
+// Record stores what another member has granted. Grants for an earlier era are ignored.
 func (g *Grants) Record(member string, era uint64, until time.Time) {
 	if era < g.era {
 		return
@@ -58,20 +57,20 @@
 	g.received[member] = later(g.received[member], until)
 }
 
-// Seal stops the grants until a row newer than number is known, for another node that writes
-// an era against that row. It returns the key time at or above which that era must start.
+// Seal stops the grants of this member until it knows a row newer than number, because another node writes an era
+// against that row. It returns the earliest key time at which that era may start.
 func (g *Grants) Seal(row Claims, number uint64) time.Time {
 	g.sealedRow = max(g.sealedRow, number)
 	return g.lowestEraStart(row)
 }
 
-// BeginEra does the same for an era that this member itself writes.
+// BeginEra does the same as Seal for an era that this member itself writes.
 func (g *Grants) BeginEra(row Claims) time.Time {
 	g.writingRow = row.Number
 	return g.lowestEraStart(row)
 }
 
-// CancelEra lets grants go on after a write of this member's that certainly had no effect.
+// CancelEra resumes grants after a write by this member that certainly had no effect.
 func (g *Grants) CancelEra() {
 	g.writingRow = 0
 }
@@ -90,11 +89,11 @@
 	return &c
 }
 
-// String shows the state, for logs and tests.
+// String returns the state as text, for logs and tests.
 func (g *Grants) String() string {
 	text := []byte("era ")
 	text = strconv.AppendUint(text, g.era, 10)
-	text = append(text, " given "...)
+	text = append(text, " granted "...)
 	text = strconv.AppendInt(text, g.granted.UnixMilli(), 10)
 	text = append(text, " sealed "...)
 	text = strconv.AppendUint(text, max(g.sealedRow, g.writingRow), 10)
@@ -105,19 +104,19 @@
 	return string(text)
 }
 
-// Bound returns up to what key time an owner may run keys now.
+// Bound returns the end of the key time up to which an owner may run keys now.
 func (g *Grants) Bound(row Claims) time.Time {
 	newest := row.NewestEra()
 	if g.era != newest.Number {
 		return row.Firm
 	}
 	bound := row.Horizon
-	granted := 0
+	owners := 0
 	for _, m := range newest.Members {
 		if row.HasLeft(m.ID()) {
 			continue
 		}
-		granted++
+		owners++
 		until := g.received[m.ID()]
 		if m.ID() == g.self {
 			until = g.granted
@@ -126,13 +125,13 @@
 			bound = until
 		}
 	}
-	if granted == 0 {
+	if owners == 0 {
 		return row.Firm
 	}
 	return later(row.Firm, bound)
 }
 
-// enterEra forgets what belongs to an earlier era.
+// enterEra switches to an era and discards the grants that belong to another one.
 func (g *Grants) enterEra(era uint64) {
 	if g.era == era {
 		return
--- a/kernel/key.go
+++ b/kernel/key.go
@@ -17,19 +17,19 @@
 	uuidVersion7 = 7
 )
 
-// ErrBadKey is returned for a key that no request may carry.
+// ErrBadKey is returned for a malformed idempotency key.
 var ErrBadKey = errors.New("kernel: an idempotency key is 1 to 128 printable ASCII characters without spaces")
 
-// Key is a parsed idempotency key of one customer.
+// Key is the parsed idempotency key of a customer.
 type Key struct {
-	// ID is unique over all customers.
+	// ID is unique across customers.
 	ID string
-	// Issued is the time of issue that a UUIDv7 carries; zero in any other key.
+	// Issued is the time of issue that a UUIDv7 carries; zero for any other key.
 	Issued time.Time
 }
 
-// ParseKey parses what a caller sent as Idempotency-Key. A UUIDv7 (RFC 9562) is brought to
-// its canonical form, so that one key in two spellings stays one key.
+// ParseKey parses the value of an Idempotency-Key header. A UUIDv7 (RFC 9562) is brought to its canonical form, so
+// that two spellings of a key are the same key.
 func ParseKey(customer, raw string) (Key, error) {
 	if raw == "" || len(raw) > maxKeyLength {
 		return Key{}, ErrBadKey
@@ -45,7 +45,7 @@
 	}
 	id, err := uuid.Parse(raw)
 	if err != nil || id.Version() != uuidVersion7 || id.Variant() != uuid.RFC4122 {
-		return key, nil //nolint:nilerr // any other form is a key without a time
+		return key, nil //nolint:nilerr // any other form is a valid key without a time
 	}
 	var millis int64
 	for _, b := range id[:6] {
@@ -56,13 +56,13 @@
 	return key, nil
 }
 
-// Timed tells whether the key carries its time of issue.
+// Timed reports whether the key carries its time of issue.
 func (k Key) Timed() bool {
 	return !k.Issued.IsZero()
 }
 
-// Mode returns what guards the key against a second run. It depends on the key's form alone,
-// so that no change of settings can ever move a key from one arbiter to another.
+// Mode returns the mechanism that prevents a second run of the key. It depends on the form of the key alone, so that
+// no change of settings can move a key from one mechanism to another.
 func (k Key) Mode() model.KeyMode {
 	if k.Timed() {
 		return model.Claims
@@ -70,8 +70,7 @@
 	return model.Durable
 }
 
-// Fingerprint identifies what a key was first used for, so that another request under the
-// same key is told from a retry.
+// Fingerprint returns a hash of what a key is used for, which tells a retry from another request with the same key.
 func Fingerprint(r model.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Account(), r.Pipeline, r.Input.Text, r.Input.Prefix} {
@@ -82,7 +81,7 @@
 }
 
 func rendezvousScore(subject, member string) uint64 {
-	// The two hashes are mixed after hashing: a plain concatenation correlates neighbours.
+	// The two hashes are mixed afterwards, because hashes of a plain concatenation are correlated for similar names.
 	mixed := xxhash.Sum64String(subject) ^ (xxhash.Sum64String(member) * 0x9e3779b97f4a7c15)
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
--- a/kernel/lease.go
+++ b/kernel/lease.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// LeaseDuration is how long a lease holds after the moment its write was sent.
+	// LeaseDuration is how long a lease is valid after its write was sent.
 	LeaseDuration = 6 * time.Second
-	// OrderTimeout bounds how long an order may be under way to an engine.
+	// OrderTimeout bounds how long an order to an engine may be in flight.
 	OrderTimeout = 2 * time.Second
-	// leaseMargin is what a holder keeps clear of the end of its lease.
+	// leaseMargin is how long before the end of its lease a holder stops sending orders.
 	leaseMargin = 500 * time.Millisecond
-	// leaseCandidates is how many members stand by for a pool's lease.
+	// leaseCandidates is how many members, by rank, may take over the lease of a pool.
 	leaseCandidates = 3
 )
 
 type (
-	// Lease is the row that says who gives orders to a pool's engines.
+	// Lease is the table row that names the member that sends orders to the engines of a pool.
 	Lease struct {
 		Holder Member
 		// Number is the fencing number; it grows with each new holder.
@@ -26,20 +26,19 @@
 		Writer string
 	}
 
-	// LeaseView is what a node knows of a lease, by its own monotonic clock alone.
+	// LeaseView is what a node knows of a lease. All its times are of the monotonic clock of the node.
 	LeaseView struct {
 		Lease Lease
-		// Version is the row's; it changes with each renewal.
+		// Version is the version of the row; it changes with each renewal.
 		Version uint64
-		// FirstSeen is when this version was first seen.
+		// FirstSeen is when the node first saw this version.
 		FirstSeen time.Time
-		// HeldUntil is set while this node holds the lease: the moment its last write was
-		// sent plus the length of a lease.
+		// HeldUntil is set while this node holds the lease: when its last write was sent, plus LeaseDuration.
 		HeldUntil time.Time
 	}
 )
 
-// WithRead returns the watch after the row was read.
+// WithRead returns the view after the row was read.
 func (w LeaseView) WithRead(now time.Time, lease Lease, version uint64) LeaseView {
 	if version == w.Version && !w.FirstSeen.IsZero() {
 		return w
@@ -53,8 +52,8 @@
 	return w
 }
 
-// WithWrite returns the watch after this node's write took effect. What counts is when it
-// was sent, not when the answer came.
+// WithWrite returns the view after a write by this node took effect. The lease counts from when the write was sent,
+// not from when the reply arrived.
 func (w LeaseView) WithWrite(now, sent time.Time, lease Lease, version uint64) LeaseView {
 	w.Lease = lease
 	w.Version = version
@@ -63,19 +62,21 @@
 	return w
 }
 
-// MayOrder tells whether this node may send an order now. It is asked just before each order.
+// MayOrder reports whether this node may send an order now. It must be called just before each order.
 func (w LeaseView) MayOrder(now time.Time) bool {
 	return !w.HeldUntil.IsZero() && now.Before(w.HeldUntil.Add(-leaseMargin))
 }
 
-// ShouldRenew tells whether the holder should write the row again.
+// ShouldRenew reports whether the holder should write the row again to renew the lease: once a third of LeaseDuration
+// has passed.
 func (w LeaseView) ShouldRenew(now time.Time) bool {
 	return w.MayOrder(now) && now.After(w.HeldUntil.Add(-LeaseDuration*2/3))
 }
 
-// MayAcquire tells whether a node that stands by at a rank may take the lease: the row has not
-// changed for a lease and the longest order, so that whatever the old holder sent is over,
-// even if its engines ignore fencing numbers.
+// MayAcquire reports whether the candidate with the given rank may take over the lease: the row has not changed for
+// LeaseDuration plus OrderTimeout, so that no order of the previous holder is in flight any more, even if the engines
+// ignore fencing numbers. Each further rank waits another LeaseDuration. A pool that never had a lease needs only the
+// wait of the rank.
 func (w LeaseView) MayAcquire(now time.Time, rank int) bool {
 	if w.FirstSeen.IsZero() || w.MayOrder(now) {
 		return false
@@ -87,8 +88,8 @@
 	return now.Sub(w.FirstSeen) >= wait
 }
 
-// LeaseRank returns a member's place among those that stand by for a pool's lease; false for
-// all others, who need not read the row.
+// LeaseRank returns the rank of a member among the candidates for the lease of a pool. It returns false for all other
+// members, which need not read the row.
 func LeaseRank(pool string, self Member, alive []Member) (int, bool) {
 	ranked := slices.Clone(alive)
 	slices.SortFunc(ranked, func(a, b Member) int {
--- a/kernel/ledger.go
+++ b/kernel/ledger.go
@@ -6,58 +6,63 @@
 	"basilstall.example/basilstall/model"
 )
 
-// KeyState is what an owner knows of a key.
+// KeyState is what the owner of a key knows about the run of its request.
 type KeyState int
 
 // The states of a key.
 const (
-	// KeyRunning: a request with this key is in flight here.
+	// KeyRunning: a request with this key is in flight at this owner.
 	KeyRunning KeyState = iota + 1
-	// KeyDone: it ran and its answer is kept.
+	// KeyDone: the request ran and its answer is kept.
 	KeyDone
-	// KeyRetryable: it ended without an answer and its non-idempotent call was never sent, so
-	// that an attempt above those that were told NotRun may run.
+	// KeyRetryable: the request ended without an answer and its non-idempotent call was never sent. An attempt
+	// above RefusedAttempt may run.
 	KeyRetryable
-	// KeyOutcomeUnknown: the non-idempotent call was sent; it is never sent again.
+	// KeyOutcomeUnknown: the non-idempotent call was sent, or may have been, and its outcome
+	// is not known; it is never sent again.
 	KeyOutcomeUnknown
 )
 
-// noAttempt is below every attempt's number.
+// noAttempt is lower than any attempt number.
 const noAttempt = -1
 
-// LedgerAction is what the owner does with a keyed request.
+// LedgerAction is what the owner of a key does with a request that carries it.
 type LedgerAction int
 
 // The actions.
 const (
+	// LedgerRun: run the request.
 	LedgerRun LedgerAction = iota + 1
+	// LedgerJoin: wait for the outcome of the running request with the same key.
 	LedgerJoin
+	// LedgerAnswer: return the stored answer.
 	LedgerAnswer
+	// LedgerRefuse: refuse the request.
 	LedgerRefuse
 )
 
 type (
-	// LedgerEntry is what is remembered of one key.
+	// LedgerEntry is the record of one key.
 	LedgerEntry struct {
 		State       KeyState
 		Fingerprint uint64
-		// Attempt is the highest attempt that was seen.
+		// Attempt is the highest attempt that was received.
 		Attempt int
-		// RefusedAttempt is the highest attempt that was told NotRun, or -1. It never falls:
-		// a held-up attempt up to it may still arrive and must not run.
+		// RefusedAttempt is the highest attempt that was answered with NotRun, or -1. It never decreases: a delayed
+		// attempt up to it may still arrive and must not run.
 		RefusedAttempt int
-		// ReachedAttempt is the highest attempt of a request that ended without an answer after an endpoint had
-		// got it, or -1. NotRun is not said of attempts up to it: a node that did not hear how one
-		// ended asks again, and what then refuses it at the door knows nothing of the stages made before.
+		// ReachedAttempt is the highest attempt of a request that ended without an answer after it had reached an
+		// endpoint, or -1. Attempts up to it are not answered with NotRun: a node that does not learn how such an
+		// attempt ended sends it again, and the admission check that may then refuse it does not know which stages
+		// ran before.
 		ReachedAttempt int
 		// LowestRunning is the lowest attempt that waits for the running request.
 		LowestRunning int
 		Issued        time.Time
 		Answer        model.Answer
-		// Refusal is set in the states KeyOpen and KeyUnknown.
+		// Refusal is set in the states KeyRetryable and KeyOutcomeUnknown.
 		Refusal *model.Refusal
-		// Pending names the member that left and still runs the key; it alone may tell how
-		// the key ended.
+		// Pending is the ID of the member that left and still runs the key; only that member can report how it ended.
 		Pending string
 	}
 
@@ -70,10 +75,11 @@
 		Refusal *model.Refusal
 	}
 
-	// Ledger is an owner's memory of keys. The caller guards it with a mutex.
+	// Ledger holds the keys that an owner has admitted, and how their requests ended. The caller guards it with a
+	// mutex.
 	Ledger struct {
 		entries map[string]LedgerEntry
-		// cutoff only moves forward: keys issued before it are forgotten and never run.
+		// cutoff only moves forward: keys issued before it are no longer remembered and never run.
 		cutoff time.Time
 	}
 )
@@ -83,8 +89,8 @@
 	return &Ledger{entries: map[string]LedgerEntry{}, cutoff: cutoff}
 }
 
-// Admit decides on a keyed request at its owner. LedgerRun marks the key as running: the
-// caller must end it with Finish, Refuse or Fail.
+// Admit decides on a request with a key at the owner of the key. LedgerRun marks the key as running; the caller must
+// end the run with Finish or Refuse.
 func (l *Ledger) Admit(key Key, fingerprint uint64, attempt int) LedgerDecision {
 	if key.Timed() && key.Issued.Before(l.cutoff) {
 		return refuseKey(model.NewRefusal(model.MayHaveRun, model.KeyTooOld, 0,
@@ -136,10 +142,10 @@
 	l.entries[key.ID] = entry
 }
 
-// Refuse records how a running key ended without an answer. Sent tells whether its
-// non-idempotent call may have reached the service: then the key is closed for good. A NotRun
-// closes it for all attempts seen so far, since one that was held up may still arrive. It returns what those
-// who wait are to be told: not NotRun where an endpoint had got one of their attempts before.
+// Refuse records that the run of a key ended without an answer. Sent tells whether its non-idempotent call may have
+// reached the service; the key is then closed permanently. A NotRun closes the key for all attempts received so far,
+// since a delayed one may still arrive. Refuse returns the refusal for the attempts that wait for the run: its
+// verdict is not NotRun if an endpoint had received one of them before.
 func (l *Ledger) Refuse(key Key, refusal *model.Refusal, sent bool) *model.Refusal {
 	entry := l.entries[key.ID]
 	if refusal.Verdict == model.NotRun {
@@ -159,7 +165,8 @@
 	return refusal
 }
 
-// refusalVerdict returns what may be said of an attempt that is refused before anything runs.
+// refusalVerdict returns the verdict for an attempt that is refused before anything runs: MayHaveRun if the attempt
+// may have reached an endpoint earlier.
 func (e LedgerEntry) refusalVerdict(attempt int) model.Verdict {
 	if attempt <= e.ReachedAttempt {
 		return model.MayHaveRun
@@ -167,7 +174,8 @@
 	return model.NotRun
 }
 
-// Expire forgets keys issued before now less the retention, and refuses them from then on.
+// Expire removes the keys issued before now less the retention, except running ones, and refuses keys issued before
+// that time from then on.
 func (l *Ledger) Expire(now time.Time, retention time.Duration) {
 	cutoff := now.Add(-retention)
 	if !cutoff.After(l.cutoff) {
@@ -181,24 +189,24 @@
 	}
 }
 
-// Len returns how many keys are remembered.
+// Len returns the number of keys in the ledger.
 func (l *Ledger) Len() int {
 	return len(l.entries)
 }
 
-// Cutoff returns the oldest time of issue that is still accepted.
+// Cutoff returns the earliest time of issue that is accepted.
 func (l *Ledger) Cutoff() time.Time {
 	return l.cutoff
 }
 
-// Entry returns what is remembered of a key.
+// Entry returns the record of a key.
 func (l *Ledger) Entry(id string) (LedgerEntry, bool) {
 	e, ok := l.entries[id]
 	return e, ok
 }
 
-// Export returns all entries for the member that takes them over. Keys that still run here
-// are pending there until ExportEnded tells how they ended.
+// Export returns all entries for the member that takes over the keys. Keys that still run here are marked as pending
+// at self; ExportEnded returns how they ended.
 func (l *Ledger) Export(self string) map[string]LedgerEntry {
 	out := make(map[string]LedgerEntry, len(l.entries))
 	for id, entry := range l.entries {
@@ -210,7 +218,7 @@
 	return out
 }
 
-// ExportEnded returns the entries with the given IDs that no longer run.
+// ExportEnded returns the entries with the given IDs that are no longer running.
 func (l *Ledger) ExportEnded(ids []string) map[string]LedgerEntry {
 	out := map[string]LedgerEntry{}
 	for _, id := range ids {
@@ -221,7 +229,7 @@
 	return out
 }
 
-// Running returns the IDs of the keys that run.
+// Running returns the IDs of the running keys.
 func (l *Ledger) Running() []string {
 	var out []string
 	for id, entry := range l.entries {
@@ -232,8 +240,8 @@
 	return out
 }
 
-// Import adds the entries of a member that left. An entry that is known here stays, unless
-// it is pending at just that member.
+// Import adds the entries of a member that left and moves the cutoff forward to that of the member. An existing entry
+// is kept unless it is pending at that member.
 func (l *Ledger) Import(from string, entries map[string]LedgerEntry, cutoff time.Time) {
 	for id, entry := range entries {
 		if known, ok := l.entries[id]; !ok || known.Pending == from {
@@ -254,11 +262,10 @@
 		"the key's request may have run; it will not run again")
 }
 
-// withPending returns the entry as a successor holds it while the member that leaves still
-// runs it.
-func (e LedgerEntry) withPending(by string) LedgerEntry {
+// withPending returns the entry as the successor stores it while the leaving member still runs the key.
+func (e LedgerEntry) withPending(member string) LedgerEntry {
 	e.State = KeyOutcomeUnknown
 	e.Refusal = unknownOutcome()
-	e.Pending = by
+	e.Pending = member
 	return e
 }
--- a/kernel/ledger_test.go
+++ b/kernel/ledger_test.go
@@ -31,12 +31,12 @@
 		action  kernel.LedgerAction
 		verdict model.Verdict
 	}{
-		{"in flight is joined", func(*kernel.Ledger) {}, 2, kernel.LedgerJoin, ""},
-		{"answered is repeated", func(l *kernel.Ledger) { l.Finish(key, model.Answer{Output: "x"}) }, 2, kernel.LedgerAnswer, ""},
-		{"NotRun closes the same attempt", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.NotRun), false) }, 1, kernel.LedgerRefuse, model.NotRun},
+		{"a running request is joined", func(*kernel.Ledger) {}, 2, kernel.LedgerJoin, ""},
+		{"a stored answer is repeated", func(l *kernel.Ledger) { l.Finish(key, model.Answer{Output: "x"}) }, 2, kernel.LedgerAnswer, ""},
+		{"NotRun closes the key for the same attempt", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.NotRun), false) }, 1, kernel.LedgerRefuse, model.NotRun},
 		{"NotRun lets a higher attempt run", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.NotRun), false) }, 2, kernel.LedgerRun, ""},
-		{"unsent lets the same attempt run", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.MayHaveRun), false) }, 1, kernel.LedgerRun, ""},
-		{"sent closes for good", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.MayHaveRun), true) }, 9, kernel.LedgerRefuse, model.MayHaveRun},
+		{"a failure before the call was sent lets the same attempt run", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.MayHaveRun), false) }, 1, kernel.LedgerRun, ""},
+		{"a call that was sent closes the key permanently", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.MayHaveRun), true) }, 9, kernel.LedgerRefuse, model.MayHaveRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -69,35 +69,35 @@
 	l.Finish(key, model.Answer{})
 	l.Expire(ledgerStart.Add(time.Hour), time.Minute)
 	must.EqOp(t, 0, l.Len())
-	// The clock goes back: the cutoff does not.
+	// The cutoff does not go back with the clock.
 	l.Expire(ledgerStart, time.Minute)
 	d := l.Admit(key, 1, 0)
 	must.EqOp(t, model.KeyTooOld, d.Refusal.Reason)
 	must.EqOp(t, model.MayHaveRun, d.Refusal.Verdict)
 }
 
-// What was seen: a caller was told NotRun of a request that an endpoint had got, in some of many runs under more load
-// than places. How it comes about: the node that a caller asked does not hear from the key's owner how a request ended, and
-// asks again; the first one had ended after its first stage, so the owner runs it again, and now refuses it at the
-// door. Proved by these three steps.
+// Under more load than capacity, a caller could be told NotRun of a request that an endpoint had received: the node
+// that the caller asked does not learn from the owner of the key how the request ended, and sends it again. The first
+// run ended after its first stage, so the owner runs the request again and now refuses it at admission.
 func TestNotRunIsNotSaidOfAnAttemptThatReachedAnEndpoint(t *testing.T) {
 	l := kernel.NewLedger(time.Time{})
 	key := timedKey("c/k", ledgerStart)
 	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 1).Action)
 	must.EqOp(t, model.MayHaveRun, l.Refuse(key, refusal(model.MayHaveRun), false).Verdict)
 
-	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 1).Action, must.Sprint("asked again"))
+	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 1).Action, must.Sprint("the same attempt is sent again"))
 	must.EqOp(t, model.MayHaveRun, l.Refuse(key, refusal(model.NotRun), false).Verdict)
 
 	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 2).Action, must.Sprint("a new attempt"))
 	must.EqOp(t, model.NotRun, l.Refuse(key, refusal(model.NotRun), false).Verdict)
 
 	late := l.Admit(key, 1, 1)
-	must.EqOp(t, kernel.LedgerRefuse, late.Action, must.Sprint("the first attempt, held up"))
+	must.EqOp(t, kernel.LedgerRefuse, late.Action, must.Sprint("the first attempt arrives late"))
 	must.EqOp(t, model.MayHaveRun, late.Refusal.Verdict)
 }
 
-// A new attempt that joins the request of one that had reached an endpoint shares its outcome.
+// An attempt that reached an endpoint joins the run of a higher one. Both get the same verdict, which must not be
+// NotRun.
 func TestWhoJoinsIsToldTheSame(t *testing.T) {
 	l := kernel.NewLedger(time.Time{})
 	key := timedKey("c/k", ledgerStart)
@@ -108,21 +108,21 @@
 	must.EqOp(t, model.MayHaveRun, l.Refuse(key, refusal(model.NotRun), false).Verdict)
 }
 
-// ledgerModel is what a ledger must do, kept beside it by the state machine.
+// ledgerModel is the reference model that the state machine compares a ledger with.
 type ledgerModel struct {
 	ledger  *kernel.Ledger
 	running map[string]bool
 	sent    map[string]bool
 	told    map[string]int
 	highest map[string]int
-	// lowest and reached are the lowest attempt that waits, and the highest that an endpoint had got.
+	// lowest and reached are, by key, the lowest attempt that waits and the highest that reached an endpoint.
 	lowest  map[string]int
 	reached map[string]int
 }
 
-// TestLedgerHoldsInRandomInterleavings: a key whose call was sent never runs again, one that
-// runs is never started beside itself, an attempt that was told NotRun never runs, and NotRun is not said of one that
-// reached an endpoint.
+// TestLedgerHoldsInRandomInterleavings checks the invariants of a ledger: a key whose call was sent never runs again,
+// a running key is not started a second time, an attempt that was answered with NotRun never runs, and an attempt
+// that reached an endpoint is not answered with NotRun.
 func TestLedgerHoldsInRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{
@@ -144,12 +144,12 @@
 	id := fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
 	attempt := rapid.IntRange(0, 4).Draw(t, "attempt")
 	d := m.ledger.Admit(timedKey(id, ledgerStart), 1, attempt)
-	told, wasTold := m.told[id]
+	refusedAttempt, wasRefused := m.told[id]
 	switch d.Action {
 	case kernel.LedgerRun:
 		must.False(t, m.running[id])
 		must.False(t, m.sent[id])
-		must.True(t, !wasTold || attempt > told)
+		must.True(t, !wasRefused || attempt > refusedAttempt)
 		m.running[id] = true
 	case kernel.LedgerJoin:
 		must.True(t, m.running[id])
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -11,12 +11,12 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Found in review: a pool may get requests of a route and pieces of a stage. The nodes that share what an endpoint takes use
-// it up with requests, and the pool's batcher sends pieces besides, 1.6 times the rate in all, 2.2 times with two batchers.
-// Cause: a bound on what all nodes send together, of which two kinds of senders each took the whole. Proved by: these tests
-// with mixedPart at 1.
+// A pool can get requests of a route and pieces of a stage. If the nodes that send requests and the batcher that
+// sends pieces each use all that an endpoint may take, the endpoint gets 1.6 times its rate in all, 2.2 times with
+// two batchers. The pool therefore splits what its endpoints may take between requests and pieces; these tests fail
+// if each side gets all of it.
 
-// mixedTable returns a routing whose pool gets requests and pieces.
+// mixedTable returns a route table in which the pool "mixed" gets requests and pieces.
 func mixedTable() *kernel.RouteTable {
 	return kernel.NewRouteTable(model.Routing{
 		Version: 1,
@@ -41,7 +41,8 @@
 	must.EqOp(t, 1.0, table.Part("unknown"))
 }
 
-// Requests and pieces together keep within the rate cap of an endpoint that gets both, also where a second batcher begins.
+// Requests and pieces together stay within the rate cap of an endpoint that gets both, also after another batcher has
+// taken over.
 func TestRequestsAndPiecesTogetherKeepWithinARateCap(t *testing.T) {
 	t.Parallel()
 	part := mixedTable().Part("mixed")
@@ -66,7 +67,8 @@
 	}
 }
 
-// A cold endpoint that gets requests and pieces bears what both bring, also while two choices of senders are in force.
+// A cold endpoint that gets requests and pieces receives no more than its limit from both together, also while nodes
+// disagree about which of them may send to it.
 func TestRequestsAndPiecesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
 	t.Parallel()
 	part := mixedTable().Part("mixed")
--- a/kernel/orders.go
+++ b/kernel/orders.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// adapterCopies is on how many engines an adapter is kept that is in use.
+	// adapterCopies is on how many engines an adapter in use is kept loaded.
 	adapterCopies = 2
-	// AdapterIdleTimeout is how long an adapter stays loaded that nobody uses.
+	// AdapterIdleTimeout is how long an adapter without demand stays loaded.
 	AdapterIdleTimeout = time.Minute
 )
 
 type (
-	// Demand is what requests want of an adapter.
+	// Demand is the demand of requests for an adapter.
 	Demand struct {
 		Adapter string
-		// Deadline is the earliest of the requests that wait for it; zero if none waits.
+		// Deadline is the earliest deadline of the requests that wait for the adapter; zero if none waits.
 		Deadline time.Time
-		// Used is when it was last wanted.
+		// Used is when a request last needed the adapter.
 		Used time.Time
 	}
 
-	// EngineView is what an engine reported of itself.
+	// EngineView is the state that an engine reported.
 	EngineView struct {
 		Name     string
 		Adapters []string
-		// MaxAdapters is how many adapters it has room for.
+		// MaxAdapters is how many adapters the engine has room for.
 		MaxAdapters int
 	}
 
@@ -37,25 +37,25 @@
 		Evict   bool
 	}
 
-	// OrderPlanner is the level-triggered planner of one pool: it compares what is wanted with
+	// OrderPlanner plans the orders to the engines of one pool. It is level-triggered: it compares the demand with
 	// what the engines report. It changes in place.
 	OrderPlanner struct {
 		demands map[string]Demand
-		// inFlight has the orders under way and until when they are not repeated.
+		// inFlight holds the orders in flight and the time until which each of them is not repeated.
 		inFlight map[Order]time.Time
-		// loads is when the weight store next gives a load.
+		// nextLoad is when the weight store allows the next load.
 		nextLoad time.Time
-		// LoadInterval is the weight store's rate.
+		// LoadInterval is the least time between two loads from the weight store.
 		LoadInterval time.Duration
 	}
 )
 
-// NewOrderPlanner returns a planner that keeps to the weight store's rate.
-func NewOrderPlanner(loadEvery time.Duration) *OrderPlanner {
-	return &OrderPlanner{demands: map[string]Demand{}, inFlight: map[Order]time.Time{}, LoadInterval: loadEvery}
+// NewOrderPlanner returns a planner that keeps loadInterval between two loads from the weight store.
+func NewOrderPlanner(loadInterval time.Duration) *OrderPlanner {
+	return &OrderPlanner{demands: map[string]Demand{}, inFlight: map[Order]time.Time{}, LoadInterval: loadInterval}
 }
 
-// AddDemand takes a demand in.
+// AddDemand merges a demand with the known demand for the same adapter.
 func (o *OrderPlanner) AddDemand(now time.Time, d Demand) {
 	known, ok := o.demands[d.Adapter]
 	if !ok || known.Used.Before(d.Used) {
@@ -68,14 +68,14 @@
 	o.demands[d.Adapter] = known
 }
 
-// OrderEnded notes that an order's outcome is known: it was obeyed, refused or failed. What was
-// obeyed shows in the engine's report; the rest may be ordered again.
+// OrderEnded records that the outcome of an order is known: the engine executed it, or it was refused or failed. An
+// executed order shows in the report of the engine; any other may be sent again.
 func (o *OrderPlanner) OrderEnded(order Order) {
 	delete(o.inFlight, order)
 }
 
-// Plan returns the orders to send now, the most urgent first. An order under way is not
-// repeated before it has had its time.
+// Plan returns the orders to send now, the most urgent first. An order in flight is not repeated before OrderTimeout
+// has passed.
 func (o *OrderPlanner) Plan(now time.Time, engines []EngineView) []Order {
 	o.dropIdleDemands(now)
 	loads := o.loadsInFlight(now)
@@ -101,7 +101,7 @@
 }
 
 func (o *OrderPlanner) addOrder(now time.Time, plan []Order, order Order) []Order {
-	if until, underWay := o.inFlight[order]; underWay && now.Before(until) {
+	if until, isInFlight := o.inFlight[order]; isInFlight && now.Before(until) {
 		return plan
 	}
 	o.inFlight[order] = now.Add(OrderTimeout)
@@ -116,7 +116,8 @@
 	}
 }
 
-// loadsInFlight returns by engine the adapters that orders under way will load.
+// loadsInFlight returns, by engine, the adapters that orders in flight will load. Orders whose time has passed are
+// dropped.
 func (o *OrderPlanner) loadsInFlight(now time.Time) map[string][]string {
 	loads := map[string][]string{}
 	for order, until := range o.inFlight {
@@ -132,11 +133,11 @@
 }
 
 func (o *OrderPlanner) byUrgency() []Demand {
-	out := make([]Demand, 0, len(o.demands))
+	sorted := make([]Demand, 0, len(o.demands))
 	for _, d := range o.demands {
-		out = append(out, d)
+		sorted = append(sorted, d)
 	}
-	slices.SortFunc(out, func(a, b Demand) int {
+	slices.SortFunc(sorted, func(a, b Demand) int {
 		switch {
 		case a.Deadline.IsZero() != b.Deadline.IsZero():
 			if a.Deadline.IsZero() {
@@ -151,7 +152,7 @@
 			return 1
 		}
 	})
-	return out
+	return sorted
 }
 
 func (o *OrderPlanner) copies(adapter string, engines []EngineView, loads map[string][]string) int {
@@ -164,8 +165,8 @@
 	return n
 }
 
-// chooseEngine returns the engine with the fewest adapters that lacks this one, and what it must
-// evict for it: an adapter that nobody wants, or the one that was used longest ago.
+// chooseEngine returns the index of the engine with the fewest adapters that lacks this one, or -1, and which adapter
+// the engine must evict for it: one without demand, or else the least recently used.
 func (o *OrderPlanner) chooseEngine(adapter string, engines []EngineView, loads map[string][]string) (engine int, evict string) {
 	engine = -1
 	for i, e := range engines {
@@ -192,11 +193,11 @@
 	return len(e.Adapters) + len(loads[e.Name])
 }
 
-// evictIdle adds orders for what engines hold and nobody has wanted for long.
+// evictIdle adds orders to evict the loaded adapters that have had no demand for AdapterIdleTimeout.
 func (o *OrderPlanner) evictIdle(now time.Time, plan []Order, engines []EngineView) []Order {
 	for _, e := range engines {
 		for _, adapter := range e.Adapters {
-			if _, wanted := o.demands[adapter]; !wanted {
+			if _, inDemand := o.demands[adapter]; !inDemand {
 				plan = o.addOrder(now, plan, Order{Engine: e.Name, Adapter: adapter, Evict: true})
 			}
 		}
--- a/kernel/orders_test.go
+++ b/kernel/orders_test.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// TestNoTwoOrderersAtOnce: two nodes, any pauses, slow and lost answers, engines that ignore
+// TestNoTwoOrderersAtOnce runs two nodes with arbitrary pauses, slow and lost replies, and engines that ignore
 // fencing numbers. No order of an earlier holder arrives after the first order of a later one.
 func TestNoTwoOrderersAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -27,8 +27,8 @@
 	})
 }
 
-// TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing is the one interleaving that counts
-// most, step by step.
+// TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing steps through the most critical interleaving: a holder is
+// paused while its lease expires, and another node takes over.
 func TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing(t *testing.T) {
 	at := func(s int) time.Time { return ledgerStart.Add(time.Duration(s) * time.Second) }
 	lease := kernel.Lease{Holder: members(2)[0], Number: 1}
@@ -36,19 +36,21 @@
 	must.True(t, holder.MayOrder(at(3)))
 	must.True(t, holder.MayOrder(at(6)))
 	must.False(t, holder.MayOrder(at(7)), must.Sprint("a lease counts from when its write was sent"))
-	other := kernel.LeaseView{}.WithRead(at(2), lease, 1)
-	must.False(t, other.MayAcquire(at(9), 0), must.Sprint("the last order may still be under way"))
-	must.True(t, other.MayAcquire(at(10), 0))
-	must.False(t, other.MayAcquire(at(10), 1), must.Sprint("the next in rank waits longer"))
+	candidate := kernel.LeaseView{}.WithRead(at(2), lease, 1)
+	must.False(t, candidate.MayAcquire(at(9), 0), must.Sprint("the last order may still be in flight"))
+	must.True(t, candidate.MayAcquire(at(10), 0))
+	must.False(t, candidate.MayAcquire(at(10), 1), must.Sprint("the next rank waits longer"))
 }
 
+// leaseModel simulates a lease row and two nodes that read it, write it and send orders under it.
 type leaseModel struct {
 	now     time.Time
 	nodes   []kernel.Member
 	row     kernel.Lease
 	version uint64
 	watches [2]kernel.LeaseView
-	// latest is by fencing number the latest arrival of an order.
+	// latest is the latest possible arrival of an order, and first is when the first order was sent, by fencing
+	// number.
 	latest map[uint64]time.Time
 	first  map[uint64]time.Time
 }
@@ -98,10 +100,10 @@
 	m.latest[number] = arrival
 	for other, last := range m.latest {
 		if other < number {
-			must.False(t, last.After(m.first[number]), must.Sprintf("an order with number %d after one with %d", other, number))
+			must.False(t, last.After(m.first[number]), must.Sprintf("an order with fencing number %d arrives after one with %d", other, number))
 		}
 		if other > number {
-			must.False(t, arrival.After(m.first[other]), must.Sprintf("an order with number %d after one with %d", number, other))
+			must.False(t, arrival.After(m.first[other]), must.Sprintf("an order with fencing number %d arrives after one with %d", number, other))
 		}
 	}
 }
@@ -119,13 +121,13 @@
 		for _, order := range o.Plan(now, engines) {
 			sent[order]++
 			loads++
-			// The engine obeys some time later; every third order is lost.
+			// The engine executes the order, but every third order is lost.
 			if (i+loads)%3 != 0 {
 				obey(engines, order)
 				o.OrderEnded(order)
 			}
 		}
-		must.LessEq(t, 1, loads, must.Sprint("the weight store's rate"))
+		must.LessEq(t, 1, loads, must.Sprint("more loads than the weight store allows"))
 	}
 	must.EqOp(t, 2, copiesOf(engines, "a"))
 	must.EqOp(t, 2, copiesOf(engines, "b"))
@@ -188,7 +190,7 @@
 }
 
 func ExampleLeaseRank() {
-	rank, standsBy := kernel.LeaseRank("runners", members(1)[0], members(1))
-	fmt.Println(rank, standsBy)
+	rank, candidate := kernel.LeaseRank("runners", members(1)[0], members(1))
+	fmt.Println(rank, candidate)
 	// Output: 0 true
 }
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -7,39 +7,38 @@
 )
 
 const (
-	// typicalBatchShare is the share of a full batch that a call is taken to hold while no piece has
-	// to wait; calls of a pool with a queue are full.
+	// typicalBatchShare is the assumed size of a call, as a share of a full batch, while no piece has to wait. Calls
+	// of a pool with a queue are full.
 	typicalBatchShare = 0.4
-	// minQueueWait is the wait from which on a pool counts as having a queue: more than the spacing
-	// of its calls.
+	// minQueueWait is the wait above which a pool counts as having a queue. It is longer than the interval between
+	// calls of a pool.
 	minQueueWait = 60 * time.Millisecond
-	// lateRefusalWait is the wait at a pool above which late work is refused: with less, what comes
-	// late takes little from what does not.
+	// lateRefusalWait is the sum of the waits of all stages above which a late request is refused. With shorter waits
+	// a late request takes little from requests that are on time.
 	lateRefusalWait = 200 * time.Millisecond
-	// planMargin is by how much a plan is stretched before it is held against the objective: it
-	// adds up usual times, and of what is planned for the last moment half comes late.
+	// planMargin is the factor by which the expected time is extended before it is compared with the objective. The
+	// expected time adds up typical times, so half of the requests planned for the last moment would be late.
 	planMargin = 1.15
-	// firstEventMargin is taken off an objective: the way back to the caller and the lag of
-	// timers.
+	// firstEventMargin is subtracted from the objective for the way back to the caller and timer lag.
 	firstEventMargin = 15 * time.Millisecond
 )
 
 type (
-	// StagePlan says by when each stage of a request must be done. It is immutable.
+	// StagePlan holds the deadlines of the stages of a request. It is immutable.
 	StagePlan struct {
-		// Due is by when each stage's results must be there for the answer to be on time, Until
-		// by when for it to come at all.
+		// Due has, for each stage, the time by which its results are needed for the answer to meet the objective;
+		// Until has the time after which its results are too late for any answer.
 		Due   []time.Time
 		Until []time.Time
-		// FinalStages lists the stages with pieces that no other stage follows: their results are the
-		// request's inputs.
+		// FinalStages lists the stages with pieces on which no other stage with pieces depends. Their results are the
+		// inputs of the request.
 		FinalStages []int
-		// Expected is how long all stages and the first event should take from now.
+		// Expected is how long all stages and the first event are expected to take from now.
 		Expected time.Duration
 	}
 
-	// PoolEstimate is what a node expects of a pool: how long pieces wait and which share of the
-	// room is taken, by the newest report of its batcher.
+	// PoolEstimate is what a node expects of a pool according to the newest report of its batcher: how long pieces
+	// wait, and which share of the room for results is taken.
 	PoolEstimate struct {
 		Traits    model.PieceTraits
 		Wait      time.Duration
@@ -47,50 +46,50 @@
 	}
 )
 
-// FullCall is how long a full call of the pool takes, as stated.
+// FullCall returns how long a call with a full batch takes according to the traits of the pool.
 func (e PoolEstimate) FullCall() time.Duration {
 	return e.Traits.CallTime + time.Duration(e.Traits.Batch)*e.Traits.PieceTime
 }
 
-// Queued tells whether the pieces of a pool wait.
+// Queued reports whether pieces of the pool wait in a queue.
 func (e PoolEstimate) Queued() bool {
 	return e.Wait > minQueueWait
 }
 
-// PlanStages plans the stages of a request by when it was received. The estimates have an entry
-// for each stage; firstEvent is how long the engine takes to the first event.
+// PlanStages computes the deadlines of the stages of a request from when it was received. Estimates has an entry for
+// each stage; firstEvent is how long the engine takes until the first event.
 func PlanStages(f model.Forward, a Admission, estimates []PoolEstimate, firstEvent time.Duration) StagePlan {
 	stages := a.Route.Stages
 	plan := StagePlan{Due: make([]time.Time, len(stages)), Until: make([]time.Time, len(stages))}
-	rest := make([]time.Duration, len(stages))
-	followed := make([]bool, len(stages))
-	for i := range rest {
-		rest[i] = firstEvent
+	remaining := make([]time.Duration, len(stages))
+	hasSuccessor := make([]bool, len(stages))
+	for i := range remaining {
+		remaining[i] = firstEvent
 	}
 	for i := len(stages) - 1; i >= 0; i-- {
-		own := time.Duration(0)
+		stageDuration := time.Duration(0)
 		if PieceCount(f, i) > 0 {
-			own = stageTime(estimates[i])
+			stageDuration = stageTime(estimates[i])
 		}
-		for _, before := range stages[i].After {
-			rest[before] = max(rest[before], rest[i]+own)
-			followed[before] = followed[before] || PieceCount(f, i) > 0
+		for _, predecessor := range stages[i].After {
+			remaining[predecessor] = max(remaining[predecessor], remaining[i]+stageDuration)
+			hasSuccessor[predecessor] = hasSuccessor[predecessor] || PieceCount(f, i) > 0
 		}
-		plan.Expected = max(plan.Expected, rest[i]+own)
+		plan.Expected = max(plan.Expected, remaining[i]+stageDuration)
 	}
 	plan.Expected = max(plan.Expected, firstEvent)
 	due := f.AskedAt().Add(a.Route.Objective - firstEventMargin)
 	for i := range stages {
-		plan.Due[i] = due.Add(-rest[i])
-		plan.Until[i] = a.Until.Add(-rest[i])
-		if !followed[i] && PieceCount(f, i) > 0 {
+		plan.Due[i] = due.Add(-remaining[i])
+		plan.Until[i] = a.Until.Add(-remaining[i])
+		if !hasSuccessor[i] && PieceCount(f, i) > 0 {
 			plan.FinalStages = append(plan.FinalStages, i)
 		}
 	}
 	return plan
 }
 
-// PieceCount returns how many pieces a stage of a request has.
+// PieceCount returns the number of pieces in a stage of a request.
 func PieceCount(f model.Forward, stage int) int {
 	if stage >= len(f.Pieces) {
 		return 0
@@ -106,7 +105,8 @@
 	return e.Wait + e.Traits.CallTime + pieces*e.Traits.PieceTime
 }
 
-// MostCommonDomain returns the failure domain where most of the results lie; empty for none.
+// MostCommonDomain returns the failure domain that holds most of the results, or an empty string if there are no
+// results.
 func MostCommonDomain(made []MadePiece) string {
 	counts := map[string]int{}
 	best := ""
@@ -119,20 +119,20 @@
 	return best
 }
 
-// AdmitStages refuses a request whose stages can't be done in time, before its first piece: what
-// would come late takes room and calls from what would not. The time to come back is when the
-// queues will have drained.
+// AdmitStages refuses a request whose stages cannot be done in time, before its first piece runs: a late request
+// would take room and calls from requests that can be on time. The refusal asks the caller to retry when the queues
+// will have drained.
 func AdmitStages(now time.Time, f model.Forward, a Admission, plan StagePlan, estimates []PoolEstimate) *model.Refusal {
-	var wait time.Duration
+	var totalWait time.Duration
 	for i, e := range estimates {
 		if PieceCount(f, i) > 0 {
-			wait += e.Wait
+			totalWait += e.Wait
 		}
 	}
 	late := now.Add(time.Duration(planMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
-	hopeless := now.Add(plan.Expected).After(a.Until)
-	if hopeless || (late && wait > lateRefusalWait) {
-		return model.NewRefusal(model.NotRun, model.StageLate, RetryAfter(wait), "the stages would be late")
+	pastDeadline := now.Add(plan.Expected).After(a.Until)
+	if pastDeadline || (late && totalWait > lateRefusalWait) {
+		return model.NewRefusal(model.NotRun, model.StageLate, RetryAfter(totalWait), "the stages would be late")
 	}
 	return nil
 }
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -65,7 +65,7 @@
 		wait    time.Duration
 		refused bool
 	}{
-		{"free endpoints", 0, false},
+		{"no wait", 0, false},
 		{"a short wait", 30 * time.Millisecond, false},
 		{"short waits that add up", 100 * time.Millisecond, true},
 		{"long queues", 600 * time.Millisecond, true},
