--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -81,7 +81,7 @@
 	due := f.AskedAt().Add(a.Route.Objective - firstEventMargin)
 	for i := range stages {
 		plan.Due[i] = due.Add(-remaining[i])
-		plan.Until[i] = a.Until.Add(-remaining[i])
+		plan.Until[i] = a.Deadline.Add(-remaining[i])
 		if !hasSuccessor[i] && PieceCount(f, i) > 0 {
 			plan.FinalStages = append(plan.FinalStages, i)
 		}
@@ -130,7 +130,7 @@
 		}
 	}
 	late := now.Add(time.Duration(planMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
-	pastDeadline := now.Add(plan.Expected).After(a.Until)
+	pastDeadline := now.Add(plan.Expected).After(a.Deadline)
 	if pastDeadline || (late && totalWait > lateRefusalWait) {
 		return model.NewRefusal(model.NotRun, model.StageLate, RetryAfter(totalWait), "the stages would be late")
 	}
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -22,7 +22,7 @@
 				{Pool: "rerank", After: []int{2}, ResultBytes: 6000},
 			},
 		},
-		Until: now.Add(6 * time.Second),
+		Deadline: now.Add(6 * time.Second),
 	}
 	return f, a
 }
@@ -43,7 +43,7 @@
 	must.True(t, plan.Due[1].Before(plan.Due[2]))
 	must.True(t, plan.Due[2].Before(plan.Due[3]))
 	must.Eq(t, plan.Due[0], plan.Due[3])
-	must.True(t, plan.Until[1].Before(a.Until))
+	must.True(t, plan.Until[1].Before(a.Deadline))
 }
 
 func TestAnOmittedStageTakesNoTimeAndGivesNoInput(t *testing.T) {
--- a/node/claims.go
+++ b/node/claims.go
@@ -138,10 +138,10 @@
 func (n *Node) coordinator() kernel.Coordinator {
 	fleet := n.Settings().Fleet
 	return kernel.Coordinator{
-		Self:    n.member,
-		Firm:    min(fleet.FirmHorizon, fleet.Horizon),
-		Horizon: fleet.Horizon,
-		Settle:  settleBefore,
+		Self:          n.member,
+		FirmHorizon:   min(fleet.FirmHorizon, fleet.Horizon),
+		Horizon:       fleet.Horizon,
+		StabilityTime: settleBefore,
 	}
 }
 
--- a/node/grants.go
+++ b/node/grants.go
@@ -29,7 +29,7 @@
 // is needed only while the table does not move the firm horizon on.
 func (n *Node) askGrants(now time.Time) {
 	row := n.claims.current()
-	firm := n.coordinator().Firm
+	firm := n.coordinator().FirmHorizon
 	if row.Number == 0 || n.claims.bound().Sub(now) > firm/2 {
 		return
 	}
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -81,7 +81,7 @@
 		relay:   r,
 		stages:  j.admission.Route.Stages,
 		homes:   j.admission.Homes,
-		domain:  kernel.HomeDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AtHome(r.Registry().Endpoints(p.name))),
+		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AtHome(r.Registry().Endpoints(p.name))),
 		results: map[int][]kernel.MadePiece{},
 		started: map[int]bool{},
 		held:    map[int][]kernel.MadePiece{},
