--- a/kernel/lease.go
+++ b/kernel/lease.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// LeaseLength is how long a lease holds after the moment its write was sent.
-	LeaseLength = 6 * time.Second
-	// LongestOrder bounds how long an order may be under way to an engine.
-	LongestOrder = 2 * time.Second
-	// leaseMargin is what a holder keeps clear of the end of its lease.
+	// LeaseDuration is how long a lease is valid after its write was sent.
+	LeaseDuration = 6 * time.Second
+	// OrderTimeout bounds how long an order to an engine may be in flight.
+	OrderTimeout = 2 * time.Second
+	// leaseMargin is how long before the end of its lease a holder stops sending orders.
 	leaseMargin = 500 * time.Millisecond
-	// leaseRanks is how many members stand by for a pool's lease.
-	leaseRanks = 3
+	// leaseCandidates is how many members, by rank, may take over the lease of a pool.
+	leaseCandidates = 3
 )
 
 type (
-	// Lease is the row that says who gives orders to a pool's engines.
+	// Lease is the table row that names the member that sends orders to the engines of a pool.
 	Lease struct {
 		Holder Member
 		// Number is the fencing number; it grows with each new holder.
@@ -26,22 +26,21 @@
 		Writer string
 	}
 
-	// LeaseWatch is what a node knows of a lease, by its own monotonic clock alone.
-	LeaseWatch struct {
+	// LeaseView is what a node knows of a lease. All its times are of the monotonic clock of the node.
+	LeaseView struct {
 		Lease Lease
-		// Version is the row's; it changes with each renewal.
+		// Version is the version of the row; it changes with each renewal.
 		Version uint64
-		// Since is when this version was first seen.
-		Since time.Time
-		// HeldUntil is set while this node holds the lease: the moment its last write was
-		// sent plus the length of a lease.
+		// FirstSeen is when the node first saw this version.
+		FirstSeen time.Time
+		// HeldUntil is set while this node holds the lease: when its last write was sent, plus LeaseDuration.
 		HeldUntil time.Time
 	}
 )
 
-// WithRead returns the watch after the row was read.
-func (w LeaseWatch) WithRead(now time.Time, lease Lease, version uint64) LeaseWatch {
-	if version == w.Version && !w.Since.IsZero() {
+// WithRead returns the view after the row was read.
+func (w LeaseView) WithRead(now time.Time, lease Lease, version uint64) LeaseView {
+	if version == w.Version && !w.FirstSeen.IsZero() {
 		return w
 	}
 	if lease.Number != w.Lease.Number || lease.Holder != w.Lease.Holder {
@@ -49,46 +48,48 @@
 	}
 	w.Lease = lease
 	w.Version = version
-	w.Since = now
+	w.FirstSeen = now
 	return w
 }
 
-// WithWritten returns the watch after this node's write took effect. What counts is when it
-// was sent, not when the answer came.
-func (w LeaseWatch) WithWritten(now, sent time.Time, lease Lease, version uint64) LeaseWatch {
+// WithWrite returns the view after a write by this node took effect. The lease counts from when the write was sent,
+// not from when the reply arrived.
+func (w LeaseView) WithWrite(now, sent time.Time, lease Lease, version uint64) LeaseView {
 	w.Lease = lease
 	w.Version = version
-	w.Since = now
-	w.HeldUntil = sent.Add(LeaseLength)
+	w.FirstSeen = now
+	w.HeldUntil = sent.Add(LeaseDuration)
 	return w
 }
 
-// MayOrder tells whether this node may send an order now. It is asked just before each order.
-func (w LeaseWatch) MayOrder(now time.Time) bool {
+// MayOrder reports whether this node may send an order now. It must be called just before each order.
+func (w LeaseView) MayOrder(now time.Time) bool {
 	return !w.HeldUntil.IsZero() && now.Before(w.HeldUntil.Add(-leaseMargin))
 }
 
-// ShouldRenew tells whether the holder should write the row again.
-func (w LeaseWatch) ShouldRenew(now time.Time) bool {
-	return w.MayOrder(now) && now.After(w.HeldUntil.Add(-LeaseLength*2/3))
+// ShouldRenew reports whether the holder should write the row again to renew the lease: once a third of LeaseDuration
+// has passed.
+func (w LeaseView) ShouldRenew(now time.Time) bool {
+	return w.MayOrder(now) && now.After(w.HeldUntil.Add(-LeaseDuration*2/3))
 }
 
-// MayTake tells whether a node that stands by at a rank may take the lease: the row has not
-// changed for a lease and the longest order, so that whatever the old holder sent is over,
-// even if its engines ignore fencing numbers.
-func (w LeaseWatch) MayTake(now time.Time, rank int) bool {
-	if w.Since.IsZero() || w.MayOrder(now) {
+// MayAcquire reports whether the candidate with the given rank may take over the lease: the row has not changed for
+// LeaseDuration plus OrderTimeout, so that no order of the previous holder is in flight any more, even if the engines
+// ignore fencing numbers. Each further rank waits another LeaseDuration. A pool that never had a lease needs only the
+// wait of the rank.
+func (w LeaseView) MayAcquire(now time.Time, rank int) bool {
+	if w.FirstSeen.IsZero() || w.MayOrder(now) {
 		return false
 	}
-	wait := time.Duration(rank) * LeaseLength
+	wait := time.Duration(rank) * LeaseDuration
 	if w.Lease.Number > 0 {
-		wait += LeaseLength + LongestOrder
+		wait += LeaseDuration + OrderTimeout
 	}
-	return now.Sub(w.Since) >= wait
+	return now.Sub(w.FirstSeen) >= wait
 }
 
-// LeaseRank returns a member's place among those that stand by for a pool's lease; false for
-// all others, who need not read the row.
+// LeaseRank returns the rank of a member among the candidates for the lease of a pool. It returns false for all other
+// members, which need not read the row.
 func LeaseRank(pool string, self Member, alive []Member) (int, bool) {
 	ranked := slices.Clone(alive)
 	slices.SortFunc(ranked, func(a, b Member) int {
@@ -98,5 +99,5 @@
 		return 1
 	})
 	rank := slices.IndexFunc(ranked, func(m Member) bool { return m.ID() == self.ID() })
-	return rank, rank >= 0 && rank < leaseRanks
+	return rank, rank >= 0 && rank < leaseCandidates
 }
