--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -24,7 +24,7 @@
 	// Keyed is true where the request was admitted for its API key.
 	Keyed bool
 	// Homes are the regions that the request may be served in.
-	Homes   Homes
+	Homes   AllowedRegions
 	Version uint64
 	// Rank orders requests by priority, the customer's first, then the route's; 0 comes first.
 	Rank int
@@ -52,7 +52,7 @@
 	if !f.Deadline.IsZero() && f.Deadline.Before(a.Until) {
 		a.Until = f.Deadline
 	}
-	a.Homes = HomesOf(route, model.KeyHolder{})
+	a.Homes = AllowedRegionsFor(route, model.KeyHolder{})
 	if !route.Public && view.Table.HasCustomers() {
 		holder, known := view.Table.Holder(f.Key)
 		if !known {
@@ -63,7 +63,7 @@
 		}
 		a.Customer = holder.Name
 		a.Keyed = true
-		a.Homes = HomesOf(route, holder)
+		a.Homes = AllowedRegionsFor(route, holder)
 		if holder.Priority >= 0 {
 			a.Rank += holder.Priority * customerRanks
 		}
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -181,13 +181,13 @@
 // Add takes a group in, or tells that it cannot be made in time and when to come back.
 func (g *BatchQueue) Add(now time.Time, group PieceGroup) (accepted bool, retryAfter time.Duration) {
 	if len(g.workers) > 0 && g.staying() == 0 {
-		return false, RetryAfter(evacuatedRetry)
+		return false, ClampRetryAfter(evacuatedRetry)
 	}
 	wait := g.Wait(now, group)
 	finish := now.Add(wait + g.callTime(len(group.Pieces)))
 	overdue := finish.After(group.Due) && g.backlog() > lateBacklog
 	if overdue || finish.After(group.Until) {
-		return false, RetryAfter(max(wait, g.callTime(g.traits.Batch)))
+		return false, ClampRetryAfter(max(wait, g.callTime(g.traits.Batch)))
 	}
 	if group.AskedAt.IsZero() {
 		group.AskedAt = now
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -53,11 +53,11 @@
 	registry         kernel.Registry
 }
 
-func (m *evacuationMachine) write(domain string, takenBack bool) {
+func (m *evacuationMachine) write(domain string, restored bool) {
 	m.version++
-	r := kernel.Row{Key: domain, Version: m.version, Removed: takenBack}
+	r := kernel.Row{Key: domain, Version: m.version, Removed: restored}
 	m.log = append(m.log, r)
-	if delete(m.store, domain); !takenBack {
+	if delete(m.store, domain); !restored {
 		m.store[domain] = r
 	}
 }
@@ -94,7 +94,7 @@
 	var change kernel.EvacuationChange
 	for _, r := range m.follower.TakeDelta(m.now, d) {
 		if r.Removed {
-			change.TakenBack = append(change.TakenBack, r.Key)
+			change.Restored = append(change.Restored, r.Key)
 		} else {
 			change.Evacuated = append(change.Evacuated, r.Key)
 		}
@@ -146,9 +146,9 @@
 	early.Domain = "a"
 	ok, _ := g.Add(now, early)
 	must.True(t, ok)
-	underWay, ok := g.Next(now)
+	inFlight, ok := g.Next(now)
 	must.True(t, ok)
-	must.EqOp(t, "a", underWay.Endpoint.FailureDomain)
+	must.EqOp(t, "a", inFlight.Endpoint.FailureDomain)
 
 	g.SetEndpoints(registry.WithEvacuations(evacuated(now, "a")).Endpoints("workers"))
 	total := 0
@@ -165,7 +165,7 @@
 		}
 	}
 	must.Positive(t, total)
-	ended, _ := g.Done(now, underWay, []model.PieceResult{{Handle: "h"}})
+	ended, _ := g.Done(now, inFlight, []model.PieceResult{{Handle: "h"}})
 	must.SliceLen(t, 1, ended, must.Sprint("what was under way ends in peace"))
 	must.EqOp(t, model.PieceFault(""), ended[0].Fault)
 
@@ -209,7 +209,7 @@
 		home := kernel.HomeDomain(key, registry.Endpoints("engines"))
 		away := registry.WithEvacuations(evacuated(now, home))
 		must.NotEq(t, home, kernel.HomeDomain(key, away.Endpoints("engines")))
-		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{TakenBack: []string{home}})
+		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
 		must.EqOp(t, home, kernel.HomeDomain(key, away.WithEvacuations(back).Endpoints("engines")))
 		for _, other := range []string{"a", "b", "c"} {
 			if other != home {
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -26,10 +26,10 @@
 		{[]string{"north", "south"}, []string{"south", "west"}, []string{"south"}},
 		{[]string{"north"}, []string{"south"}, nil},
 	} {
-		homes := kernel.HomesOf(model.Route{Homes: tc.route}, model.KeyHolder{Homes: tc.customer})
+		regions := kernel.AllowedRegionsFor(model.Route{Homes: tc.route}, model.KeyHolder{Homes: tc.customer})
 		var allowed []string
 		for _, region := range []string{"north", "south", "west"} {
-			if homes.Allows(region) {
+			if regions.Allows(region) {
 				allowed = append(allowed, region)
 			}
 		}
@@ -42,12 +42,12 @@
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
 		inRegion("north", "n", "workers"), inRegion("south", "s", "workers"), inRegion("west", "w", "workers"),
 	}, nil, nil)
-	anywhere := kernel.HomesOf(model.Route{}, model.KeyHolder{})
-	southOrWest := kernel.HomesOf(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
+	anywhere := kernel.AllowedRegionsFor(model.Route{}, model.KeyHolder{})
+	southOrWest := kernel.AllowedRegionsFor(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
 	for _, tc := range []struct {
 		name      string
 		evacuated []string
-		homes     kernel.Homes
+		regions   kernel.AllowedRegions
 		want      string
 	}{
 		{"own", nil, anywhere, "north"},
@@ -56,7 +56,7 @@
 		{"one home evacuated", []string{"domain of south"}, southOrWest, "west"},
 		{"all homes evacuated", []string{"domain of south", "domain of west"}, southOrWest, ""},
 	} {
-		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuated(now, tc.evacuated...)), "workers", tc.homes, "north")
+		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuated(now, tc.evacuated...)), "workers", tc.regions, "north")
 		must.EqOp(t, tc.want, region, must.Sprint(tc.name))
 		must.EqOp(t, tc.want != "", ok, must.Sprint(tc.name))
 	}
@@ -67,7 +67,7 @@
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{inRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
 	must.Nil(t, kernel.AdmitPools(registry, model.Forward{}, a))
-	a.Homes = kernel.HomesOf(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
+	a.Homes = kernel.AllowedRegionsFor(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
 	refusal := kernel.AdmitPools(registry, model.Forward{}, a)
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.NoHome, refusal.Reason)
--- a/kernel/leaving.go
+++ b/kernel/leaving.go
@@ -24,7 +24,7 @@
 		needs = min(streamNeeds, route.Timeout)
 	}
 	if now.Add(needs).After(gone) {
-		return model.NewRefusal(model.NotRun, model.Draining, RetryAfter(0), "the node is leaving")
+		return model.NewRefusal(model.NotRun, model.Draining, ClampRetryAfter(0), "the node is leaving")
 	}
 	return nil
 }
--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -19,7 +19,7 @@
 type askingFleet struct {
 	*cappedFleet
 	permits   map[string]kernel.Permits
-	desks     map[string]kernel.PermitDesk
+	desks     map[string]kernel.PermitIssuer
 	questions int
 }
 
@@ -69,13 +69,13 @@
 
 // play has requests come to nodes drawn at random, so many a second in all, and returns the most that arrive at the endpoint
 // in a window, and how many a second in all.
-func (f *askingFleet) play(length time.Duration, demand float64, asks bool, trouble func(*cappedFleet)) (most int, perSecond float64) {
+func (f *askingFleet) play(length time.Duration, demand float64, asks bool, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
 	start := f.now
 	var arrivals []time.Time
 	for step := time.Duration(0); step < length; step += capStep {
 		f.now = start.Add(step)
 		if step == capTrouble {
-			trouble(f.cappedFleet)
+			disruption(f.cappedFleet)
 		}
 		for _, n := range f.nodes {
 			if !n.down && step%capLook == 0 {
@@ -93,21 +93,21 @@
 }
 
 func newAskingFleet(nodes int, perSecond float64) *askingFleet {
-	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, desks: map[string]kernel.PermitDesk{}}
+	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, desks: map[string]kernel.PermitIssuer{}}
 }
 
 // Requests that come to any node of a fleet use most of what an endpoint with a rate cap takes, and no more, whoever joins,
 // leaves, is lost or starts again.
 func TestAnyNodeUsesARateCapByPermits(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range cappedTroubles {
+	for name, disruption := range cappedTroubles {
 		for nodes, rates := range map[int][]float64{8: {0, 1, 1.4, 8}, 76: {1.4, 8}, 400: {1}} {
 			for _, perSecond := range rates {
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
 					t.Parallel()
 					f := newAskingFleet(nodes, perSecond)
-					most, got := f.play(capLength, 3*perSecond+1, true, trouble)
-					must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), most)
+					maxInWindow, got := f.play(capLength, 3*perSecond+1, true, disruption)
+					must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxInWindow)
 					if name == "none" {
 						must.GreaterEq(t, 0.6*perSecond, got)
 					}
@@ -121,8 +121,8 @@
 func TestAnyNodeOfALargeFleetUsesARateCapByPermits(t *testing.T) {
 	t.Parallel()
 	f := newAskingFleet(400, 1)
-	most, got := f.play(capLength, 4, true, cappedTroubles["half start again"])
-	must.LessEq(t, 11, most)
+	maxInWindow, got := f.play(capLength, 4, true, cappedTroubles["half start again"])
+	must.LessEq(t, 11, maxInWindow)
 	must.GreaterEq(t, 0.5, got)
 }
 
@@ -149,21 +149,21 @@
 func TestPermitDesk(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	one := kernel.CapBelief{}.WithNotice(now, model.NewRateCap(1))
-	desk, granted, _ := kernel.PermitDesk{}.Permit(now, one, now.Add(-4*time.Second), 0)
+	one := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
+	issuer, granted, _ := kernel.PermitIssuer{}.Permit(now, one, now.Add(-4*time.Second), 0)
 	must.True(t, granted)
 	for _, want := range []time.Duration{3 * time.Second, 5 * time.Second, 5 * time.Second} {
 		var wait time.Duration
-		desk, granted, wait = desk.Permit(now.Add(time.Second), one, now, 0)
+		issuer, granted, wait = issuer.Permit(now.Add(time.Second), one, now, 0)
 		must.False(t, granted)
 		must.EqOp(t, want, wait)
 	}
-	_, granted, wait := desk.Permit(now.Add(5*time.Second), one, now.Add(4*time.Second), 0)
+	_, granted, wait := issuer.Permit(now.Add(5*time.Second), one, now.Add(4*time.Second), 0)
 	must.False(t, granted)
 	must.EqOp(t, 3*time.Second, wait, must.Sprint("who was turned away before the last send is not waited for"))
-	_, granted, _ = desk.Permit(now.Add(time.Hour), one, now, 4)
+	_, granted, _ = issuer.Permit(now.Add(time.Hour), one, now, 4)
 	must.False(t, granted)
-	_, granted, _ = desk.Permit(now.Add(time.Hour), kernel.CapBelief{}, now, 0)
+	_, granted, _ = issuer.Permit(now.Add(time.Hour), kernel.CapView{}, now, 0)
 	must.False(t, granted)
 }
 
--- a/kernel/ratecapnews.go
+++ b/kernel/ratecapnews.go
@@ -20,15 +20,15 @@
 	// capPublishAgain is the pause after a first failure to write; each is twice the one before, up to capPublishMost.
 	capPublishAgain = time.Second
 	capPublishMost  = 15 * time.Second
-	// capGone is how long an endpoint may be missing from the list before its cap is forgotten.
-	capGone = 10 * time.Second
+	// capUnlistedTTL is how long an endpoint may be missing from the list before its cap is forgotten.
+	capUnlistedTTL = 10 * time.Second
 )
 
-// CapNews is what one node has to tell the others of an endpoint's rate cap, through a table that all follow. It changes
+// CapPublisher is what one node has to tell the others of an endpoint's rate cap, through a table that all follow. It changes
 // in place.
-type CapNews struct {
-	// Belief is what the node itself believes.
-	Belief CapBelief
+type CapPublisher struct {
+	// View is what the node itself believes.
+	View CapView
 	// Published is what the table says.
 	Published model.RateCap
 
@@ -40,56 +40,56 @@
 	goneFrom  time.Time
 }
 
-// Notice takes in what the table says from now on.
-func (n *CapNews) Notice(now time.Time, stated model.RateCap) {
-	n.Published, n.publishedAt = stated, now
-	n.Belief = n.Belief.WithNotice(now, stated)
+// ApplyNotice takes in what the table says from now on.
+func (p *CapPublisher) ApplyNotice(now time.Time, stated model.RateCap) {
+	p.Published, p.publishedAt = stated, now
+	p.View = p.View.WithNotice(now, stated)
 }
 
-// Listed takes in whether the endpoint is still listed.
-func (n *CapNews) Listed(now time.Time, listed bool) {
+// SetListed takes in whether the endpoint is still listed.
+func (p *CapPublisher) SetListed(now time.Time, listed bool) {
 	switch {
 	case listed:
-		n.goneFrom = time.Time{}
-	case n.goneFrom.IsZero():
-		n.goneFrom = now
-	case now.Sub(n.goneFrom) >= capGone:
-		n.Belief = n.Belief.WithoutEndpoint(now)
+		p.goneFrom = time.Time{}
+	case p.goneFrom.IsZero():
+		p.goneFrom = now
+	case now.Sub(p.goneFrom) >= capUnlistedTTL:
+		p.View = p.View.WithoutEndpoint(now)
 	}
 }
 
-// Publishes tells whether the node is to write its belief into the table now. The draw is evenly between 0 and 1.
-func (n *CapNews) Publishes(now time.Time, place int, draw float64) bool {
-	if n.Belief.Cap == n.Published {
-		n.publishAt, n.pause = time.Time{}, 0
+// ShouldPublish tells whether the node is to write its belief into the table now. The draw is evenly between 0 and 1.
+func (p *CapPublisher) ShouldPublish(now time.Time, rank int, draw float64) bool {
+	if p.View.Cap == p.Published {
+		p.publishAt, p.pause = time.Time{}, 0
 		return false
 	}
-	if !n.wroteAt.IsZero() && now.Sub(n.wroteAt) < capPublishPause {
+	if !p.wroteAt.IsZero() && now.Sub(p.wroteAt) < capPublishPause {
 		return false
 	}
-	if n.Belief.Cap.Stated && n.Published.Stated && (place > 0 || now.Sub(n.publishedAt) < capPublishRate) {
+	if p.View.Cap.Stated && p.Published.Stated && (rank > 0 || now.Sub(p.publishedAt) < capPublishRate) {
 		return false
 	}
-	if n.publishAt.IsZero() {
-		n.publishAt = now
-		if place > 0 {
-			n.publishAt = now.Add(capPublishFirst + time.Duration(draw*float64(capPublishLast-capPublishFirst)))
+	if p.publishAt.IsZero() {
+		p.publishAt = now
+		if rank > 0 {
+			p.publishAt = now.Add(capPublishFirst + time.Duration(draw*float64(capPublishLast-capPublishFirst)))
 		}
 	}
-	return !now.Before(n.publishAt)
+	return !now.Before(p.publishAt)
 }
 
-// Wrote takes in whether the belief could be written.
-func (n *CapNews) Wrote(now time.Time, written model.RateCap, ok bool) {
+// RecordWrite takes in whether the belief could be written.
+func (p *CapPublisher) RecordWrite(now time.Time, written model.RateCap, ok bool) {
 	if ok {
-		n.Published, n.publishedAt, n.wroteAt = written, now, now
+		p.Published, p.publishedAt, p.wroteAt = written, now, now
 		return
 	}
-	n.pause = min(max(capPublishAgain, 2*n.pause), capPublishMost)
-	n.publishAt = now.Add(n.pause)
+	p.pause = min(max(capPublishAgain, 2*p.pause), capPublishMost)
+	p.publishAt = now.Add(p.pause)
 }
 
-// Forgettable tells whether there is nothing to remember.
-func (n *CapNews) Forgettable() bool {
-	return !n.Belief.Cap.Stated && !n.Published.Stated
+// Removable tells whether there is nothing to remember.
+func (p *CapPublisher) Removable() bool {
+	return !p.View.Cap.Stated && !p.Published.Stated
 }
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -69,9 +69,9 @@
 	return true
 }
 
-// Place returns how many nodes come before one by a subject's hash: math.MaxInt for a node that others may not have heard
+// Rank returns how many nodes come before one by a subject's hash: math.MaxInt for a node that others may not have heard
 // of yet, or that has left.
-func (s SettledNodes) Place(now time.Time, self, subject string) int {
+func (s SettledNodes) Rank(now time.Time, self, subject string) int {
 	node, known := s.known[self]
 	if !known || !node.leftAt.IsZero() || now.Sub(node.joinedAt) < settleTime {
 		return math.MaxInt
@@ -106,16 +106,16 @@
 	}
 	first := make([]scored, 0, count+1)
 	for _, name := range nodes {
-		one := scored{name: name, score: rendezvousScore(subject, name)}
-		at, _ := slices.BinarySearchFunc(first, one, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
+		entry := scored{name: name, score: rendezvousScore(subject, name)}
+		at, _ := slices.BinarySearchFunc(first, entry, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 		if at < count {
-			first = slices.Insert(first, at, one)
+			first = slices.Insert(first, at, entry)
 			first = first[:min(count, len(first))]
 		}
 	}
 	names := make([]string, 0, len(first))
-	for _, one := range first {
-		names = append(names, one.name)
+	for _, entry := range first {
+		names = append(names, entry.name)
 	}
 	return names
 }
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -132,7 +132,7 @@
 	late := now.Add(time.Duration(lateMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
 	hopeless := now.Add(plan.Expected).After(a.Until)
 	if hopeless || (late && wait > crowdedWait) {
-		return model.NewRefusal(model.NotRun, model.StageLate, RetryAfter(wait), "the stages would be late")
+		return model.NewRefusal(model.NotRun, model.StageLate, ClampRetryAfter(wait), "the stages would be late")
 	}
 	return nil
 }
--- a/node/keys.go
+++ b/node/keys.go
@@ -225,7 +225,7 @@
 // keyAhead refuses a key whose time is beyond a bound. NotRun would not stay true: the bound
 // moves on, and a held-up attempt may run.
 func keyAhead(key kernel.Key, bound time.Time) *model.Refusal {
-	return model.NewRefusal(model.MayHaveRun, model.KeyAhead, kernel.RetryAfter(key.Issued.Sub(bound)),
+	return model.NewRefusal(model.MayHaveRun, model.KeyAhead, kernel.ClampRetryAfter(key.Issued.Sub(bound)),
 		"the key's time of issue is ahead of the time that this fleet may serve now")
 }
 
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -18,7 +18,7 @@
 		domain string
 
 		stages []model.StageNode
-		homes  kernel.Homes
+		homes  kernel.AllowedRegions
 		// results has an entry for each stage that is done. It, started and released belong to the
 		// goroutine that serves the request.
 		results map[int][]kernel.MadePiece
@@ -81,7 +81,7 @@
 		relay:   r,
 		stages:  j.admission.Route.Stages,
 		homes:   j.admission.Homes,
-		domain:  kernel.HomeDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AtHome(r.Registry().Endpoints(p.name))),
+		domain:  kernel.HomeDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
 		results: map[int][]kernel.MadePiece{},
 		started: map[int]bool{},
 		held:    map[int][]kernel.MadePiece{},
@@ -144,7 +144,7 @@
 		group := j.group(run, i)
 		go func() {
 			defer j.relay.guard(func() {
-				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.RetryAfter(0), "the stage failed")}
+				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
 			done <- j.runStage(ctx, i, group)
 		}()
