--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -15,8 +15,8 @@
 
 const (
 	coldStep = 10 * time.Millisecond
-	// coldTrouble is when something happens to the fleet.
-	coldTrouble = 3 * time.Second
+	// coldDisruptionAt is when something happens to the fleet.
+	coldDisruptionAt = 3 * time.Second
 )
 
 type (
@@ -30,10 +30,10 @@
 
 	coldNode struct {
 		name string
-		// knows are the nodes that this one has read of.
-		knows  []kernel.Peer
-		sends  bool
-		sentAt time.Time
+		// knownPeers are the nodes that this one has read of.
+		knownPeers []kernel.Peer
+		sends      bool
+		sentAt     time.Time
 	}
 )
 
@@ -41,7 +41,7 @@
 	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, rate: rate}
 	all := peersNamed("node", nodes)
 	for _, p := range all {
-		f.nodes = append(f.nodes, coldNode{name: p.Name, knows: all})
+		f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: all})
 	}
 	return f
 }
@@ -66,8 +66,8 @@
 		now := start.Add(elapsed)
 		for i := range f.nodes {
 			n := &f.nodes[i]
-			if elapsed == 0 || elapsed == coldTrouble {
-				n.sends = share.IsSender(n.name, e, n.knows)
+			if elapsed == 0 || elapsed == coldDisruptionAt {
+				n.sends = share.IsSender(n.name, e, n.knownPeers)
 			}
 			if !n.sends || !share.Due(now, n.sentAt) {
 				continue
@@ -91,52 +91,52 @@
 	return maxInSecond, len(arrivals)
 }
 
-// coldTroubles are what may happen to the nodes, or to what they know of each other.
-var coldTroubles = map[string]func(f *coldFleet){
+// coldDisruptions are what may happen to the nodes, or to what they know of each other.
+var coldDisruptions = map[string]func(f *coldFleet){
 	"none": func(*coldFleet) {},
 	"two views that share no node": func(f *coldFleet) {
-		all, half := f.nodes[0].knows, len(f.nodes)/2
+		all, half := f.nodes[0].knownPeers, len(f.nodes)/2
 		for i := range f.nodes {
-			f.nodes[i].knows = all[half:]
+			f.nodes[i].knownPeers = all[half:]
 			if i < half {
-				f.nodes[i].knows = all[:half]
+				f.nodes[i].knownPeers = all[:half]
 			}
 		}
 	},
 	"a sender leaves and half have not heard": func(f *coldFleet) {
-		all := f.nodes[0].knows
+		all := f.nodes[0].knownPeers
 		sender := slices.IndexFunc(f.nodes, func(n coldNode) bool { return n.sends })
 		left := slices.DeleteFunc(slices.Clone(all), func(p kernel.Peer) bool { return p.Name == f.nodes[sender].name })
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
-				f.nodes[i].knows = left
+				f.nodes[i].knownPeers = left
 			}
 		}
 	},
 	"nodes join and half have not heard": func(f *coldFleet) {
-		more := append(slices.Clone(f.nodes[0].knows), peersNamed("joined", 3)...)
+		more := append(slices.Clone(f.nodes[0].knownPeers), peersNamed("joined", 3)...)
 		for _, p := range peersNamed("joined", 3) {
-			f.nodes = append(f.nodes, coldNode{name: p.Name, knows: more})
+			f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: more})
 		}
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
-				f.nodes[i].knows = more
+				f.nodes[i].knownPeers = more
 			}
 		}
 	},
 	"as many nodes join, and each knows some of them": func(f *coldFleet) {
-		before, joined := f.nodes[0].knows, peersNamed("joined", len(f.nodes))
+		before, joined := f.nodes[0].knownPeers, peersNamed("joined", len(f.nodes))
 		for _, p := range joined {
 			f.nodes = append(f.nodes, coldNode{name: p.Name})
 		}
 		for i := range f.nodes {
-			f.nodes[i].knows = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
+			f.nodes[i].knownPeers = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
 		}
 	},
 	"many start again and know no node yet": func(f *coldFleet) {
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
-				f.nodes[i].knows, f.nodes[i].sentAt = nil, time.Time{}
+				f.nodes[i].knownPeers, f.nodes[i].sentAt = nil, time.Time{}
 			}
 		}
 	},
@@ -149,22 +149,22 @@
 
 // Pattern: a cold endpoint that all nodes want. However many they are, whatever happens to them and whatever each of
 // them knows of the others, no second brings it more than the bound, and it is not left without work.
-func TestAColdEndpointGetsWhatItBears(t *testing.T) {
+func TestAColdEndpointGetsNoMoreThanItsBound(t *testing.T) {
 	const length = 10 * time.Second
 	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
 	bound := int(rate*terms.Excess + terms.Slack)
-	for name, disruption := range coldTroubles {
+	for name, disruption := range coldDisruptions {
 		t.Run(name, func(t *testing.T) {
 			for _, nodes := range []int{1, 8, 76, 400} {
 				for seed := range uint64(5) {
 					f := newColdFleet(seed, nodes, terms, rate)
 					maxInSecond, total := f.play(length, func(elapsed time.Duration) {
-						if elapsed == coldTrouble {
+						if elapsed == coldDisruptionAt {
 							disruption(f)
 						}
 					})
 					must.LessEq(t, bound, maxInSecond, must.Sprint(nodes, " nodes, seed ", seed))
-					must.GreaterEq(t, int(coldTrouble/time.Second), total, must.Sprint(nodes, " nodes, seed ", seed))
+					must.GreaterEq(t, int(coldDisruptionAt/time.Second), total, must.Sprint(nodes, " nodes, seed ", seed))
 				}
 			}
 		})
@@ -202,7 +202,7 @@
 }
 
 // Endpoints may have become cold while their domain was evacuated; their entries say so later than the end is known.
-func TestADomainThatIsTakenBackCountsAsCold(t *testing.T) {
+func TestARestoredDomainCountsAsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuated(now, "a"))
 	ended := now.Add(10 * time.Second)
--- a/kernel/coldseries_test.go
+++ b/kernel/coldseries_test.go
@@ -33,7 +33,7 @@
 		startedAt time.Time
 		// lag is after which time it hears who joined and left; heard is what it has heard.
 		lag  time.Duration
-		news []cappedNews
+		news []membershipUpdate
 		duty kernel.ColdRole
 		// sender is true while it is one of those that send.
 		sender bool
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, n := range f.nodes {
-		n.news = append(n.news, cappedNews{at: now.Add(n.lag), nodes: staying})
+		n.news = append(n.news, membershipUpdate{at: now.Add(n.lag), nodes: staying})
 	}
 }
 
@@ -129,7 +129,7 @@
 	start := time.Unix(1000, 0)
 	for elapsed := time.Duration(0); elapsed < length; elapsed += coldStep {
 		now := start.Add(elapsed)
-		if elapsed >= coldTrouble && elapsed%f.gap == 0 {
+		if elapsed >= coldDisruptionAt && elapsed%f.gap == 0 {
 			f.stop(now)
 		}
 		for _, n := range f.nodes {
@@ -160,7 +160,7 @@
 						f.stops, f.gap, f.killed = stops+1, gap, killed
 						arrivals := f.play(12 * time.Second)
 						must.LessEq(t, int(1.5*rate+5), mostWithin(arrivals, time.Second), must.Sprint(nodes, rate, gap, stops+1, killed))
-						must.GreaterEq(t, int(coldTrouble/time.Second), len(arrivals))
+						must.GreaterEq(t, int(coldDisruptionAt/time.Second), len(arrivals))
 					}
 				}
 			}
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -201,7 +201,7 @@
 }
 
 // A prompt's home moves off an evacuated domain and back to the same engine.
-func TestThePlaceOfAPromptComesBack(t *testing.T) {
+func TestAPromptReturnsToItsHomeDomainAfterAnEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "engines", "a", "b", "c")
 	for i := range 50 {
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestARequestWithoutAnEndpointAtHomeIsRefused(t *testing.T) {
+func TestARequestWithoutAnEndpointInAllowedRegionsIsRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{inRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -50,7 +50,7 @@
 			t.Parallel()
 			stated := model.NewRateCap(perSecond)
 			f := newCappedFleet(1, 8, perSecond)
-			f.belief = f.belief.WithPart(part)
+			f.view = f.view.WithPart(part)
 			arrivals := f.arrivals(30*time.Second, func(*cappedFleet) {})
 			for _, begins := range []bool{false, true} {
 				q := cappedQueue{g: newBatchQueue(4)}
--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -19,7 +19,7 @@
 type askingFleet struct {
 	*cappedFleet
 	permits   map[string]kernel.Permits
-	desks     map[string]kernel.PermitIssuer
+	issuers   map[string]kernel.PermitIssuer
 	questions int
 }
 
@@ -34,7 +34,7 @@
 
 // serve tells whether a request that comes to a node may be sent.
 func (f *askingFleet) serve(n *cappedNode, asks bool) bool {
-	if f.belief.Due(f.now, n.sentAt, n.place) {
+	if f.view.Due(f.now, n.sentAt, n.rank) {
 		n.sentAt = f.now
 		return true
 	}
@@ -60,7 +60,7 @@
 	if sharer == nil || sharer.down {
 		return false, 0
 	}
-	f.desks[name], granted, wait = f.desks[name].Permit(f.now, f.belief, sharer.sentAt, sharer.place)
+	f.issuers[name], granted, wait = f.issuers[name].Permit(f.now, f.view, sharer.sentAt, sharer.rank)
 	if granted {
 		sharer.sentAt = f.now
 	}
@@ -74,12 +74,12 @@
 	var arrivals []time.Time
 	for step := time.Duration(0); step < length; step += capStep {
 		f.now = start.Add(step)
-		if step == capTrouble {
+		if step == capDisruptionAt {
 			disruption(f.cappedFleet)
 		}
 		for _, n := range f.nodes {
-			if !n.down && step%capLook == 0 {
-				n.look(f.now)
+			if !n.down && step%capRefreshInterval == 0 {
+				n.refresh(f.now)
 			}
 		}
 		for due := demand * capStep.Seconds(); due > 0; due-- {
@@ -93,14 +93,14 @@
 }
 
 func newAskingFleet(nodes int, perSecond float64) *askingFleet {
-	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, desks: map[string]kernel.PermitIssuer{}}
+	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, issuers: map[string]kernel.PermitIssuer{}}
 }
 
 // Requests that come to any node of a fleet use most of what an endpoint with a rate cap takes, and no more, whoever joins,
 // leaves, is lost or starts again.
 func TestAnyNodeUsesARateCapByPermits(t *testing.T) {
 	t.Parallel()
-	for name, disruption := range cappedTroubles {
+	for name, disruption := range cappedDisruptions {
 		for nodes, rates := range map[int][]float64{8: {0, 1, 1.4, 8}, 76: {1.4, 8}, 400: {1}} {
 			for _, perSecond := range rates {
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
@@ -121,7 +121,7 @@
 func TestAnyNodeOfALargeFleetUsesARateCapByPermits(t *testing.T) {
 	t.Parallel()
 	f := newAskingFleet(400, 1)
-	maxInWindow, got := f.play(capLength, 4, true, cappedTroubles["half start again"])
+	maxInWindow, got := f.play(capLength, 4, true, cappedDisruptions["half start again"])
 	must.LessEq(t, 11, maxInWindow)
 	must.GreaterEq(t, 0.5, got)
 }
@@ -146,7 +146,7 @@
 
 // A desk lets one through when the cap allows, tells the others their turns, and gives none where the node does not share
 // the cap.
-func TestPermitDesk(t *testing.T) {
+func TestPermitIssuer(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
--- a/kernel/ratecap_test.go
+++ b/kernel/ratecap_test.go
@@ -23,35 +23,35 @@
 const (
 	capWindow = 4 * time.Second
 	capStep   = 20 * time.Millisecond
-	// capLook is how often nodes look at what they have heard of each other.
-	capLook = time.Second
-	// capTrouble is when something happens to the fleet, capLength how long it is played.
-	capTrouble = 20 * time.Second
-	capLength  = 50 * time.Second
+	// capRefreshInterval is how often nodes look at what they have heard of each other.
+	capRefreshInterval = time.Second
+	// capDisruptionAt is when something happens to the fleet, capLength how long it is played.
+	capDisruptionAt = 20 * time.Second
+	capLength       = 50 * time.Second
 )
 
 type (
 	// cappedFleet is nodes that all have more requests for one endpoint than it takes. All have heard of its cap.
 	cappedFleet struct {
-		rng    *rand.Rand
-		now    time.Time
-		belief kernel.CapView
-		nodes  []*cappedNode
+		rng   *rand.Rand
+		now   time.Time
+		view  kernel.CapView
+		nodes []*cappedNode
 	}
 
 	cappedNode struct {
 		name string
-		// hears is after which time the node learns which nodes there are; knows is what it learned last.
-		hears   time.Duration
+		// lag is after which time the node learns which nodes there are; knows is what it learned last.
+		lag     time.Duration
 		settled kernel.SettledNodes
 		known   []kernel.Peer
-		news    []cappedNews
+		news    []membershipUpdate
 		sentAt  time.Time
 		down    bool
-		place   int
+		rank    int
 	}
 
-	cappedNews struct {
+	membershipUpdate struct {
 		at    time.Time
 		nodes []kernel.Peer
 	}
@@ -59,10 +59,10 @@
 
 func newCappedFleet(seed uint64, nodes int, perSecond float64) *cappedFleet {
 	f := &cappedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
-	f.belief = f.belief.WithNotice(f.now, model.NewRateCap(perSecond))
+	f.view = f.view.WithNotice(f.now, model.NewRateCap(perSecond))
 	all := peersNamed("node", nodes)
 	for _, p := range all {
-		f.nodes = append(f.nodes, &cappedNode{name: p.Name, known: all, hears: f.lag()})
+		f.nodes = append(f.nodes, &cappedNode{name: p.Name, known: all, lag: f.lag()})
 	}
 	return f
 }
@@ -81,20 +81,20 @@
 		}
 	}
 	for _, n := range f.nodes {
-		n.news = append(n.news, cappedNews{at: f.now.Add(n.hears), nodes: all})
+		n.news = append(n.news, membershipUpdate{at: f.now.Add(n.lag), nodes: all})
 	}
 }
 
 // first returns the nodes that come first by the endpoint's hash.
 func (f *cappedFleet) first(count int) []*cappedNode {
 	out := slices.Clone(f.nodes)
-	slices.SortFunc(out, func(a, b *cappedNode) int { return cmp.Compare(a.place, b.place) })
+	slices.SortFunc(out, func(a, b *cappedNode) int { return cmp.Compare(a.rank, b.rank) })
 	return out[:min(count, len(out))]
 }
 
 func (f *cappedFleet) join(count int) {
 	for i := range count {
-		f.nodes = append(f.nodes, &cappedNode{name: fmt.Sprint("joined-", i), hears: 0, place: math.MaxInt})
+		f.nodes = append(f.nodes, &cappedNode{name: fmt.Sprint("joined-", i), lag: 0, rank: math.MaxInt})
 	}
 	f.tell()
 }
@@ -112,14 +112,14 @@
 	var arrivals []time.Time
 	for step := time.Duration(0); step < length; step += capStep {
 		f.now = start.Add(step)
-		if step == capTrouble {
+		if step == capDisruptionAt {
 			disruption(f)
 		}
 		for _, n := range f.nodes {
-			if !n.down && step%capLook == 0 {
-				n.look(f.now)
+			if !n.down && step%capRefreshInterval == 0 {
+				n.refresh(f.now)
 			}
-			if n.down || !f.belief.Due(f.now, n.sentAt, n.place) {
+			if n.down || !f.view.Due(f.now, n.sentAt, n.rank) {
 				continue
 			}
 			n.sentAt = f.now
@@ -151,23 +151,23 @@
 	return maxCount
 }
 
-// look has a node take in what it has heard of the others by now.
-func (n *cappedNode) look(now time.Time) {
+// refresh has a node take in what it has heard of the others by now.
+func (n *cappedNode) refresh(now time.Time) {
 	for _, news := range n.news {
 		if !now.Before(news.at) {
 			n.known = news.nodes
 		}
 	}
 	n.settled = n.settled.With(now, n.known)
-	n.place = n.settled.Rank(now, n.name, "engine")
+	n.rank = n.settled.Rank(now, n.name, "engine")
 }
 
 // restart has a node forget all but what it reads of the others.
 func (n *cappedNode) restart() {
-	n.settled, n.sentAt, n.place = kernel.SettledNodes{}, time.Time{}, math.MaxInt
+	n.settled, n.sentAt, n.rank = kernel.SettledNodes{}, time.Time{}, math.MaxInt
 }
 
-var cappedTroubles = map[string]func(*cappedFleet){
+var cappedDisruptions = map[string]func(*cappedFleet){
 	"none": func(*cappedFleet) {},
 	"one node joins": func(f *cappedFleet) {
 		f.join(1)
@@ -176,7 +176,7 @@
 		f.join(len(f.nodes))
 	},
 	"nodes join that others do not hear of": func(f *cappedFleet) {
-		f.nodes = append(f.nodes, &cappedNode{name: "alone", known: []kernel.Peer{{Name: "alone"}}, place: math.MaxInt})
+		f.nodes = append(f.nodes, &cappedNode{name: "alone", known: []kernel.Peer{{Name: "alone"}}, rank: math.MaxInt})
 	},
 	"the senders leave": func(f *cappedFleet) {
 		for _, n := range f.first(4) {
@@ -205,7 +205,7 @@
 // starts again, and use most of it.
 func TestNodesTogetherKeepARateCap(t *testing.T) {
 	t.Parallel()
-	for name, disruption := range cappedTroubles {
+	for name, disruption := range cappedDisruptions {
 		for nodes, rates := range map[int][]float64{1: {1}, 2: {0.5, 5}, 8: {0, 0.1, 1, 1.4, 5, 40}, 76: {0.1, 5}, 400: {1}} {
 			for _, perSecond := range rates {
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestSharedBudgetIsKeptByAllNodesTogether(t *testing.T) {
+func TestFleetRetryBudgetIsKeptByAllNodesTogether(t *testing.T) {
 	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	const nodes = 8
 	budgets := make([]*kernel.FleetRetryBudget, nodes)
@@ -32,7 +32,7 @@
 	must.Positive(t, taken)
 }
 
-func TestSharedBudgetComesBackWithTheWindow(t *testing.T) {
+func TestFleetRetryBudgetRefillsWithTheWindow(t *testing.T) {
 	b := kernel.NewFleetRetryBudget(kernel.FleetRetryLimits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, time.Time{})
 	now := time.Unix(1000, 0)
 	for b.TakeRetry(now, 1) {
@@ -44,7 +44,7 @@
 
 // What nodes spend together stays within the bound where all of them start again in the middle of a window and forget what
 // they have spent, and where none of them knows of the others yet.
-func TestSharedBudgetIsKeptWhereAllNodesStartAgain(t *testing.T) {
+func TestFleetRetryBudgetIsKeptWhenAllNodesRestart(t *testing.T) {
 	t.Parallel()
 	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
