--- a/kernel/budget.go
+++ b/kernel/budget.go
@@ -5,40 +5,39 @@
 )
 
 const (
-	// timeoutFactor is how far above the 99th percentile a progress timeout lies.
+	// timeoutFactor is the ratio of a progress timeout to the 99th percentile.
 	timeoutFactor      = 3
 	minProgressTimeout = 100 * time.Millisecond
-	// typicalStage is assumed of a pool that has not answered yet.
+	// typicalStage is the service time assumed for a pool that has not answered yet.
 	typicalStage = 20 * time.Millisecond
-	// minRetryAfter and mostRetryAfter bound what callers are told.
+	// The Retry-After time that callers get lies between these two.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// StageEstimate is what a node expects of one stage of a request.
+// StageEstimate is the expected service and queueing time of one stage of a request.
 type StageEstimate struct {
 	// Median is the expected service time of this call; zero if unknown.
 	Median time.Duration
-	// Tail is a service time that few calls exceed: a call that has less time left is not
-	// worth its start. Zero if unknown.
+	// Tail is a service time that few calls exceed: a call with less time left is not worth starting. Zero if unknown.
 	Tail time.Duration
-	// QueuedCost is the work waiting before this request, in seconds of an endpoint.
+	// QueuedCost is the work queued before this request, in seconds of one endpoint.
 	QueuedCost float64
 	// MaxInFlight is how many calls the pool may have in flight.
 	MaxInFlight float64
 }
 
-// Cost returns the expected work in seconds of an endpoint.
+// Cost returns the expected work in seconds of one endpoint.
 func (e StageEstimate) Cost() float64 {
 	return e.service().Seconds()
 }
 
-// LatestStart returns when the call must start at the latest to be done at the deadline.
+// LatestStart returns the latest time at which the call may start and still finish before the deadline.
 func (e StageEstimate) LatestStart(deadline time.Time) time.Time {
 	return deadline.Add(-max(e.Tail, e.Median))
 }
 
-// Expected returns how long the stage should take, wait included.
+// Expected returns the expected duration of the stage, including the wait in the queue.
 func (e StageEstimate) Expected() time.Duration {
 	return e.wait() + e.service()
 }
@@ -57,9 +56,8 @@
 	return e.Median
 }
 
-// CanFinish tells whether a request should be taken at the door: whether its stages fit
-// into what is left of its deadline. If not, it returns when to come back: when the queues
-// will have drained enough, as far as can be told.
+// CanFinish reports whether the stages of a request are expected to finish before its deadline. If not, it returns the
+// Retry-After time: an estimate of when the queues will have drained enough.
 func CanFinish(now, deadline time.Time, stages []StageEstimate) (bool, time.Duration) {
 	var need, wait time.Duration
 	for _, e := range stages {
@@ -73,13 +71,13 @@
 	return false, ClampRetryAfter(min(need-left, wait))
 }
 
-// ClampRetryAfter brings a time to come back within what callers are told.
+// ClampRetryAfter limits a Retry-After time to the range that callers may get.
 func ClampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// StageDeadline returns when a stage must be done for the later ones to fit in, by their
-// medians.
+// StageDeadline returns when a stage has to be done for the later stages to finish before the deadline, by their median
+// service times.
 func StageDeadline(deadline time.Time, later []StageEstimate) time.Time {
 	for _, e := range later {
 		deadline = deadline.Add(-e.service())
@@ -87,8 +85,8 @@
 	return deadline
 }
 
-// ProgressTimeout returns how long a call may go without progress, from the quantiles of
-// what the pool showed, never past the deadline.
+// ProgressTimeout returns how long a call may go without progress, derived from the 99th percentile of the pool. It
+// never exceeds the time left until the deadline.
 func ProgressTimeout(now, deadline time.Time, p99 time.Duration) time.Duration {
 	left := deadline.Sub(now)
 	if p99 <= 0 {
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -15,12 +15,12 @@
 
 const (
 	coldStep = 10 * time.Millisecond
-	// coldDisruptionAt is when something happens to the fleet.
+	// coldDisruptionAt is when the disruption of a run takes place.
 	coldDisruptionAt = 3 * time.Second
 )
 
 type (
-	// coldFleet is nodes that all have more requests for one cold endpoint than it may get.
+	// coldFleet simulates nodes that all have more requests for one cold endpoint than it may get.
 	coldFleet struct {
 		rng   *rand.Rand
 		terms kernel.ColdLimits
@@ -30,7 +30,7 @@
 
 	coldNode struct {
 		name string
-		// knownPeers are the nodes that this one has read of.
+		// knownPeers are the nodes that this one knows of.
 		knownPeers []kernel.Peer
 		sends      bool
 		sentAt     time.Time
@@ -54,8 +54,8 @@
 	return out
 }
 
-// play has all nodes send for a time as fast as they may, and returns the most requests that arrive within one second
-// and how many arrive in all. Some sends open a connection first.
+// play lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
+// arrive within one second and the total. Some sends open a connection first.
 func (f *coldFleet) play(length time.Duration, at func(elapsed time.Duration)) (maxInSecond, total int) {
 	share := f.terms.Share(f.rate)
 	start := time.Unix(1000, 0)
@@ -91,7 +91,7 @@
 	return maxInSecond, len(arrivals)
 }
 
-// coldDisruptions are what may happen to the nodes, or to what they know of each other.
+// coldDisruptions are changes of the nodes or of their membership views during a run.
 var coldDisruptions = map[string]func(f *coldFleet){
 	"none": func(*coldFleet) {},
 	"two views that share no node": func(f *coldFleet) {
@@ -103,7 +103,7 @@
 			}
 		}
 	},
-	"a sender leaves and half have not heard": func(f *coldFleet) {
+	"a sender leaves and half of the nodes do not know of it": func(f *coldFleet) {
 		all := f.nodes[0].knownPeers
 		sender := slices.IndexFunc(f.nodes, func(n coldNode) bool { return n.sends })
 		left := slices.DeleteFunc(slices.Clone(all), func(p kernel.Peer) bool { return p.Name == f.nodes[sender].name })
@@ -113,7 +113,7 @@
 			}
 		}
 	},
-	"nodes join and half have not heard": func(f *coldFleet) {
+	"nodes join and half of the nodes do not know of it": func(f *coldFleet) {
 		more := append(slices.Clone(f.nodes[0].knownPeers), peersNamed("joined", 3)...)
 		for _, p := range peersNamed("joined", 3) {
 			f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: more})
@@ -133,22 +133,22 @@
 			f.nodes[i].knownPeers = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
 		}
 	},
-	"many start again and know no node yet": func(f *coldFleet) {
+	"many restart and know no node yet": func(f *coldFleet) {
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
 				f.nodes[i].knownPeers, f.nodes[i].sentAt = nil, time.Time{}
 			}
 		}
 	},
-	"all start again": func(f *coldFleet) {
+	"all restart": func(f *coldFleet) {
 		for i := range f.nodes {
 			f.nodes[i].sentAt = time.Time{}
 		}
 	},
 }
 
-// Pattern: a cold endpoint that all nodes want. However many they are, whatever happens to them and whatever each of
-// them knows of the others, no second brings it more than the bound, and it is not left without work.
+// A cold endpoint that all nodes want to use gets no more than the bound in any second and is not left idle, whatever
+// the size of the fleet, the disruption and the membership views of the nodes.
 func TestAColdEndpointGetsNoMoreThanItsBound(t *testing.T) {
 	const length = 10 * time.Second
 	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
@@ -175,7 +175,7 @@
 	must.EqOp(t, 0, kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(0).Senders)
 }
 
-// The bound is kept by pools of all rates, also where the settings state no excess.
+// The bound is kept for pools of all rates, also where the settings give no excess.
 func TestTheSharesOfAColdEndpointFitItsBound(t *testing.T) {
 	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{2, 3, 5, 9.4, 50, 1000} {
@@ -195,13 +195,14 @@
 	must.False(t, kernel.AnyCold(now.Add(3*time.Second), r.Endpoints("p")))
 	e.ColdFor = 0
 	r = r.WithChanges(now.Add(time.Second), now.Add(time.Second), []model.Endpoint{e}, nil, nil)
-	must.False(t, kernel.AnyCold(now.Add(time.Second), r.Endpoints("p")), must.Sprint("its newest entry says that it is warm"))
+	must.False(t, kernel.AnyCold(now.Add(time.Second), r.Endpoints("p")), must.Sprint("the newest entry states that it is warm"))
 	e.ColdFor = time.Second
 	r = r.WithChanges(now.Add(2*time.Second), now.Add(2*time.Second), []model.Endpoint{e}, nil, nil)
-	must.True(t, kernel.AnyCold(now.Add(2*time.Second), r.Endpoints("p")), must.Sprint("it may become cold at any moment"))
+	must.True(t, kernel.AnyCold(now.Add(2*time.Second), r.Endpoints("p")), must.Sprint("an endpoint may become cold again"))
 }
 
-// Endpoints may have become cold while their domain was evacuated; their entries say so later than the end is known.
+// Endpoints may have become cold while their domain was evacuated. Their entries say so only after the end of the
+// evacuation is known.
 func TestARestoredDomainCountsAsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuated(now, "a"))
@@ -213,10 +214,10 @@
 		must.False(t, kernel.IsCold(ended.Add(4*time.Second), e))
 	}
 	r = r.WithChanges(ended.Add(time.Second), ended.Add(time.Second), []model.Endpoint{in("a", "p-a", "p")}, nil, nil)
-	must.True(t, kernel.IsCold(ended.Add(time.Second), r.Endpoints("p")[0]), must.Sprint("an entry may have been written before the end"))
+	must.True(t, kernel.IsCold(ended.Add(time.Second), r.Endpoints("p")[0]), must.Sprint("the entry may have been written before the evacuation ended"))
 }
 
-// A worker that is cold gets its calls one by one, and the others make the rest.
+// Calls to a cold worker are spaced, and the warm workers make the remaining pieces.
 func TestAColdWorkerGetsFewCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
 	warm, cold := in("a", "warm", "workers"), in("a", "cold", "workers")
@@ -236,7 +237,7 @@
 			calls[batch.Endpoint.Name]++
 			g.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
 			if calls["cold"]+calls["warm"] > 10_000 {
-				t.Fatal("calls without end")
+				t.Fatal("calls do not end")
 			}
 			if batch.Endpoint.Name == "warm" {
 				break
--- a/kernel/coldseries_test.go
+++ b/kernel/coldseries_test.go
@@ -12,17 +12,14 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Seen in a model: where the nodes that send to a cold endpoint leave one after the other, it got 9 requests in a second of the
-// 6 that it bears. Cause: each that took the place of one that left sent at once, and those that leave went on. Proved by:
-// this test with senders that are new sending at once.
-
 type (
-	// coldSeries is a fleet whose senders to one cold endpoint are stopped and started again in a series.
+	// coldSeries simulates a fleet in which senders to one cold endpoint are repeatedly stopped and restarted.
 	coldSeries struct {
 		rng   *rand.Rand
 		share kernel.ColdShare
 		nodes []*coldSeriesNode
-		// stops is how many senders are stopped at a time, each gap; killed ones do not say that they leave.
+		// stops is how many senders are stopped at a time, gap is the interval. Killed senders do not announce that
+		// they leave.
 		stops  int
 		gap    time.Duration
 		killed bool
@@ -31,21 +28,21 @@
 	coldSeriesNode struct {
 		name      string
 		startedAt time.Time
-		// lag is after which time it hears who joined and left; heard is what it has heard.
+		// lag is the delay after which it learns of membership changes, news holds the changes sent to it.
 		lag  time.Duration
 		news []membershipUpdate
 		duty kernel.ColdRole
-		// sender is true while it is one of those that send.
+		// sender is true while the node is one of the senders.
 		sender bool
 		sentAt time.Time
-		// leaving is true from its notice to its end, and downUntil is when it is back.
+		// leaving is true from the announcement that the node leaves to its end, and downUntil is when it runs again.
 		leaving   bool
 		downUntil time.Time
 	}
 )
 
 const (
-	// coldSeriesDown is how long a process takes to be back, coldSeriesDrain how long it goes on serving once it leaves.
+	// coldSeriesDown is how long a process takes to restart, coldSeriesDrain how long a leaving node still serves.
 	coldSeriesDown  = 500 * time.Millisecond
 	coldSeriesDrain = time.Second
 )
@@ -59,7 +56,7 @@
 	return f
 }
 
-// tell has all nodes hear, one after the other, of those that are not leaving.
+// tell sends the nodes that are not leaving to all nodes, each of which learns of them after its own delay.
 func (f *coldSeries) tell(now time.Time) {
 	var staying []kernel.Peer
 	for _, n := range f.nodes {
@@ -72,7 +69,7 @@
 	}
 }
 
-// stop stops the first senders.
+// stop stops the first senders, as many as are stopped at a time.
 func (f *coldSeries) stop(now time.Time) {
 	left := f.stops
 	for _, n := range f.nodes {
@@ -90,7 +87,7 @@
 	f.tell(now)
 }
 
-// step has a node start again where it is time, and tells whether it sends.
+// step restarts a node when its downtime is over and reports whether the node sends.
 func (f *coldSeries) step(now time.Time, n *coldSeriesNode) bool {
 	draining := n.leaving && now.Before(n.downUntil.Add(-coldSeriesDown))
 	if now.Before(n.downUntil) && !draining {
@@ -100,7 +97,7 @@
 	if n.leaving && !draining {
 		n.leaving = false
 		f.tell(now)
-		// It reads the store as it starts.
+		// A node reads the store when it starts.
 		n.news[len(n.news)-1].at = now
 	}
 	if n.duty.Expired(now) {
@@ -124,7 +121,7 @@
 	return nodes
 }
 
-// play returns when requests arrive at the endpoint.
+// play returns the arrival times of the requests at the endpoint.
 func (f *coldSeries) play(length time.Duration) (arrivals []time.Time) {
 	start := time.Unix(1000, 0)
 	for elapsed := time.Duration(0); elapsed < length; elapsed += coldStep {
@@ -147,8 +144,9 @@
 	return arrivals
 }
 
-// However often the senders of a cold endpoint are stopped and start again, one by one or several at a time, no second brings
-// it more than it bears.
+// A cold endpoint gets no more than the bound in any second, however often its senders are stopped and restarted, one
+// by one or several at a time. A sender that takes over must not send at once: the one that it replaces may just have
+// sent, and still sends while it drains. Without that wait an endpoint bounded to 6 requests a second got 9.
 func TestAColdEndpointGetsWhatItBearsWhileItsSendersStartAgain(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{4, 8, 76} {
--- a/kernel/evacuation.go
+++ b/kernel/evacuation.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// evacuatedRetry is when a caller may come back whose request only evacuated endpoints could serve.
+	// evacuatedRetry is the Retry-After time of a request that only evacuated endpoints could serve.
 	evacuatedRetry = time.Second
-	// noRegionRetry is when a caller may come back whose request no endpoint in an allowed region could serve: new ones
-	// are listed, or another routing is in force.
+	// noRegionRetry is the Retry-After time of a request that no endpoint in an allowed region could serve: by then
+	// other endpoints may be listed, or another routing may be in force.
 	noRegionRetry = 2 * time.Second
 )
 
-// Evacuations is which failure domains operators keep work off. It is immutable.
+// Evacuations is the set of failure domains that operators have evacuated: their endpoints get no work. It is
+// immutable.
 type Evacuations struct {
-	// since holds when this node learned of each evacuation that is in force.
+	// since holds by domain when this node learned of the evacuation that is in force.
 	since map[string]time.Time
-	// ended holds when this node learned of the end of each domain's last evacuation.
+	// ended holds by domain when this node learned of the end of its last evacuation.
 	ended map[string]time.Time
 }
 
-// EvacuationChange is what operators wrote about failure domains since an earlier state. A domain is in one list at
-// most.
+// EvacuationChange lists the failure domains that operators have evacuated or restored since an earlier state. A domain
+// is in at most one of the lists.
 type EvacuationChange struct {
 	Evacuated []string
 	Restored  []string
 }
 
-// With returns the evacuations after a change that this node learned of at a time, and the domains whose state is a
-// new one.
+// With returns the evacuations after a change that this node learned of at now, and the domains whose state differs
+// from before.
 func (e Evacuations) With(now time.Time, change EvacuationChange) (after Evacuations, news EvacuationChange) {
 	after = Evacuations{since: maps.Clone(e.since), ended: maps.Clone(e.ended)}
 	if after.since == nil {
@@ -55,23 +56,24 @@
 	return after, news
 }
 
-// Holds tells whether a failure domain is evacuated.
+// Holds reports whether a failure domain is evacuated.
 func (e Evacuations) Holds(domain string) bool {
 	_, held := e.since[domain]
 	return held
 }
 
-// Domains returns the evacuated failure domains in order.
+// Domains returns the evacuated failure domains in alphabetical order.
 func (e Evacuations) Domains() []string {
 	return slices.Sorted(maps.Keys(e.since))
 }
 
-// Since returns when this node learned that a failure domain is evacuated; zero where it is not.
+// Since returns when this node learned that a failure domain is evacuated; zero if it is not evacuated.
 func (e Evacuations) Since(domain string) time.Time {
 	return e.since[domain]
 }
 
-// coldUntil returns until when the endpoints of a failure domain that was taken back may be cold without saying so.
+// coldUntil returns until when the endpoints of a restored failure domain may be cold although their entries do not say
+// so; zero if the domain has never been evacuated.
 func (e Evacuations) coldUntil(domain string) time.Time {
 	ended, known := e.ended[domain]
 	if !known {
@@ -80,8 +82,8 @@
 	return ended.Add(coldReportDelay)
 }
 
-// AdmitPools refuses a request at once where no endpoint of a pool that it needs may get work: of its stages' pools or
-// the one where it runs itself. The endpoints that count are those in the regions that it may be served in.
+// AdmitPools refuses a request if no endpoint of a pool that it needs may get work: the pools of its stages that have
+// pieces, and the pool that serves the request itself. Only endpoints in the allowed regions of the request count.
 func AdmitPools(r Registry, f model.Forward, a Admission) *model.Refusal {
 	if refusal := admitPool(r, a.Pool, a.Homes); refusal != nil {
 		return refusal
@@ -97,7 +99,8 @@
 	return nil
 }
 
-// admitPool refuses only for what is known: a pool without any listed endpoint may have some in a moment.
+// admitPool refuses a request if a pool has endpoints, but none in an allowed region, or only evacuated ones there. A
+// pool without any listed endpoint is not refused: its endpoints may be listed shortly.
 func admitPool(r Registry, pool string, regions AllowedRegions) *model.Refusal {
 	allowed := regions.AllowedEndpoints(r.Endpoints(pool))
 	if len(allowed) == 0 && len(r.Endpoints(pool)) > 0 {
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -16,7 +16,7 @@
 	return model.Endpoint{Name: name, Pool: pool, Address: name + ":1", FailureDomain: domain, State: model.Live}
 }
 
-// domainsRegistry lists one endpoint of a pool in each of several failure domains.
+// domainsRegistry returns a registry with one endpoint of a pool in each of several failure domains.
 func domainsRegistry(now time.Time, pool string, domains ...string) kernel.Registry {
 	var listed []model.Endpoint
 	for _, domain := range domains {
@@ -43,7 +43,8 @@
 	return out
 }
 
-// evacuationMachine drives the store's rows on evacuations, a node that reads them, and one that asks that node.
+// evacuationMachine simulates the evacuation rows of the store, a node that reads them and a node that follows that
+// one.
 type evacuationMachine struct {
 	now              time.Time
 	version          uint64
@@ -103,8 +104,9 @@
 	m.registry = m.registry.WithEvacuations(evacuations)
 }
 
-// Whatever operators write in whichever order, and however many of their writes a node hears of at once, through a
-// reader or after a lost history: once it has read the store, it sends nothing to just the domains that are evacuated.
+// A node that has read the store sends requests to exactly the domains that are not evacuated, whatever operators write
+// in which order, and however many writes reach it at once, from the store's changes or from a full read after the
+// history was lost.
 func TestEvacuationsFollowTheStoreInAnyOrderOfEvents(t *testing.T) {
 	domains := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -115,7 +117,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
-				m.write(rapid.SampledFrom(domains).Draw(t, "domain"), rapid.Bool().Draw(t, "taken back"))
+				m.write(rapid.SampledFrom(domains).Draw(t, "domain"), rapid.Bool().Draw(t, "restored"))
 			},
 			"list again": func(*rapid.T) {
 				m.registry = m.registry.WithChanges(m.now, m.now, []model.Endpoint{in("a", "p-a", "p")}, nil, nil)
@@ -166,12 +168,12 @@
 	}
 	must.Positive(t, total)
 	ended, _ := g.Done(now, inFlight, []model.PieceResult{{Handle: "h"}})
-	must.SliceLen(t, 1, ended, must.Sprint("what was under way ends in peace"))
+	must.SliceLen(t, 1, ended, must.Sprint("a call in flight ends normally"))
 	must.EqOp(t, model.PieceFault(""), ended[0].Fault)
 
 	g.SetEndpoints(registry.WithEvacuations(evacuated(now, "a", "b")).Endpoints("workers"))
 	ok, retry := g.Add(now, pieceGroup(99, 1, 1000, now.Add(time.Minute)))
-	must.False(t, ok, must.Sprint("pieces that nothing can make are not held"))
+	must.False(t, ok, must.Sprint("pieces that no endpoint can make are not queued"))
 	must.Positive(t, retry)
 }
 
@@ -200,7 +202,7 @@
 	}
 }
 
-// A prompt's home moves off an evacuated domain and back to the same engine.
+// The home domain of a prompt moves away from an evacuated domain and returns to it afterwards.
 func TestAPromptReturnsToItsHomeDomainAfterAnEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "engines", "a", "b", "c")
--- a/kernel/homes.go
+++ b/kernel/homes.go
@@ -7,14 +7,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-// AllowedRegions are the regions that a request may be served in. The zero value stands for any. It is immutable.
+// AllowedRegions are the regions that a request may be served in. The zero value allows any region. It is immutable.
 type AllowedRegions struct {
-	// stated tells that regions lists all that are allowed; none may be.
+	// stated is true if only the listed regions are allowed. The list may be empty.
 	stated  bool
 	regions []string
 }
 
-// AllowedRegionsFor returns the regions that a route and a customer allow together. One that states none allows all.
+// AllowedRegionsFor returns the regions that both a route and a customer allow. A route or customer that lists no
+// regions allows all.
 func AllowedRegionsFor(route model.Route, customer model.KeyHolder) AllowedRegions {
 	return AllowedRegions{}.within(route.Homes).within(customer.Homes)
 }
@@ -30,12 +31,12 @@
 	return AllowedRegions{stated: true, regions: common}
 }
 
-// Allows tells whether a request may be served in a region.
+// Allows reports whether a request may be served in a region.
 func (r AllowedRegions) Allows(region string) bool {
 	return !r.stated || slices.Contains(r.regions, region)
 }
 
-// String names the regions for people.
+// String lists the regions for messages.
 func (r AllowedRegions) String() string {
 	if !r.stated {
 		return "any"
@@ -43,8 +44,9 @@
 	return fmt.Sprint(r.regions)
 }
 
-// PieceRegion returns the region whose endpoints of a pool carry out a request's pieces: the node's own where that is
-// allowed and has endpoints that take work, else the first such by name. False means that there is none.
+// PieceRegion returns the region whose endpoints of a pool process the pieces of a request: the node's own region if it
+// is allowed and has endpoints that take work, otherwise the alphabetically first such region. It returns false if
+// there is none.
 func PieceRegion(r Registry, pool string, allowed AllowedRegions, own string) (region string, ok bool) {
 	for _, e := range r.Endpoints(pool) {
 		if !e.TakesWork() || !allowed.Allows(e.Region) {
@@ -60,7 +62,7 @@
 	return region, ok
 }
 
-// AllowedEndpoints returns the endpoints that a request with homes may be sent to.
+// AllowedEndpoints returns the endpoints in the allowed regions.
 func (r AllowedRegions) AllowedEndpoints(endpoints []model.Endpoint) []model.Endpoint {
 	if !r.stated {
 		return endpoints
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -53,8 +53,8 @@
 		{"own", nil, anywhere, "north"},
 		{"not allowed", nil, southOrWest, "south"},
 		{"evacuated", []string{"domain of north"}, anywhere, "south"},
-		{"one home evacuated", []string{"domain of south"}, southOrWest, "west"},
-		{"all homes evacuated", []string{"domain of south", "domain of west"}, southOrWest, ""},
+		{"one allowed region evacuated", []string{"domain of south"}, southOrWest, "west"},
+		{"all allowed regions evacuated", []string{"domain of south", "domain of west"}, southOrWest, ""},
 	} {
 		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuated(now, tc.evacuated...)), "workers", tc.regions, "north")
 		must.EqOp(t, tc.want, region, must.Sprint(tc.name))
--- a/kernel/idle.go
+++ b/kernel/idle.go
@@ -1,15 +1,16 @@
 package kernel
 
 const (
-	// maxIdlePerNode bounds the idle connections of one node to one endpoint.
+	// maxIdlePerNode is the maximum number of idle connections of one node to one endpoint.
 	maxIdlePerNode = 8
-	// idleShare is the share of the connections that an endpoint accepts of all nodes together which may be idle; the
-	// rest is for requests under way.
+	// idleShare is the fraction of the connections that an endpoint accepts from all nodes together that may be idle.
+	// The rest is for requests in flight.
 	idleShare = 0.75
 )
 
-// MaxIdleConnections returns how many idle connections one of several nodes may keep to an endpoint that accepts so many of all of
-// them together; 0 connections stand for no bound. While a node knows of no node, itself among them, it keeps none.
+// MaxIdleConnections returns how many idle connections each of several nodes may keep to an endpoint that accepts a
+// limited number of connections from all of them together. 0 connections stands for no limit. A node that knows of no
+// nodes yet, not even itself, keeps none.
 func MaxIdleConnections(connections, nodes int) int {
 	if connections <= 0 {
 		return maxIdlePerNode
--- a/kernel/permits.go
+++ b/kernel/permits.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// PermitLifetime is how long after it was asked for a permit may be used: what it lets through arrives about when
-	// the sends of its giver do.
+	// PermitLifetime is how long after it was requested a permit may be used: short enough that the request arrives at
+	// about the same time as a send of the node that granted the permit.
 	PermitLifetime = 300 * time.Millisecond
-	// permitRetryPause is how long a node is not asked again that did not answer, or does not share the cap.
+	// permitRetryPause is how long a node is not asked again that did not answer, or that does not share the cap.
 	permitRetryPause = time.Second
-	// maxPermitWait is the longest that a node has to wait for its turn. Together with the turns it bounds
-	// the questions that one node gets.
+	// maxPermitWait is the maximum time until a node's turn. Together with the order of turns it bounds the permit
+	// requests that one node receives.
 	maxPermitWait = 5 * time.Second
 )
 
 type (
-	// Permits is what a node knows of the others that share an endpoint's rate cap, and that may let it send one request
-	// in their place. It is immutable.
+	// Permits is what a node knows of the other nodes that share the rate cap of an endpoint and may grant it a permit
+	// to send one request in their place. It is immutable.
 	Permits struct {
-		// sharers are the nodes that share the cap, by hash.
+		// sharers are the nodes that share the cap, ordered by rendezvous hash.
 		sharers []string
-		// deniedUntil holds until when each of them is not worth asking.
+		// deniedUntil holds by node until when it is not asked again.
 		deniedUntil map[string]time.Time
 	}
 
-	// PermitIssuer counts, at a node that shares an endpoint's rate cap, who was turned away since it last sent or let
-	// another node send. It is immutable.
+	// PermitIssuer counts, at a node that shares the rate cap of an endpoint, the permit requests denied since the node
+	// last sent or granted a permit. It is immutable.
 	PermitIssuer struct {
 		sentAt time.Time
 		denied int
 	}
 )
 
-// CapSharers returns the nodes that share an endpoint's rate cap.
+// CapSharers returns the nodes that share the rate cap of an endpoint.
 func CapSharers(now time.Time, nodes SettledNodes, incarnation string) []string {
 	return nodes.First(now, incarnation, capSenders)
 }
 
-// WithSharers returns the permits where certain nodes share the cap, this one possibly among them.
+// WithSharers returns a copy in which the given nodes share the cap. The node itself may be among them and is left out.
 func (p Permits) WithSharers(sharers []string, self string) Permits {
 	out := Permits{deniedUntil: map[string]time.Time{}}
 	for _, name := range sharers {
@@ -55,7 +55,8 @@
 	return out
 }
 
-// WithDenial returns the permits after a sharer let this node wait for a time; none stands for one that did not answer.
+// WithDenial returns a copy after a sharer denied a permit and named a wait. A wait of 0 stands for a sharer that did
+// not answer.
 func (p Permits) WithDenial(now time.Time, sharer string, wait time.Duration) Permits {
 	if wait <= 0 {
 		wait = permitRetryPause
@@ -66,7 +67,7 @@
 	return out
 }
 
-// Choose returns a sharer that is worth asking now; the draw is evenly between 0 and 1.
+// Choose returns a sharer that may be asked now. The draw is uniform between 0 and 1.
 func (p Permits) Choose(now time.Time, draw float64) (sharer string, ok bool) {
 	open := slices.DeleteFunc(slices.Clone(p.sharers), func(name string) bool { return now.Before(p.deniedUntil[name]) })
 	if len(open) == 0 {
@@ -75,7 +76,7 @@
 	return open[min(int(draw*float64(len(open))), len(open)-1)], true
 }
 
-// Next returns when the first sharer is worth asking again; false where nobody is known to share the cap.
+// Next returns when the first sharer may be asked again; false where no sharer is known.
 func (p Permits) Next() (at time.Time, ok bool) {
 	for i, name := range p.sharers {
 		if until := p.deniedUntil[name]; i == 0 || until.Before(at) {
@@ -85,13 +86,14 @@
 	return at, len(p.sharers) > 0
 }
 
-// Permit decides whether a node lets another one send a request to the endpoint in its place, given when it last did so
-// or sent one itself, and its place by the endpoint's hash. Who has to wait learns when its turn comes, after all that
-// were turned away before, so that few ask in vain.
+// Permit decides whether a node lets another node send a request to the endpoint in its place. sentAt is when the node
+// last sent a request there or granted a permit. A denied node is told when its turn comes, after all nodes denied
+// before it, so that few requests for permits are in vain.
 func (i PermitIssuer) Permit(now time.Time, v CapView, sentAt time.Time, rank int) (next PermitIssuer, granted bool, wait time.Duration) {
 	switch {
 	case !v.Cap.Stated:
-		// What this node does not know of, the other one may have learned since: it sends as little as before.
+		// The other node may have learned of a cap that this node does not know of yet. Without a permit it sends no more
+		// than before.
 		return i, false, permitRetryPause
 	case rank >= capSenders:
 		return i, false, permitRetryPause
--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -11,11 +11,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Seen: of 400 nodes before three endpoints that all state rate caps 12 may send, so most requests are refused while the
-// endpoints take more. Cause: only the nodes that share a cap could use it. Proved by: this test with nobody asking, where
-// some hundredth part of what an endpoint takes reaches it.
-
-// askingFleet is nodes that get requests evenly, and ask those that share the cap for permits.
+// askingFleet simulates nodes that get requests evenly and ask the nodes that share a cap for permits.
 type askingFleet struct {
 	*cappedFleet
 	permits   map[string]kernel.Permits
@@ -32,7 +28,7 @@
 	return nil
 }
 
-// serve tells whether a request that comes to a node may be sent.
+// serve reports whether a request that arrives at a node may be sent.
 func (f *askingFleet) serve(n *cappedNode, asks bool) bool {
 	if f.view.Due(f.now, n.sentAt, n.rank) {
 		n.sentAt = f.now
@@ -67,8 +63,8 @@
 	return granted, wait
 }
 
-// play has requests come to nodes drawn at random, so many a second in all, and returns the most that arrive at the endpoint
-// in a window, and how many a second in all.
+// play sends requests to random nodes at a total rate of demand a second, and returns the maximum number that arrives
+// at the endpoint in a window, and the average rate a second.
 func (f *askingFleet) play(length time.Duration, demand float64, asks bool, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
 	start := f.now
 	var arrivals []time.Time
@@ -96,8 +92,9 @@
 	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, issuers: map[string]kernel.PermitIssuer{}}
 }
 
-// Requests that come to any node of a fleet use most of what an endpoint with a rate cap takes, and no more, whoever joins,
-// leaves, is lost or starts again.
+// Permits let requests at any node of a fleet use most of a rate cap without exceeding it, whichever nodes join, leave,
+// fail or restart. Without permits only the nodes that share a cap can use it: of 400 nodes with three such endpoints
+// 12 may send, and most requests are refused although the endpoints could take them.
 func TestAnyNodeUsesARateCapByPermits(t *testing.T) {
 	t.Parallel()
 	for name, disruption := range cappedDisruptions {
@@ -121,20 +118,21 @@
 func TestAnyNodeOfALargeFleetUsesARateCapByPermits(t *testing.T) {
 	t.Parallel()
 	f := newAskingFleet(400, 1)
-	maxInWindow, got := f.play(capLength, 4, true, cappedDisruptions["half start again"])
+	maxInWindow, got := f.play(capLength, 4, true, cappedDisruptions["half restart"])
 	must.LessEq(t, 11, maxInWindow)
 	must.GreaterEq(t, 0.5, got)
 }
 
-// Without permits the nodes that share a cap use of it what comes to them.
+// Without permits the nodes that share a cap can use it only for the requests that reach them: with 400 nodes, about
+// one hundredth of the rate.
 func TestFewNodesUseLittleOfARateCap(t *testing.T) {
 	t.Parallel()
 	_, got := newAskingFleet(400, 8).play(capLength, 25, false, func(*cappedFleet) {})
 	must.LessEq(t, 0.5, got)
 }
 
-// Nodes that are turned away ask again when their turn comes: the questions are bounded by what the endpoint takes, not by
-// the requests.
+// Nodes that were denied a permit ask again when their turn comes: the number of permit requests is bounded by the rate
+// of the endpoint, not by the number of requests.
 func TestNodesRarelyAskInVainForAPermit(t *testing.T) {
 	t.Parallel()
 	f := newAskingFleet(400, 1)
@@ -144,8 +142,8 @@
 	must.LessEq(t, bound, float64(f.questions))
 }
 
-// A desk lets one through when the cap allows, tells the others their turns, and gives none where the node does not share
-// the cap.
+// A permit is granted when the cap allows a send, denied nodes are told their turns, and a node that does not share the
+// cap grants no permits.
 func TestPermitIssuer(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -160,14 +158,14 @@
 	}
 	_, granted, wait := issuer.Permit(now.Add(5*time.Second), one, now.Add(4*time.Second), 0)
 	must.False(t, granted)
-	must.EqOp(t, 3*time.Second, wait, must.Sprint("who was turned away before the last send is not waited for"))
+	must.EqOp(t, 3*time.Second, wait, must.Sprint("nodes denied before the last send do not count"))
 	_, granted, _ = issuer.Permit(now.Add(time.Hour), one, now, 4)
 	must.False(t, granted)
 	_, granted, _ = issuer.Permit(now.Add(time.Hour), kernel.CapView{}, now, 0)
 	must.False(t, granted)
 }
 
-// A node that was turned away, or not answered, asks another one.
+// A node that was denied a permit, or got no answer, asks another node.
 func TestPermitsAreAskedForElsewhereAfterADenial(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -190,7 +188,8 @@
 	must.False(t, known)
 }
 
-// The endpoint may have been forgotten, and its sharers with it, by the time that one of them answers.
+// The state of an endpoint, with the nodes that share its cap, may have been dropped by the time that one of them
+// answers.
 func TestADenialForAnEndpointThatWasForgotten(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
--- a/kernel/ratecap.go
+++ b/kernel/ratecap.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// capSenders is how many nodes may send to an endpoint that states a rate cap. Their first sends fall within what
-	// the platform allows beside the rate, with one to spare for a node that has not heard of them.
+	// capSenders is how many nodes may send to an endpoint that states a rate cap. Their first sends fall within the
+	// burst that the platform allows beyond the rate, with one request to spare for a node that does not know of them
+	// yet.
 	capSenders = 4
-	// maxCapInterval is the longest pause between two sends of one node: an endpoint that takes nearly nothing is asked all
-	// the same whether that still holds.
+	// maxCapInterval is the maximum time between two sends of one node: an endpoint that takes almost nothing is still
+	// probed in case its cap has changed.
 	maxCapInterval = 20 * time.Second
-	// capBatcherShare is the share of a cap that one batcher of pieces uses: two may be at work at one time.
+	// capBatcherShare is the fraction of a cap that one batcher of pieces uses: two may be active at the same time.
 	capBatcherShare = 0.6
-	// capProbeDelay is how long after the last message on a cap the first of the other nodes asks whether it still holds, and
-	// capDoubtStep how much later each further one does.
+	// capProbeDelay is how long after the last message about a cap the first of the nodes that do not share it probes
+	// whether it still holds. Each further node waits one more step, so that they probe one after the other.
 	capProbeDelay   = time.Minute
 	capProbeStagger = 20 * time.Second
-	// maxCapNoticeDelay is how long a notice of the end of a cap may have been under way. An endpoint that stated one
-	// meanwhile is believed.
+	// maxCapNoticeDelay is the maximum delay of a notice that a cap has ended. An endpoint that has stated a cap within
+	// this time keeps it.
 	maxCapNoticeDelay = 3 * time.Second
-	// minCapRetry and mostCapRetry bound when a caller may come back whose request only endpoints at their caps
-	// could serve: another node may send at once, and none has to wait for long until one more is taken.
+	// The Retry-After time of a request that only endpoints at their caps could serve lies between these two: another
+	// node may be able to send at once, and callers should not wait long once one more request is taken.
 	minCapRetry = 150 * time.Millisecond
 	maxCapRetry = time.Second
 )
 
 type (
-	// CapView is what a node believes of an endpoint's rate cap. It is immutable.
+	// CapView is a node's view of the rate cap of an endpoint. It is immutable.
 	CapView struct {
-		// Cap is what the endpoint is taken to state.
+		// Cap is the cap that the endpoint is assumed to state.
 		Cap model.RateCap
-		// ChangedAt is when Cap became what it is.
+		// ChangedAt is when Cap took its present value.
 		ChangedAt time.Time
-		// statedAt is when the newest message came that states a cap, of the endpoint or another node; answeredAt is when the
-		// endpoint's newest answer came, if that states one.
+		// statedAt is when the newest message that states a cap arrived, from the endpoint or from another node.
+		// answeredAt is when the newest answer of the endpoint arrived, if it states a cap; zero otherwise.
 		statedAt   time.Time
 		answeredAt time.Time
 	}
@@ -46,18 +47,20 @@
 	// CappedEndpoint is an endpoint that states a rate cap, as one node sees it.
 	CappedEndpoint struct {
 		View CapView
-		// SentAt is when the node last sent to it, Place how many nodes come before it by the endpoint's hash.
+		// SentAt is when the node last sent to it.
 		SentAt time.Time
-		Rank   int
-		// Asks is true where the node may ask others for a permit, AskAt when one of them is worth asking.
-		Asks  bool
+		// Rank is how many nodes rank before this one by rendezvous hash of the endpoint.
+		Rank int
+		// Asks is true where the node may request a permit from other nodes.
+		Asks bool
+		// AskAt is when one of those nodes is next due to be asked.
 		AskAt time.Time
 	}
 )
 
-// WithAnswer takes in the endpoint's own answer to a request that was sent at a time. Answers overtake each other: one
-// without a cap ends it only if it was asked for after the last message that states one, and of two whose order is not known
-// the stricter holds.
+// WithAnswer returns the view after the endpoint answered a request that was sent at asked. Answers may arrive out of
+// order: one that states no cap ends a cap only if its request was sent after the last message that states one arrived,
+// and of two caps whose order is unknown the stricter one holds.
 func (v CapView) WithAnswer(asked, now time.Time, stated model.RateCap) CapView {
 	overlaps := asked.Before(v.statedAt)
 	switch {
@@ -73,8 +76,9 @@
 	return v.with(now, stated)
 }
 
-// WithNotice takes in what the nodes' common table says of the endpoint from now on. A notice may be older than an answer of
-// the endpoint: it does not loosen what one said a moment ago, nor ever the rate that one stated.
+// WithNotice returns the view after a notice in the table that all nodes follow. A notice may be older than an answer
+// of the endpoint: it does not end a cap that an answer stated less than the maximum delay of notices ago, and never
+// raises a rate that an answer stated.
 func (v CapView) WithNotice(now time.Time, stated model.RateCap) CapView {
 	answered := !v.answeredAt.IsZero()
 	switch {
@@ -86,18 +90,18 @@
 	return v.with(now, stated)
 }
 
-// WithPart returns the belief of who may use only a part of the cap, from 0 to 1.
+// WithPart returns the view of a sender that may use only a part of the cap, from 0 to 1.
 func (v CapView) WithPart(part float64) CapView {
 	v.Cap = v.Cap.WithPart(part)
 	return v
 }
 
-// StatedAfter tells whether the endpoint is known to state its cap only since a time.
+// StatedAfter reports whether the endpoint states a cap that became known, or changed, after t.
 func (v CapView) StatedAfter(t time.Time) bool {
 	return v.Cap.Stated && v.ChangedAt.After(t)
 }
 
-// WithoutEndpoint returns the belief of an endpoint that is gone.
+// WithoutEndpoint returns the view after the endpoint is gone.
 func (v CapView) WithoutEndpoint(now time.Time) CapView {
 	return v.with(now, model.RateCap{})
 }
@@ -112,9 +116,9 @@
 	return v
 }
 
-// Due tells whether a node may send to the endpoint, given when it last did and its place by the endpoint's hash. The first
-// ones share the rate evenly. The others ask now and then whether the cap still holds, long apart and one after the other:
-// the first ones may all be lost.
+// Due reports whether a node that last sent to the endpoint at sentAt may send to it now. The first nodes by rank share
+// the rate evenly. The others probe at long intervals and one after the other whether the cap still holds, because all
+// nodes that share it may be lost. The rank of a node that others may not know of yet is math.MaxInt; it does not send.
 func (v CapView) Due(now, sentAt time.Time, rank int) bool {
 	switch {
 	case !v.Cap.Stated:
@@ -132,12 +136,13 @@
 	}
 }
 
-// pause returns the least time between two sends of one of the nodes that share the cap.
+// pause returns the minimum time between two sends of one of the nodes that share the cap.
 func (v CapView) pause() time.Duration {
 	return capPause(v.Cap.PerSecond / capSenders)
 }
 
-// CapBatcherPause returns the least time between two calls of the batcher that alone sends to a worker with a rate cap.
+// CapBatcherPause returns the minimum time between two calls of the batcher that is the only sender to a worker with a
+// rate cap.
 func CapBatcherPause(stated model.RateCap) time.Duration {
 	return capPause(stated.PerSecond * capBatcherShare)
 }
@@ -149,9 +154,9 @@
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-// AdmitCapped refuses a request that only endpoints with rate caps could serve, where none of them takes one of this node
-// now. The caller may come back when this node may send again, or is worth asking for a permit; where neither is known,
-// when the endpoints together take one more, of whichever node.
+// AdmitCapped refuses a request that only endpoints with rate caps could serve if this node may not send to any of them
+// now and cannot request a permit either. The Retry-After time is when this node may next send or ask for a permit;
+// where neither is known, it is when the endpoints together take one more request, from any node.
 func AdmitCapped(now time.Time, pool string, endpoints []CappedEndpoint) *model.Refusal {
 	perSecond, retry := 0.0, time.Duration(0)
 	for _, e := range endpoints {
@@ -178,7 +183,7 @@
 	return model.NewRefusal(model.NotRun, model.EndpointsCapped, ClampRetryAfter(retry), fmt.Sprintf("all endpoints of pool %s take no more now than they get", pool))
 }
 
-// shorterWait returns the shorter of two waits, of which the first may not be known yet.
+// shorterWait returns the shorter of two waits; a known wait of 0 means that none is known yet.
 func shorterWait(known, wait time.Duration) time.Duration {
 	if known == 0 {
 		return wait
--- a/kernel/ratecap_test.go
+++ b/kernel/ratecap_test.go
@@ -15,23 +15,19 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Seen: eight nodes sent an engine 14 requests in four seconds that had stated to each of them that it takes one a second; 11
-// are allowed. How: a bound on what all nodes send together reached each of them alone. Cause: the field was not
-// understood, and no share of it could have been kept without knowing who else sends. Proved by: the same arrivals before and
-// after the engine named its limit.
-
 const (
 	capWindow = 4 * time.Second
 	capStep   = 20 * time.Millisecond
-	// capRefreshInterval is how often nodes look at what they have heard of each other.
+	// capRefreshInterval is how often nodes refresh their membership view.
 	capRefreshInterval = time.Second
-	// capDisruptionAt is when something happens to the fleet, capLength how long it is played.
+	// capDisruptionAt is when the disruption of a run takes place, capLength the length of a run.
 	capDisruptionAt = 20 * time.Second
 	capLength       = 50 * time.Second
 )
 
 type (
-	// cappedFleet is nodes that all have more requests for one endpoint than it takes. All have heard of its cap.
+	// cappedFleet simulates nodes that all have more requests for one endpoint than it takes. All of them know of its
+	// cap.
 	cappedFleet struct {
 		rng   *rand.Rand
 		now   time.Time
@@ -41,7 +37,7 @@
 
 	cappedNode struct {
 		name string
-		// lag is after which time the node learns which nodes there are; knows is what it learned last.
+		// lag is the delay after which the node learns of membership changes, known is the membership that it knows.
 		lag     time.Duration
 		settled kernel.SettledNodes
 		known   []kernel.Peer
@@ -67,12 +63,12 @@
 	return f
 }
 
-// lag is how long nodes take to hear of each other.
+// lag returns a random delay after which a node learns of membership changes.
 func (f *cappedFleet) lag() time.Duration {
 	return time.Duration(f.rng.IntN(3000)) * time.Millisecond
 }
 
-// tell has all nodes hear, one after the other, of those that there are now.
+// tell sends the present membership to all nodes, each of which learns of it after its own delay.
 func (f *cappedFleet) tell() {
 	var all []kernel.Peer
 	for _, n := range f.nodes {
@@ -85,7 +81,7 @@
 	}
 }
 
-// first returns the nodes that come first by the endpoint's hash.
+// first returns the highest ranked nodes of the endpoint.
 func (f *cappedFleet) first(count int) []*cappedNode {
 	out := slices.Clone(f.nodes)
 	slices.SortFunc(out, func(a, b *cappedNode) int { return cmp.Compare(a.rank, b.rank) })
@@ -99,14 +95,14 @@
 	f.tell()
 }
 
-// play has all nodes send as fast as they may, and returns the most requests that arrive in a window, and how many a
-// second in all.
+// play lets all nodes send as fast as they may, and returns the maximum number of requests that arrive in a window, and
+// the average rate a second.
 func (f *cappedFleet) play(length time.Duration, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
 	arrivals := f.arrivals(length, disruption)
 	return mostWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
 }
 
-// arrivals has all nodes send as fast as they may, and returns when their requests arrive.
+// arrivals lets all nodes send as fast as they may, and returns the arrival times of their requests.
 func (f *cappedFleet) arrivals(length time.Duration, disruption func(*cappedFleet)) []time.Time {
 	start := f.now
 	var arrivals []time.Time
@@ -129,7 +125,7 @@
 	return arrivals
 }
 
-// delay is how long a send is under way; some open a connection first.
+// delay returns the random delay of a send; some open a connection first.
 func (f *cappedFleet) delay() time.Duration {
 	delay := time.Duration(f.rng.IntN(50)) * time.Millisecond
 	if f.rng.IntN(5) == 0 {
@@ -138,7 +134,7 @@
 	return delay
 }
 
-// mostWithin returns the most of several moments that lie within one window.
+// mostWithin returns the maximum number of moments that lie within one window. It sorts the moments.
 func mostWithin(moments []time.Time, window time.Duration) int {
 	slices.SortFunc(moments, time.Time.Compare)
 	maxCount, oldest := 0, 0
@@ -151,7 +147,7 @@
 	return maxCount
 }
 
-// refresh has a node take in what it has heard of the others by now.
+// refresh updates the node's view of the membership with the changes that have reached it.
 func (n *cappedNode) refresh(now time.Time) {
 	for _, news := range n.news {
 		if !now.Before(news.at) {
@@ -162,7 +158,7 @@
 	n.rank = n.settled.Rank(now, n.name, "engine")
 }
 
-// restart has a node forget all but what it reads of the others.
+// restart drops the state of a node except for the membership that it reads when it starts.
 func (n *cappedNode) restart() {
 	n.settled, n.sentAt, n.rank = kernel.SettledNodes{}, time.Time{}, math.MaxInt
 }
@@ -175,7 +171,7 @@
 	"as many nodes join": func(f *cappedFleet) {
 		f.join(len(f.nodes))
 	},
-	"nodes join that others do not hear of": func(f *cappedFleet) {
+	"a node joins that the others do not know of": func(f *cappedFleet) {
 		f.nodes = append(f.nodes, &cappedNode{name: "alone", known: []kernel.Peer{{Name: "alone"}}, rank: math.MaxInt})
 	},
 	"the senders leave": func(f *cappedFleet) {
@@ -184,25 +180,26 @@
 		}
 		f.tell()
 	},
-	"the senders are lost, and nobody says so": func(f *cappedFleet) {
+	"the senders fail without an announcement": func(f *cappedFleet) {
 		for _, n := range f.first(4) {
 			n.down = true
 		}
 	},
-	"all start again": func(f *cappedFleet) {
+	"all restart": func(f *cappedFleet) {
 		for _, n := range f.nodes {
 			n.restart()
 		}
 	},
-	"half start again": func(f *cappedFleet) {
+	"half restart": func(f *cappedFleet) {
 		for _, n := range f.nodes[:len(f.nodes)/2] {
 			n.restart()
 		}
 	},
 }
 
-// All nodes together keep within what an endpoint allows, without asking each other, whoever joins, leaves, is lost or
-// starts again, and use most of it.
+// All nodes together stay within the rate cap of an endpoint without asking each other, and use most of it, whichever
+// nodes join, leave, fail or restart. A cap that reaches each node alone has to be divided: eight nodes that ignored it
+// sent 14 requests in four seconds to an engine that takes one a second, where 11 are allowed.
 func TestNodesTogetherKeepARateCap(t *testing.T) {
 	t.Parallel()
 	for name, disruption := range cappedDisruptions {
@@ -224,7 +221,7 @@
 	}
 }
 
-// Where all nodes that share a cap are lost for good, the others find out by themselves, long apart, whether it still holds.
+// If all nodes that share a cap are lost for good, the others probe at long intervals whether it still holds.
 func TestARateCapIsAskedForAgainWhereItsSendersAreLost(t *testing.T) {
 	t.Parallel()
 	f := newCappedFleet(1, 12, 1)
@@ -246,7 +243,8 @@
 	must.LessEq(t, 11, maxInWindow)
 }
 
-// An answer counts by when it was asked for: one that was overtaken by a message on the cap does not end it.
+// An answer is ordered by when its request was sent: one whose request was sent before a message about the cap arrived
+// does not end the cap.
 func TestAnswersThatOvertakeEachOtherDoNotEndARateCap(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
@@ -260,15 +258,15 @@
 		answers []answer
 		want    model.RateCap
 	}{
-		"stated":                                 {[]answer{{0, 1, two}}, two},
-		"taken back":                             {[]answer{{0, 1, two}, {2, 3, none}}, none},
-		"asked for before the cap was known":     {[]answer{{0, 1, two}, {0.5, 3, none}}, two},
-		"asked for at the moment it came":        {[]answer{{0, 1, two}, {1, 3, none}}, none},
-		"raised":                                 {[]answer{{0, 1, one}, {2, 3, two}}, two},
-		"lowered":                                {[]answer{{0, 1, two}, {2, 3, one}}, one},
-		"of two whose order is not known":        {[]answer{{0, 1, one}, {0.5, 1.5, two}}, one},
-		"taken back and stated again":            {[]answer{{0, 1, two}, {2, 3, none}, {4, 5, one}}, one},
-		"stated by an answer that was under way": {[]answer{{0, 1, two}, {2, 3, none}, {2.5, 4, one}}, one},
+		"stated":                         {[]answer{{0, 1, two}}, two},
+		"withdrawn":                      {[]answer{{0, 1, two}, {2, 3, none}}, none},
+		"sent before the cap was known":  {[]answer{{0, 1, two}, {0.5, 3, none}}, two},
+		"sent when the cap became known": {[]answer{{0, 1, two}, {1, 3, none}}, none},
+		"raised":                         {[]answer{{0, 1, one}, {2, 3, two}}, two},
+		"lowered":                        {[]answer{{0, 1, two}, {2, 3, one}}, one},
+		"order of two unknown":           {[]answer{{0, 1, one}, {0.5, 1.5, two}}, one},
+		"withdrawn and stated again":     {[]answer{{0, 1, two}, {2, 3, none}, {4, 5, one}}, one},
+		"stated by an answer in flight":  {[]answer{{0, 1, two}, {2, 3, none}, {2.5, 4, one}}, one},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var b kernel.CapView
@@ -280,8 +278,8 @@
 	}
 }
 
-// What other nodes say of a cap holds until they say otherwise, but for an endpoint that has just said itself that it
-// states one.
+// A notice of another node holds until the next one, except for an endpoint that has just stated a cap in its own
+// answer.
 func TestNoticesOfARateCap(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -298,7 +296,8 @@
 	must.Eq(t, two, noticed.WithNotice(now.Add(time.Minute), two).Cap)
 }
 
-// An endpoint that states another rate in each answer costs no write for each: who sends learns it from the answers.
+// An endpoint that states another rate in each answer does not cause a write for each: senders learn the rate from the
+// answers.
 func TestARateThatChangesWithEachAnswerIsPublishedRarely(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
@@ -321,9 +320,8 @@
 	must.EqOp(t, 0, published[1]+published[2])
 }
 
-// Seen in review: an endpoint whose need comes and goes with each answer had the first node by hash write at each change,
-// five times a second for each such endpoint. Cause: only writes of nothing but another rate were spaced, and the writes of all
-// nodes together have a bound as well. Proved by: this test on the code before.
+// A cap that comes and goes with each answer is published at a limited rate. Otherwise the first node by rank would
+// write at each change, five times a second for each such endpoint, beyond the bound on the writes of all nodes.
 func TestACapThatComesAndGoesIsPublishedRarely(t *testing.T) {
 	t.Parallel()
 	const length, interval = 2 * time.Minute, 200 * time.Millisecond
@@ -347,8 +345,8 @@
 	must.True(t, news.Published.Stated || news.ShouldPublish(start.Add(length+2*time.Second), 0, 0.5), must.Sprint("the last change is published"))
 }
 
-// The first node by hash publishes a cap at once, the others only where nobody has; one that cannot tries on, less and less
-// often; when the endpoint takes it back or is gone, that is published as well.
+// The first node by rank publishes a cap at once, the others only if no node has done so. Failed writes are retried
+// with exponential backoff. The end of a cap is published as well, also when the endpoint is gone.
 func TestWhoPublishesARateCap(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -383,7 +381,7 @@
 	must.False(t, other.Removable())
 }
 
-// A request that only endpoints at their caps could serve is refused at once, as not run and with when to come back.
+// A request that only endpoints at their caps could serve is refused immediately as not run, with a Retry-After time.
 func TestARequestThatOnlyCappedEndpointsCouldServeIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
--- a/kernel/ratecapnews.go
+++ b/kernel/ratecapnews.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// capPublishFirst and capPublishLast bound when a node writes what it believes of a cap into the common table, unless
-	// another one has by then. The first node by hash writes at once.
+	// Unless another node publishes first, a node writes its view of a cap into the shared table after a random delay
+	// between these two. The node at rank 0 writes at once.
 	capPublishFirst = 500 * time.Millisecond
 	capPublishLast  = 4 * time.Second
-	// capPublishPause is the least time between two writes of one node for one endpoint: its need may come and go with each
-	// answer, and what all nodes write together is bounded.
+	// capPublishPause is the minimum time between two writes of one node for one endpoint: a cap may come and go with
+	// each answer, and the writes of all nodes together are bounded.
 	capPublishPause = 2 * time.Second
-	// capPublishRate is the least time between two writes of nothing but another rate: nodes that send learn of it from the
-	// endpoint's answers.
+	// capPublishRate is the minimum time between two writes that change only the rate: nodes that send learn of it from
+	// the answers of the endpoint.
 	capPublishRate = 10 * time.Second
-	// capPublishAgain is the pause after a first failure to write; each is twice the one before, up to capPublishMost.
+	// capPublishAgain is the delay after the first failed write. It doubles with each further failure, up to a maximum.
 	capPublishAgain = time.Second
 	capPublishMost  = 15 * time.Second
-	// capUnlistedTTL is how long an endpoint may be missing from the list before its cap is forgotten.
+	// capUnlistedTTL is how long an endpoint may be missing from the list before its cap is dropped.
 	capUnlistedTTL = 10 * time.Second
 )
 
-// CapPublisher is what one node has to tell the others of an endpoint's rate cap, through a table that all follow. It changes
-// in place.
+// CapPublisher holds what one node publishes of the rate cap of an endpoint, through a table that all nodes follow. It
+// changes in place.
 type CapPublisher struct {
-	// View is what the node itself believes.
+	// View is the node's own view of the cap.
 	View CapView
-	// Published is what the table says.
+	// Published is what the table states.
 	Published model.RateCap
 
 	publishedAt time.Time
@@ -40,13 +40,13 @@
 	goneFrom  time.Time
 }
 
-// ApplyNotice takes in what the table says from now on.
+// ApplyNotice applies a change of what the table states.
 func (p *CapPublisher) ApplyNotice(now time.Time, stated model.RateCap) {
 	p.Published, p.publishedAt = stated, now
 	p.View = p.View.WithNotice(now, stated)
 }
 
-// SetListed takes in whether the endpoint is still listed.
+// SetListed records whether the endpoint is still listed.
 func (p *CapPublisher) SetListed(now time.Time, listed bool) {
 	switch {
 	case listed:
@@ -58,7 +58,7 @@
 	}
 }
 
-// ShouldPublish tells whether the node is to write its belief into the table now. The draw is evenly between 0 and 1.
+// ShouldPublish reports whether the node has to write its view into the table now. The draw is uniform between 0 and 1.
 func (p *CapPublisher) ShouldPublish(now time.Time, rank int, draw float64) bool {
 	if p.View.Cap == p.Published {
 		p.publishAt, p.pause = time.Time{}, 0
@@ -79,7 +79,7 @@
 	return !now.Before(p.publishAt)
 }
 
-// RecordWrite takes in whether the belief could be written.
+// RecordWrite records whether a write of the view succeeded.
 func (p *CapPublisher) RecordWrite(now time.Time, written model.RateCap, ok bool) {
 	if ok {
 		p.Published, p.publishedAt, p.wroteAt = written, now, now
@@ -89,7 +89,7 @@
 	p.publishAt = now.Add(p.pause)
 }
 
-// Removable tells whether there is nothing to remember.
+// Removable reports whether neither the view nor the table states a cap, so that the state can be dropped.
 func (p *CapPublisher) Removable() bool {
 	return !p.View.Cap.Stated && !p.Published.Stated
 }
--- a/kernel/ratelimit.go
+++ b/kernel/ratelimit.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// maxHoldersAsked is how many of the nodes that hold a customer's rate are asked for one request: each costs a round
-	// trip, and one may have used up its part while others have not.
+	// maxHoldersAsked is the maximum number of nodes asked for one request, of those that hold the customer's rate.
+	// Each costs a round trip, and one node may have used up its part while others have not.
 	maxHoldersAsked = 3
-	// rateBurst is how many seconds of its rate a customer may use at once.
+	// rateBurst is the burst that a customer may use at once, in seconds of its rate.
 	rateBurst = 1.0
 )
 
-// RateHolders returns the nodes that hold a customer's fleet-wide rate, the same for all who know the same nodes. The balancer
-// spreads a customer's requests over the nodes, so that each holds one part, and nobody is asked, as long as that is a
-// request a second. A smaller rate is held by fewer nodes, which the others ask: the first request at each of many nodes
-// would exceed it.
+// RateHolders returns the nodes that hold parts of a customer's fleet-wide rate; nodes with the same membership view
+// get the same result. The load balancer spreads a customer's requests over the nodes, so each node holds one part and
+// decides alone as long as its part is at least one request a second. A smaller rate is held by fewer nodes, which the
+// others ask: otherwise the first request at each of many nodes would exceed it.
 func RateHolders(rate float64, customer string, nodes []string) []string {
 	if rate >= float64(len(nodes)) {
 		return nodes
@@ -24,9 +24,9 @@
 	return firstByHash(customer, nodes, max(1, int(rate)))
 }
 
-// HoldersToAsk returns which of the nodes that hold a rate are to be asked for one request, in order. A node that holds a part
-// goes by that alone: a customer beyond a large rate would else cost questions for each of its requests. The draw is evenly
-// between 0 and 1.
+// HoldersToAsk returns the nodes to ask for one request, in order. A node that holds a part of the rate consults only
+// that part: otherwise each request of a customer beyond a large rate would cost requests to other nodes. The draw is
+// uniform between 0 and 1.
 func HoldersToAsk(holders []string, self string, draw float64) []string {
 	switch {
 	case len(holders) == 0:
@@ -39,18 +39,18 @@
 	return ask[:min(maxHoldersAsked, len(ask))]
 }
 
-// RateBucket is the part of a customer's fleet-wide rate that one of several nodes holds. A customer that idles has no
-// RateBucket at all.
+// RateBucket is a token bucket with the part of a customer's fleet-wide rate that one node holds. It is immutable. An
+// idle customer has none.
 type RateBucket struct {
-	// Tokens is at most the burst.
+	// Tokens never exceeds the burst.
 	Tokens float64
-	// Rate is the node's share, in requests a second.
+	// Rate is the node's part of the rate, in requests a second.
 	Rate float64
 	At   time.Time
 }
 
-// Take returns the share after one request, whether it is within the customer's
-// rate, and when to come back if not.
+// Take returns the bucket after one request, whether the request is within the customer's rate, and the Retry-After
+// time if it is not.
 func (b RateBucket) Take(now time.Time, fleetRate float64, nodes int) (RateBucket, bool, time.Duration) {
 	b.Rate = fleetRate / float64(max(1, nodes))
 	if b.At.IsZero() {
@@ -67,7 +67,7 @@
 	return b, true, 0
 }
 
-// Full tells whether the share is as good as new, so that it can be dropped.
+// Full reports whether the bucket is full, so that it can be dropped.
 func (b RateBucket) Full(now time.Time) bool {
 	return b.tokensAt(now) >= b.burst()
 }
--- a/kernel/ratelimit_test.go
+++ b/kernel/ratelimit_test.go
@@ -11,11 +11,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// Seen by arithmetic, in looking for the cause of LIMIT elsewhere: a customer with a rate of five a second had 400 requests served
-// at once by 400 nodes, one by each. Cause: each node held a part of the rate, and of a part below one request a second a
-// whole one at first. Proved by: this test where all nodes hold a part.
-
-// rateFleet is nodes that get one customer's requests from a balancer.
+// rateFleet simulates nodes that get the requests of one customer from a load balancer.
 type rateFleet struct {
 	rng     *rand.Rand
 	rate    float64
@@ -34,7 +30,7 @@
 	return f
 }
 
-// serve tells whether a request at a node is within the rate.
+// serve reports whether a request at a node is within the rate.
 func (f *rateFleet) serve(now time.Time, node string) bool {
 	for _, holder := range kernel.HoldersToAsk(f.holders, node, f.rng.Float64()) {
 		if holder != node {
@@ -49,7 +45,7 @@
 	return false
 }
 
-// play has requests come to nodes drawn at random, so many a second in all, and returns when requests were served.
+// play sends requests to random nodes at a total rate of demand a second, and returns when requests were served.
 func (f *rateFleet) play(length time.Duration, demand float64) (served []time.Time) {
 	const step = 10 * time.Millisecond
 	start := time.Unix(1000, 0)
@@ -64,8 +60,9 @@
 	return served
 }
 
-// However many nodes there are, they serve a customer its rate and no more than a second of it at once, whichever of them get
-// its requests.
+// The nodes together serve a customer its rate and at most one second of it at once, whatever the size of the fleet and
+// whichever nodes get its requests. Where each of 400 nodes held a part of a rate of five a second, all 400 served a
+// request at once: a part below one request a second still allows a whole one at first.
 func TestNodesTogetherKeepACustomersRate(t *testing.T) {
 	t.Parallel()
 	const length, window = 30 * time.Second, 4 * time.Second
@@ -81,7 +78,7 @@
 	}
 }
 
-// Requests of a customer with a large rate cost no questions, also those beyond it.
+// Requests of a customer with a large rate are decided without asking other nodes, also those beyond the rate.
 func TestALargeRateAsksNobody(t *testing.T) {
 	t.Parallel()
 	f := newRateFleet(9, 90)
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// settleTime is how long nodes wait before they rely on what they know of each other: until all have heard who joined or
-// left, and what was sent before no longer counts together with what is sent after.
+// settleTime is how long nodes wait before they rely on a membership change: until all nodes have learned of it, and
+// until requests sent before it no longer count in the same window as requests sent after it.
 const settleTime = 8 * time.Second
 
 type (
-	// SettledNodes is which nodes share what all of them may do together only so often, without asking each other. Who
-	// joins takes the place of others at once for them, and for itself once they have heard of it; who leaves keeps its
-	// place for as long. Nodes that do not answer keep theirs: those that are cut off from each other would else all take
-	// it. It is immutable.
+	// SettledNodes is the set of nodes that divide a fleet-wide limit between them without asking each other. The other
+	// nodes rank a node that joins as soon as they learn of it, but the node itself has no rank until they have had
+	// time to do so; a node that leaves keeps its rank for the same time. Unreachable nodes keep their ranks: otherwise
+	// each side of a network partition would use the whole limit. It is immutable.
 	SettledNodes struct {
-		// known holds the nodes that are announced, and those that left within settleTime.
+		// known holds the announced nodes, and those that left within settleTime.
 		known map[string]settledNode
 	}
 
@@ -28,7 +28,7 @@
 	}
 )
 
-// With returns the nodes after those that are announced now.
+// With returns the nodes after a new list of the announced ones.
 func (s SettledNodes) With(now time.Time, announced []Peer) SettledNodes {
 	if s.holdsJust(announced) {
 		return s
@@ -55,7 +55,7 @@
 	return out
 }
 
-// holdsJust tells whether several nodes are all that are known, none of which has left.
+// holdsJust reports whether the announced nodes are exactly the known ones, and none of those has left.
 func (s SettledNodes) holdsJust(announced []Peer) bool {
 	if len(announced) != len(s.known) {
 		return false
@@ -69,8 +69,8 @@
 	return true
 }
 
-// Rank returns how many nodes come before one by a subject's hash: math.MaxInt for a node that others may not have heard
-// of yet, or that has left.
+// Rank returns how many nodes rank before self by rendezvous hash of the subject. It returns math.MaxInt for a node
+// that others may not have learned of yet, or that has left.
 func (s SettledNodes) Rank(now time.Time, self, subject string) int {
 	node, known := s.known[self]
 	if !known || !node.leftAt.IsZero() || now.Sub(node.joinedAt) < settleTime {
@@ -87,7 +87,7 @@
 	return before
 }
 
-// First returns the first nodes by a subject's hash, at most count of them.
+// First returns at most count nodes, the highest ranked by rendezvous hash of the subject.
 func (s SettledNodes) First(now time.Time, subject string, count int) []string {
 	names := make([]string, 0, len(s.known))
 	for name, node := range s.known {
@@ -98,7 +98,8 @@
 	return firstByHash(subject, names, count)
 }
 
-// firstByHash returns the first of several nodes by a subject's hash, at most count of them, in order.
+// firstByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in order of
+// rank.
 func firstByHash(subject string, nodes []string, count int) []string {
 	type scored struct {
 		name  string
--- a/kernel/sharedbudget.go
+++ b/kernel/sharedbudget.go
@@ -5,40 +5,39 @@
 )
 
 const (
-	// budgetSteps is into how many steps the budget's window is cut.
+	// budgetSteps is the number of steps that the window of a budget is divided into.
 	budgetSteps = 10
-	// budgetMargin is the share of the fleet's budget that is spent: nodes count by their own
-	// windows, and what they know of each other is late. The rest is for nodes that have started again within the
-	// window and forgotten what they spent.
+	// budgetMargin is the fraction of the fleet's budget that nodes use. Their windows are not aligned, and their view
+	// of the membership is delayed. The rest is for nodes that restarted within the window and lost their counts.
 	budgetMargin = 0.8
 )
 
 type (
-	// FleetRetryLimits bound repeated sends of all nodes together to one pool: in any window at most
-	// Ratio times the requests for the pool, and Slack.
+	// FleetRetryLimits bounds the repeated sends of all nodes together to one pool: in any window at most Ratio times
+	// the requests for the pool, plus Slack.
 	FleetRetryLimits struct {
 		Ratio  float64
 		Slack  float64
 		Window time.Duration
 	}
 
-	// FleetRetryBudget is one node's part of the budget of one pool. It changes in place.
+	// FleetRetryBudget is one node's part of the retry budget of the fleet for one pool. It changes in place.
 	FleetRetryBudget struct {
 		terms FleetRetryLimits
-		// startedAt is when the node started.
+		// startedAt is when the node started. A node that started within the window may have lost counts.
 		startedAt time.Time
 		steps     [budgetSteps]budgetStep
 	}
 
 	budgetStep struct {
-		// number counts steps since the clock's zero.
+		// number counts steps since the Unix epoch.
 		number   int64
 		requests int
 		repeats  int
 	}
 )
 
-// NewFleetRetryBudget returns the budget of a node that started at a time, nothing of which is spent.
+// NewFleetRetryBudget returns the unspent budget of a node that started at startedAt.
 func NewFleetRetryBudget(terms FleetRetryLimits, startedAt time.Time) *FleetRetryBudget {
 	return &FleetRetryBudget{terms: terms, startedAt: startedAt}
 }
@@ -48,8 +47,8 @@
 	b.step(now).requests++
 }
 
-// TakeRetry takes one repeated send out of the budget, if it allows one. The slack is split
-// evenly between the nodes; one that knows of none has no part in it.
+// TakeRetry takes one repeated send out of the budget and reports whether the budget allows it. The slack is divided
+// evenly between the nodes; a node that knows of no nodes gets none of it.
 func (b *FleetRetryBudget) TakeRetry(now time.Time, nodes int) bool {
 	requests, repeats := b.sums(now)
 	if float64(repeats+1) > budgetMargin*b.terms.Ratio*float64(requests)+b.slack(now, nodes) {
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -23,7 +23,7 @@
 		b := budgets[step%nodes]
 		b.Request(at)
 		requests++
-		// Every request fails and wants to be repeated.
+		// Every request fails and asks for a retry.
 		if b.TakeRetry(at, nodes) {
 			taken++
 		}
@@ -42,8 +42,8 @@
 	must.True(t, b.TakeRetry(now.Add(11*time.Second), 1))
 }
 
-// What nodes spend together stays within the bound where all of them start again in the middle of a window and forget what
-// they have spent, and where none of them knows of the others yet.
+// The fleet stays within the bound when all nodes restart in the middle of a window and lose their counts, also while
+// none of them knows of the others yet.
 func TestFleetRetryBudgetIsKeptWhenAllNodesRestart(t *testing.T) {
 	t.Parallel()
 	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
@@ -63,7 +63,7 @@
 			spent := spend(time.Time{}, start, nodes)
 			again := start.Add(terms.Window / 2)
 			spent += spend(again, again.Add(time.Second), known)
-			must.LessEq(t, int(terms.Slack), spent, must.Sprint(nodes, " nodes, of which each knows ", known))
+			must.LessEq(t, int(terms.Slack), spent, must.Sprint(nodes, " nodes, each knows ", known))
 		}
 	}
 }
