--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -208,7 +208,7 @@
 	estimate := d.estimate(req, job.Weight, job.Work.Stage)
 	waiter := newWaiter(req, job.Weight)
 	waiter.Cost = estimate.Cost()
-	waiter.Latest = estimate.LatestStart(kernel.StageDeadline(req.Deadline, job.Later))
+	waiter.LatestStart = estimate.LatestStart(kernel.StageDeadline(req.Deadline, job.Later))
 	if refusal := d.refuses(p); refusal != nil {
 		return Result{}, refusal
 	}
--- a/dispatch/poolplaces.go
+++ b/dispatch/poolplaces.go
@@ -24,7 +24,7 @@
 		e.Tail = p.first.Quantile(longQuantile, 0) + generation
 	}
 	w.Cost = e.Cost()
-	e.QueuedCost = p.queue.Ahead(w)
+	e.QueuedCost = p.queue.CostAhead(w)
 	return e
 }
 
@@ -37,7 +37,7 @@
 		p.mu.Unlock()
 		return true
 	}
-	left := w.Latest.Sub(now)
+	left := w.LatestStart.Sub(now)
 	if left <= 0 {
 		p.mu.Unlock()
 		return false
--- a/kernel/evacuation.go
+++ b/kernel/evacuation.go
@@ -89,7 +89,7 @@
 		return refusal
 	}
 	for i, stage := range a.Route.Stages {
-		if PiecesOf(f, i) == 0 {
+		if PieceCount(f, i) == 0 {
 			continue
 		}
 		if refusal := admitPool(r, stage.Pool, a.Homes); refusal != nil {
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -208,14 +208,14 @@
 	registry := domainsRegistry(now, "engines", "a", "b", "c")
 	for i := range 50 {
 		key := fmt.Sprint("part-", i)
-		home := kernel.HomeDomain(key, registry.Endpoints("engines"))
+		home := kernel.AffinityDomain(key, registry.Endpoints("engines"))
 		away := registry.WithEvacuations(evacuated(now, home))
-		must.NotEq(t, home, kernel.HomeDomain(key, away.Endpoints("engines")))
+		must.NotEq(t, home, kernel.AffinityDomain(key, away.Endpoints("engines")))
 		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
-		must.EqOp(t, home, kernel.HomeDomain(key, away.WithEvacuations(back).Endpoints("engines")))
+		must.EqOp(t, home, kernel.AffinityDomain(key, away.WithEvacuations(back).Endpoints("engines")))
 		for _, other := range []string{"a", "b", "c"} {
 			if other != home {
-				must.EqOp(t, home, kernel.HomeDomain(key, registry.WithEvacuations(evacuated(now, other)).Endpoints("engines")))
+				must.EqOp(t, home, kernel.AffinityDomain(key, registry.WithEvacuations(evacuated(now, other)).Endpoints("engines")))
 			}
 		}
 	}
--- a/node/keys.go
+++ b/node/keys.go
@@ -119,7 +119,7 @@
 // ownerOf returns the owner of a key, after another look at the row if the key's time is
 // beyond the horizon that this node knows.
 func (n *Node) ownerOf(ctx context.Context, key kernel.Key) (kernel.Member, *model.Refusal) {
-	if n.claims.current().Ahead(key) {
+	if n.claims.current().BeyondHorizon(key) {
 		_ = n.refreshClaims(ctx)
 	}
 	row := n.claims.current()
@@ -127,7 +127,7 @@
 	switch {
 	case ok:
 		return owner, nil
-	case row.Ahead(key):
+	case row.BeyondHorizon(key):
 		return owner, keyAhead(key, row.Horizon)
 	default:
 		return owner, model.NewRefusal(model.MayHaveRun, model.KeyTooOld, 0,
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -105,9 +105,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
-	choices := make([]kernel.EngineChoice, 0, len(usable))
+	choices := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
-		choices = append(choices, kernel.EngineChoice{Candidate: c, Reading: p.state(c.Endpoint.Incarnation()).reading})
+		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).reading})
 	}
 	i := kernel.PickEngine(now, choices, key)
 	if i < 0 {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -244,7 +244,7 @@
 	view := r.View()
 	admission, refusal := kernel.Admit(r.now(), view, r.options.KeyTrust, f)
 	if gone := r.goneAt.Load(); refusal == nil && gone != nil {
-		refusal = kernel.TakeWhileLeaving(r.now(), *gone, admission.Route)
+		refusal = kernel.AdmitWhileLeaving(r.now(), *gone, admission.Route)
 	}
 	if refusal == nil {
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
@@ -260,7 +260,7 @@
 	if refusal != nil {
 		return r.refuseAtTheDoor(f, admission, view, refusal)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, admission.Until.Sub(r.now()), context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
 	job := &job{relay: r, forward: f, admission: admission, out: out, began: r.now(), trial: trial}
 	var outcome Outcome
