--- a/kernel/batch_property_test.go
+++ b/kernel/batch_property_test.go
@@ -17,7 +17,7 @@
 // account beside.
 type batchMachine struct {
 	now     time.Time
-	g       *kernel.BatchQueue
+	queue   *kernel.BatchQueue
 	next    uint64
 	open    map[uint64]int
 	running []kernel.PieceBatch
@@ -27,11 +27,11 @@
 
 // Whatever calls do, each group ends once, with each of its pieces or with a fault, and room is
 // never given out twice.
-func TestABatchQueueKeepsItsAccounts(t *testing.T) {
+func TestBatchQueueAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &batchMachine{
 			now:     time.Unix(1000, 0),
-			g:       newBatchQueue(rapid.IntRange(1, 4).Draw(t, "workers")),
+			queue:   newBatchQueue(rapid.IntRange(1, 4).Draw(t, "workers")),
 			open:    map[uint64]int{},
 			held:    map[string]int64{},
 			inCalls: map[string]int64{},
@@ -47,13 +47,13 @@
 func (m *batchMachine) add(t *rapid.T) {
 	m.next++
 	pieces := rapid.IntRange(1, 12).Draw(t, "pieces")
-	if ok, _ := m.g.Add(m.now, pieceGroup(m.next, pieces, batchPieceBytes, m.now.Add(2*time.Second))); ok {
+	if ok, _ := m.queue.Add(m.now, pieceGroup(m.next, pieces, batchPieceBytes, m.now.Add(2*time.Second))); ok {
 		m.open[m.next] = pieces
 	}
 }
 
 func (m *batchMachine) start(t *rapid.T) {
-	batch, ok := m.g.Next(m.now)
+	batch, ok := m.queue.Next(m.now)
 	if !ok {
 		return
 	}
@@ -76,20 +76,20 @@
 	case 0, 1:
 		results := madeAll(batch)
 		m.held[batch.Endpoint.Name] += batchPieceBytes * int64(len(results))
-		ended, _ := m.g.Done(m.now, batch, results)
+		ended, _ := m.queue.Done(m.now, batch, results)
 		m.ended(t, ended)
 	case 2:
-		m.ended(t, m.g.Failed(m.now, batch))
+		m.ended(t, m.queue.Failed(m.now, batch))
 	default:
-		m.ended(t, m.g.Refused(m.now, batch))
+		m.ended(t, m.queue.Refused(m.now, batch))
 	}
 }
 
 // expire lets time pass until all workers have dropped what they hold.
 func (m *batchMachine) expire(t *rapid.T) {
-	m.ended(t, m.g.Expire(m.now))
+	m.ended(t, m.queue.Expire(m.now))
 	m.now = m.now.Add(2 * batchTraits.Keep)
-	m.ended(t, m.g.Expire(m.now))
+	m.ended(t, m.queue.Expire(m.now))
 	m.held = map[string]int64{}
 }
 
--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -25,11 +25,11 @@
 }
 
 func pieceGroup(id uint64, pieces int, bytes int64, due time.Time) kernel.PieceGroup {
-	g := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: due, Until: due.Add(5 * time.Second)}
+	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: due, Until: due.Add(5 * time.Second)}
 	for n := range pieces {
-		g.Pieces = append(g.Pieces, model.Piece{Request: fmt.Sprint("request-", id), Number: n})
+		group.Pieces = append(group.Pieces, model.Piece{Request: fmt.Sprint("request-", id), Number: n})
 	}
-	return g
+	return group
 }
 
 func madeAll(batch kernel.PieceBatch) []model.PieceResult {
@@ -41,42 +41,42 @@
 }
 
 func newBatchQueue(n int) *kernel.BatchQueue {
-	g := kernel.NewBatchQueue(batchTraits)
-	g.SetEndpoints(workers(n))
-	return g
+	q := kernel.NewBatchQueue(batchTraits)
+	q.SetEndpoints(workers(n))
+	return q
 }
 
 func TestPiecesOfManyRequestsShareCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
-	ok, _ := g.Add(now, pieceGroup(1, 1, 8000, now.Add(3*time.Second)))
+	q := newBatchQueue(1)
+	ok, _ := q.Add(now, pieceGroup(1, 1, 8000, now.Add(3*time.Second)))
 	must.True(t, ok)
-	first, ok := g.Next(now)
+	first, ok := q.Next(now)
 	must.True(t, ok)
 	for id := uint64(2); id < 6; id++ {
-		ok, _ = g.Add(now, pieceGroup(id, 2, 8000, now.Add(3*time.Second)))
+		ok, _ = q.Add(now, pieceGroup(id, 2, 8000, now.Add(3*time.Second)))
 		must.True(t, ok)
 	}
-	_, ok = g.Next(now)
+	_, ok = q.Next(now)
 	must.False(t, ok, must.Sprint("a call that waits at an endpoint can't be joined"))
-	ended, unwanted := g.Done(now.Add(221*time.Millisecond), first, madeAll(first))
+	ended, unwanted := q.Done(now.Add(221*time.Millisecond), first, madeAll(first))
 	must.Len(t, 1, ended)
 	must.SliceEmpty(t, unwanted)
-	second, ok := g.Next(now.Add(221 * time.Millisecond))
+	second, ok := q.Next(now.Add(221 * time.Millisecond))
 	must.True(t, ok)
 	must.Len(t, 8, second.Pieces)
 }
 
 func TestNoPieceIsStartedWithoutRoomForItsResult(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
+	q := newBatchQueue(1)
 	for id := uint64(1); id <= 4; id++ {
-		ok, _ := g.Add(now, pieceGroup(id, 5, 1_500_000, now.Add(5*time.Second)))
+		ok, _ := q.Add(now, pieceGroup(id, 5, 1_500_000, now.Add(5*time.Second)))
 		must.True(t, ok)
 	}
 	var handles []string
 	for {
-		batch, ok := g.Next(now)
+		batch, ok := q.Next(now)
 		if !ok {
 			break
 		}
@@ -84,44 +84,44 @@
 		for _, r := range results {
 			handles = append(handles, r.Handle)
 		}
-		g.Done(now, batch, results)
+		q.Done(now, batch, results)
 	}
 	must.Len(t, 11, handles, must.Sprint("11 results of 1.5 MB fill 97% of 18 MB"))
-	g.Release(now, kernel.MadePiece{Handle: handles[0], Worker: "worker-0"})
-	batch, ok := g.Next(now)
+	q.Release(now, kernel.ResultRef{Handle: handles[0], Worker: "worker-0"})
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 1, batch.Pieces)
 }
 
-func TestResultsThatNobodyFreedAreForgottenWhenTheirWorkerDropsThem(t *testing.T) {
+func TestUnreleasedResultsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
-	g.Add(now, pieceGroup(1, 8, 2_000_000, now.Add(5*time.Second)))
-	batch, _ := g.Next(now)
-	g.Done(now, batch, madeAll(batch))
-	g.Add(now, pieceGroup(2, 4, 2_000_000, now.Add(9*time.Second)))
-	_, ok := g.Next(now)
+	q := newBatchQueue(1)
+	q.Add(now, pieceGroup(1, 8, 2_000_000, now.Add(5*time.Second)))
+	batch, _ := q.Next(now)
+	q.Done(now, batch, madeAll(batch))
+	q.Add(now, pieceGroup(2, 4, 2_000_000, now.Add(9*time.Second)))
+	_, ok := q.Next(now)
 	must.False(t, ok)
-	g.Expire(now.Add(batchTraits.Keep + time.Second))
-	_, ok = g.Next(now.Add(batchTraits.Keep + time.Second))
+	q.Expire(now.Add(batchTraits.Keep + time.Second))
+	_, ok = q.Next(now.Add(batchTraits.Keep + time.Second))
 	must.True(t, ok)
 }
 
 func TestStartsOfCallsAreSpaced(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(5)
-	g.Add(now, pieceGroup(1, 1, 0, now.Add(5*time.Second)))
-	_, ok := g.Next(now)
+	q := newBatchQueue(5)
+	q.Add(now, pieceGroup(1, 1, 0, now.Add(5*time.Second)))
+	_, ok := q.Next(now)
 	must.True(t, ok)
-	g.Add(now, pieceGroup(2, 1, 0, now.Add(5*time.Second)))
-	_, ok = g.Next(now.Add(g.Spacing() / 2))
+	q.Add(now, pieceGroup(2, 1, 0, now.Add(5*time.Second)))
+	_, ok = q.Next(now.Add(q.Spacing() / 2))
 	must.False(t, ok, must.Sprint("others may still join"))
-	g.Add(now, pieceGroup(3, 7, 0, now.Add(5*time.Second)))
-	batch, ok := g.Next(now.Add(g.Spacing() / 2))
+	q.Add(now, pieceGroup(3, 7, 0, now.Add(5*time.Second)))
+	batch, ok := q.Next(now.Add(q.Spacing() / 2))
 	must.True(t, ok, must.Sprint("a full call need not wait"))
 	must.Len(t, 8, batch.Pieces)
-	g.Add(now, pieceGroup(4, 1, 0, now.Add(5*time.Second)))
-	_, ok = g.Next(now.Add(2 * g.Spacing()))
+	q.Add(now, pieceGroup(4, 1, 0, now.Add(5*time.Second)))
+	_, ok = q.Next(now.Add(2 * q.Spacing()))
 	must.True(t, ok)
 }
 
@@ -138,119 +138,119 @@
 		{"time for both", 3 * full, "request-1"},
 		{"time for one", 3 * full / 2, "request-2"},
 	} {
-		g := newBatchQueue(1)
-		lowly := pieceGroup(1, 8, 0, now.Add(tc.due))
-		lowly.Rank = 2
-		g.Add(now, lowly)
-		g.Add(now, pieceGroup(2, 8, 0, now.Add(tc.due+200*time.Millisecond)))
-		batch, _ := g.Next(now)
+		q := newBatchQueue(1)
+		lowRank := pieceGroup(1, 8, 0, now.Add(tc.due))
+		lowRank.Rank = 2
+		q.Add(now, lowRank)
+		q.Add(now, pieceGroup(2, 8, 0, now.Add(tc.due+200*time.Millisecond)))
+		batch, _ := q.Next(now)
 		must.Eq(t, tc.first, batch.Pieces[0].Request, must.Sprint(tc.name))
 	}
 }
 
-func TestAWorkerWithoutRoomIsLeftAlone(t *testing.T) {
+func TestWorkerWithoutRoomGetsNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(2)
-	g.Add(now, pieceGroup(1, 1, 1_500_000, now.Add(5*time.Second)))
-	first, _ := g.Next(now)
-	g.Done(now, first, []model.PieceResult{{Fault: model.PieceNoRoom}})
-	second, ok := g.Next(now.Add(g.Spacing()))
+	q := newBatchQueue(2)
+	q.Add(now, pieceGroup(1, 1, 1_500_000, now.Add(5*time.Second)))
+	first, _ := q.Next(now)
+	q.Done(now, first, []model.PieceResult{{Fault: model.PieceNoRoom}})
+	second, ok := q.Next(now.Add(q.Spacing()))
 	must.True(t, ok)
 	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name)
 }
 
 func TestRoomTakenByAnotherBatchersResultsIsNotGivenOut(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
-	g.TakeOver(now)
-	g.NoteRoom(now, "worker-0", 4_000_000)
-	g.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
-	batch, ok := g.Next(now)
+	q := newBatchQueue(1)
+	q.TakeOver(now)
+	q.SetFreeRoom(now, "worker-0", 4_000_000)
+	q.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 2, batch.Pieces)
-	g.Done(now, batch, madeAll(batch))
-	_, ok = g.Next(now.Add(g.Spacing()))
+	q.Done(now, batch, madeAll(batch))
+	_, ok = q.Next(now.Add(q.Spacing()))
 	must.False(t, ok)
-	g.Release(now, kernel.MadePiece{Handle: "unknown here", Worker: "worker-0", Bytes: 3_000_000})
-	batch, ok = g.Next(now.Add(g.Spacing()))
+	q.Release(now, kernel.ResultRef{Handle: "unknown here", Worker: "worker-0", Bytes: 3_000_000})
+	batch, ok = q.Next(now.Add(q.Spacing()))
 	must.True(t, ok)
 	must.Len(t, 2, batch.Pieces)
 }
 
-func TestTheWaitForRoomIsTold(t *testing.T) {
+func TestWaitForRoomIsEstimated(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
+	q := newBatchQueue(1)
 	group := pieceGroup(9, 4, 1_500_000, now.Add(9*time.Second))
-	must.Eq(t, 0, g.Wait(now, group))
-	g.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
-	batch, _ := g.Next(now)
+	must.Eq(t, 0, q.EstimateWait(now, group))
+	q.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
+	batch, _ := q.Next(now)
 	results := madeAll(batch)
-	g.Done(now.Add(368*time.Millisecond), batch, results)
+	q.Done(now.Add(368*time.Millisecond), batch, results)
 	// 12 of 17.46 MB are taken; the slot is free.
-	must.Positive(t, g.Wait(now, group))
+	must.Positive(t, q.EstimateWait(now, group))
 	for _, r := range results {
-		g.Release(now.Add(900*time.Millisecond), kernel.MadePiece{Handle: r.Handle, Worker: "worker-0"})
+		q.Release(now.Add(900*time.Millisecond), kernel.ResultRef{Handle: r.Handle, Worker: "worker-0"})
 	}
-	must.Eq(t, 0, g.Wait(now, group))
+	must.Eq(t, 0, q.EstimateWait(now, group))
 }
 
 func TestLateWorkDoesNotGoBeforeWorkThatCanBeOnTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
-	g.Add(now, pieceGroup(1, 8, 0, now.Add(100*time.Millisecond)))
-	g.Add(now, pieceGroup(2, 8, 0, now.Add(900*time.Millisecond)))
-	batch, ok := g.Next(now)
+	q := newBatchQueue(1)
+	q.Add(now, pieceGroup(1, 8, 0, now.Add(100*time.Millisecond)))
+	q.Add(now, pieceGroup(2, 8, 0, now.Add(900*time.Millisecond)))
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Eq(t, "request-2", batch.Pieces[0].Request)
 }
 
-func TestAGroupThatWouldBeLateIsRefusedAtOnceWhereOthersWait(t *testing.T) {
+func TestLateGroupIsRefusedUnderBacklog(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
+	q := newBatchQueue(1)
 	for id := uint64(1); id <= 3; id++ {
-		ok, _ := g.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
+		ok, _ := q.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
 	}
 	// Three full calls of 368 ms are due before it.
 	for id := uint64(4); id <= 5; id++ {
-		ok, _ := g.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
+		ok, _ := q.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
 	}
-	ok, retry := g.Add(now, pieceGroup(6, 8, 0, now.Add(2*time.Second)))
+	ok, retry := q.Add(now, pieceGroup(6, 8, 0, now.Add(2*time.Second)))
 	must.False(t, ok)
 	must.Positive(t, retry)
 }
 
-func TestPiecesStayWhereTheirInputsLieUnlessTheyWaitTooLong(t *testing.T) {
+func TestPiecesWaitForLocalWorkerUpToLocalityWait(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(3)
+	q := newBatchQueue(3)
 	busy := pieceGroup(1, 1, 0, now.Add(5*time.Second))
 	busy.Domain = "domain-1"
 	busy.LocalityWait = 150 * time.Millisecond
-	g.Add(now, busy)
-	batch, ok := g.Next(now)
+	q.Add(now, busy)
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Eq(t, "domain-1", batch.Endpoint.FailureDomain)
 	waiting := pieceGroup(2, 1, 0, now.Add(5*time.Second))
 	waiting.Domain = "domain-1"
 	waiting.LocalityWait = 150 * time.Millisecond
-	g.Add(now, waiting)
-	_, ok = g.Next(now.Add(50 * time.Millisecond))
+	q.Add(now, waiting)
+	_, ok = q.Next(now.Add(50 * time.Millisecond))
 	must.False(t, ok)
-	batch, ok = g.Next(now.Add(200 * time.Millisecond))
+	batch, ok = q.Next(now.Add(200 * time.Millisecond))
 	must.True(t, ok)
 	must.NotEq(t, "domain-1", batch.Endpoint.FailureDomain)
 }
 
-func TestALeavingWorkerGetsNothing(t *testing.T) {
+func TestLeavingWorkerGetsNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
+	q := newBatchQueue(1)
 	leaving := workers(1)
 	leaving[0].State = model.Leaving
-	g.SetEndpoints(leaving)
+	q.SetEndpoints(leaving)
 	group := pieceGroup(1, 1, 0, now.Add(9*time.Second))
-	g.Add(now, group)
-	_, ok := g.Next(now)
+	q.Add(now, group)
+	_, ok := q.Next(now)
 	must.False(t, ok)
 }
 
@@ -259,27 +259,27 @@
 // of results crossed between domains.
 func TestAWorkerTakesGroupsOfItsOwnDomainFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(2)
+	q := newBatchQueue(2)
 	due := now.Add(2 * time.Second)
 	for id := uint64(1); id <= 4; id++ {
 		group := pieceGroup(id, 8, 8000, due.Add(time.Duration(id)*time.Millisecond))
 		group.Domain = fmt.Sprint("domain-", id%2)
 		group.LocalityWait = 100 * time.Millisecond
-		g.Add(now, group)
+		q.Add(now, group)
 	}
 	urgent := pieceGroup(5, 8, 8000, due.Add(-time.Second))
 	urgent.Domain = "domain-0"
 	urgent.LocalityWait = 100 * time.Millisecond
-	g.Add(now, urgent)
+	q.Add(now, urgent)
 	later := now.Add(500 * time.Millisecond)
-	took := map[string][]string{}
+	taken := map[string][]string{}
 	for range 2 {
-		batch, ok := g.Next(later)
+		batch, ok := q.Next(later)
 		must.True(t, ok)
-		took[batch.Endpoint.FailureDomain] = append(took[batch.Endpoint.FailureDomain], batch.Pieces[0].Request)
+		taken[batch.Endpoint.FailureDomain] = append(taken[batch.Endpoint.FailureDomain], batch.Pieces[0].Request)
 	}
-	must.Eq(t, []string{"request-5"}, took["domain-0"], must.Sprint("what is due a second before goes first"))
-	must.Eq(t, []string{"request-1"}, took["domain-1"])
+	must.Eq(t, []string{"request-5"}, taken["domain-0"], must.Sprint("what is due a second before goes first"))
+	must.Eq(t, []string{"request-1"}, taken["domain-1"])
 }
 
 // Each piece of a stage fetches all results of the stage before, 1.4 MB a request, and five workers lie in
@@ -288,15 +288,15 @@
 func TestPiecesWaitForTheirInputsDomain(t *testing.T) {
 	traits := model.PieceTraits{Slots: 1, Batch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, Keep: 4 * time.Second}
 	full := 444 * time.Millisecond
-	play := func(policy kernel.Policy) (groups, moved int, longest time.Duration) {
+	run := func(policy kernel.Policy) (groups, moved int, longest time.Duration) {
 		start := time.Unix(1000, 0)
-		g := kernel.NewBatchQueue(traits)
-		g.SetPolicy(policy)
-		g.SetEndpoints(workers(5))
+		q := kernel.NewBatchQueue(traits)
+		q.SetPolicy(policy)
+		q.SetEndpoints(workers(5))
 		domains := map[uint64]string{}
 		var running []kernel.PieceBatch
 		end := func(now time.Time, batch kernel.PieceBatch) {
-			ended, _ := g.Done(now, batch, madeAll(batch))
+			ended, _ := q.Done(now, batch, madeAll(batch))
 			for _, o := range ended {
 				groups++
 				longest = max(longest, o.Waited)
@@ -317,67 +317,67 @@
 				group.Domain = fmt.Sprint("domain-", []int{0, 0, 1, 1, 2}[step/4%5])
 				group.LocalityWait = kernel.LocalityWait(1_400_000, full, 2*time.Second-full)
 				domains[id] = group.Domain
-				g.Add(now, group)
+				q.Add(now, group)
 			}
-			for batch, ok := g.Next(now); ok; batch, ok = g.Next(now) {
+			for batch, ok := q.Next(now); ok; batch, ok = q.Next(now) {
 				running = append(running, batch)
 			}
 		}
 		return groups, moved, longest
 	}
-	groups, moved, longest := play(kernel.Policy{})
-	_, before, _ := play(kernel.Policy{}.Without(kernel.NearInputs))
-	t.Logf("%d groups, %d moved where they wait, %d where not; the longest wait was %v", groups, moved, before, longest)
+	groups, moved, longest := run(kernel.Policy{})
+	_, movedWithout, _ := run(kernel.Policy{}.Without(kernel.InputLocality))
+	t.Logf("%d groups, %d moved where they wait, %d where not; the longest wait was %v", groups, moved, movedWithout, longest)
 	must.Less(t, groups/10, moved)
-	must.Greater(t, groups/5, before)
+	must.Greater(t, groups/5, movedWithout)
 	must.LessEq(t, 2*full, longest)
 }
 
 // A worker that starts again under its name holds nothing: its room is free, results of its former incarnation
 // are not counted against it, and pieces made from them end at once, as the new process may give their
 // handles to other requests.
-func TestAWorkerThatStartsAgainHoldsNothing(t *testing.T) {
+func TestRestartedWorkerHoldsNoResults(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := model.Endpoint{Name: "m", Pool: "p", State: model.Live, Started: time.Unix(900, 0)}
-	again := first
-	again.Started = time.Unix(999, 0)
-	g := kernel.NewBatchQueue(model.PieceTraits{Slots: 1, Batch: 4, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond, Room: 1000, Keep: 4 * time.Second})
-	g.SetEndpoints([]model.Endpoint{first})
-	must.True(t, addPieces(g, now, 1, 2, 400))
-	batch, ok := g.Next(now)
+	restarted := first
+	restarted.Started = time.Unix(999, 0)
+	q := kernel.NewBatchQueue(model.PieceTraits{Slots: 1, Batch: 4, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond, Room: 1000, Keep: 4 * time.Second})
+	q.SetEndpoints([]model.Endpoint{first})
+	must.True(t, addPieces(q, now, 1, 2, 400))
+	batch, ok := q.Next(now)
 	must.True(t, ok)
-	ended, _ := g.Done(now.Add(200*time.Millisecond), batch, []model.PieceResult{{Handle: "h1"}, {Handle: "h2"}})
+	ended, _ := q.Done(now.Add(200*time.Millisecond), batch, []model.PieceResult{{Handle: "h1"}, {Handle: "h2"}})
 	must.SliceLen(t, 1, ended)
 	made := ended[0].Made
 	must.EqOp(t, first.Incarnation(), made[0].Worker)
 	now = now.Add(time.Second)
-	must.True(t, addPieces(g, now, 2, 2, 400))
-	_, ok = g.Next(now)
+	must.True(t, addPieces(q, now, 2, 2, 400))
+	_, ok = q.Next(now)
 	must.False(t, ok, must.Sprint("the room is taken"))
-	g.SetEndpoints([]model.Endpoint{again})
-	batch, ok = g.Next(now)
+	q.SetEndpoints([]model.Endpoint{restarted})
+	batch, ok = q.Next(now)
 	must.True(t, ok, must.Sprint("the room went with the former incarnation"))
-	must.EqOp(t, again.Incarnation(), batch.Endpoint.Incarnation())
-	g.Release(now, made[0])
-	used, _ := g.Used(again.Incarnation())
+	must.EqOp(t, restarted.Incarnation(), batch.Endpoint.Incarnation())
+	q.Release(now, made[0])
+	used, _ := q.Usage(restarted.Incarnation())
 	must.EqOp(t, 800, used, must.Sprint("a result of the former incarnation frees nothing of the new one"))
 
-	accepted, _ := g.Add(now, kernel.PieceGroup{
+	accepted, _ := q.Add(now, kernel.PieceGroup{
 		ID: 3, Pieces: []model.Piece{{Request: "r", Number: 0}}, ResultBytes: 400, Inputs: made,
 		Due: now.Add(5 * time.Second), Until: now.Add(5 * time.Second),
 	})
 	must.True(t, accepted)
-	stale := g.EndStale(func(incarnation string) bool { return incarnation == first.Incarnation() })
+	stale := q.EndStale(func(incarnation string) bool { return incarnation == first.Incarnation() })
 	must.SliceLen(t, 1, stale)
 	must.EqOp(t, model.PieceInputGone, stale[0].Fault)
 }
 
 // addPieces adds a group of pieces that may wait for long.
-func addPieces(g *kernel.BatchQueue, now time.Time, id uint64, count int, bytes int64) bool {
+func addPieces(q *kernel.BatchQueue, now time.Time, id uint64, count int, bytes int64) bool {
 	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: now.Add(5 * time.Second), Until: now.Add(5 * time.Second)}
 	for n := range count {
 		group.Pieces = append(group.Pieces, model.Piece{Request: "r", Number: n})
 	}
-	accepted, _ := g.Add(now, group)
+	accepted, _ := q.Add(now, group)
 	return accepted
 }
--- a/kernel/batchcall.go
+++ b/kernel/batchcall.go
@@ -9,114 +9,114 @@
 )
 
 // Next hands out a call that is to be made now; false means that none is.
-func (g *BatchQueue) Next(now time.Time) (PieceBatch, bool) {
-	order := g.order(now)
-	if len(order) == 0 || g.tooSoon(now, order) {
+func (q *BatchQueue) Next(now time.Time) (PieceBatch, bool) {
+	groups := q.sortedGroups(now)
+	if len(groups) == 0 || q.shouldDefer(now, groups) {
 		return PieceBatch{}, false
 	}
-	usual := g.usualSlowdown()
+	median := q.medianSlowdown()
 	var slow []*worker
-	for _, m := range g.idle(now) {
-		if g.slow(m, usual) {
-			slow = append(slow, m)
+	for _, w := range q.availableWorkers(now) {
+		if q.isSlow(w, median) {
+			slow = append(slow, w)
 			continue
 		}
-		if batch := g.fill(now, m, g.orderFor(now, m, order)); len(batch.Pieces) > 0 {
-			return g.start(now, m, batch), true
+		if batch := q.fill(now, w, q.sortedGroupsFor(now, w, groups)); len(batch.Pieces) > 0 {
+			return q.start(now, w, batch), true
 		}
 	}
-	for _, m := range slow {
-		if batch := g.fillSlow(now, m, g.orderFor(now, m, order)); len(batch.Pieces) > 0 {
-			return g.start(now, m, batch), true
+	for _, w := range slow {
+		if batch := q.fillSlow(now, w, q.sortedGroupsFor(now, w, groups)); len(batch.Pieces) > 0 {
+			return q.start(now, w, batch), true
 		}
 	}
 	return PieceBatch{}, false
 }
 
-// tooSoon tells whether the next call is better made a little later, with more pieces.
-func (g *BatchQueue) tooSoon(now time.Time, order []*waitingGroup) bool {
-	return g.policy.Uses(SpacedCalls) && now.Sub(g.lastStart) < g.Spacing() && g.pieces(order) < g.traits.Batch
+// shouldDefer tells whether the next call is better made a little later, with more pieces.
+func (q *BatchQueue) shouldDefer(now time.Time, groups []*waitingGroup) bool {
+	return q.policy.Uses(SpacedCalls) && now.Sub(q.lastStart) < q.Spacing() && q.countWaiting(groups) < q.traits.Batch
 }
 
 // Spacing is the least time between the starts of two calls that are not full.
-func (g *BatchQueue) Spacing() time.Duration {
-	return time.Duration(spacing * float64(g.callTime(g.traits.Batch/2)) / g.calls())
+func (q *BatchQueue) Spacing() time.Duration {
+	return time.Duration(spacingRatio * float64(q.callTime(q.traits.Batch/2)) / q.concurrency())
 }
 
-func (g *BatchQueue) pieces(order []*waitingGroup) int {
+func (q *BatchQueue) countWaiting(groups []*waitingGroup) int {
 	n := 0
-	for _, w := range order {
-		n += len(w.waiting)
+	for _, g := range groups {
+		n += len(g.waiting)
 	}
 	return n
 }
 
 // fill collects the pieces that a worker is to make next. A group's pieces stay together where
 // they fit.
-func (g *BatchQueue) fill(now time.Time, m *worker, order []*waitingGroup) PieceBatch {
+func (q *BatchQueue) fill(now time.Time, w *worker, groups []*waitingGroup) PieceBatch {
 	var batch PieceBatch
 	room := math.Inf(1)
-	if g.traits.Room > 0 {
-		room = g.freeRoom(now, m)
+	if q.traits.Room > 0 {
+		room = q.freeRoom(now, w)
 	}
 	suspect := false
-	for _, w := range order {
-		if !g.suits(now, m, w) || w.suspect && suspect {
+	for _, g := range groups {
+		if !q.eligible(now, w, g) || g.suspect && suspect {
 			continue
 		}
-		fits := min(len(w.waiting), g.traits.Batch-len(batch.Pieces))
-		if w.ResultBytes > 0 && !math.IsInf(room, 1) {
-			fits = min(fits, int(room/float64(w.ResultBytes)))
+		fits := min(len(g.waiting), q.traits.Batch-len(batch.Pieces))
+		if g.ResultBytes > 0 && !math.IsInf(room, 1) {
+			fits = min(fits, int(room/float64(g.ResultBytes)))
 		}
-		if fits <= 0 || (fits < len(w.waiting) && len(batch.Pieces) > 0 && len(w.waiting) <= g.traits.Batch/2) {
+		if fits <= 0 || (fits < len(g.waiting) && len(batch.Pieces) > 0 && len(g.waiting) <= q.traits.Batch/2) {
 			continue
 		}
-		for _, p := range w.waiting[:fits] {
+		for _, p := range g.waiting[:fits] {
 			batch.Pieces = append(batch.Pieces, p)
-			batch.groups = append(batch.groups, w.ID)
-			batch.bytes = append(batch.bytes, w.ResultBytes)
-			room -= float64(w.ResultBytes)
+			batch.groups = append(batch.groups, g.ID)
+			batch.bytes = append(batch.bytes, g.ResultBytes)
+			room -= float64(g.ResultBytes)
 		}
-		suspect = suspect || w.suspect
-		if len(batch.Pieces) >= g.traits.Batch {
+		suspect = suspect || g.suspect
+		if len(batch.Pieces) >= q.traits.Batch {
 			break
 		}
 	}
 	return batch
 }
 
-func (g *BatchQueue) start(now time.Time, m *worker, batch PieceBatch) PieceBatch {
-	g.batches++
-	batch.ID = g.batches
-	batch.Endpoint = m.endpoint
+func (q *BatchQueue) start(now time.Time, w *worker, batch PieceBatch) PieceBatch {
+	q.lastBatchID++
+	batch.ID = q.lastBatchID
+	batch.Endpoint = w.endpoint
 	batch.startedAt = now
-	batch.stated = g.callTime(len(batch.Pieces))
-	batch.fetching = g.fetchTime(batch)
-	m.calls++
-	m.calledAt = now
-	g.lastStart = now
-	if m.health.Ejected() {
-		m.health = m.health.WithProbe()
+	batch.statedTime = q.callTime(len(batch.Pieces))
+	batch.fetchTime = q.fetchTime(batch)
+	w.runningCalls++
+	w.lastCallAt = now
+	q.lastStart = now
+	if w.health.Ejected() {
+		w.health = w.health.WithProbe()
 	}
 	for i, p := range batch.Pieces {
-		m.used += batch.bytes[i]
-		w := g.groups[batch.groups[i]]
-		w.tries[p.Number]++
-		w.running[p.Number]++
-		w.waited = now.Sub(w.arrived)
-		w.fetchedAt = now.Add(batch.fetching)
-		w.waiting = slices.DeleteFunc(w.waiting, func(q model.Piece) bool { return q.Number == p.Number })
+		w.usedRoom += batch.bytes[i]
+		g := q.groups[batch.groups[i]]
+		g.attempts[p.Number]++
+		g.runningCalls[p.Number]++
+		g.waited = now.Sub(g.addedAt)
+		g.fetchedAt = now.Add(batch.fetchTime)
+		g.waiting = slices.DeleteFunc(g.waiting, func(other model.Piece) bool { return other.Number == p.Number })
 	}
-	g.running[batch.ID] = batch
+	q.running[batch.ID] = batch
 	return batch
 }
 
 // Expected returns how long a call may take before its endpoint is given up: what is stated,
 // times the slowdown that the endpoint showed.
-func (g *BatchQueue) Expected(batch PieceBatch) time.Duration {
+func (q *BatchQueue) Expected(batch PieceBatch) time.Duration {
 	slowdown := 1.0
-	if m := g.workers[batch.Endpoint.Incarnation()]; m != nil {
-		slowdown = max(1, m.slowdown)
+	if w := q.workers[batch.Endpoint.Incarnation()]; w != nil {
+		slowdown = max(1, w.slowdown)
 	}
-	return time.Duration(float64(batch.stated) * slowdown)
+	return time.Duration(float64(batch.statedTime) * slowdown)
 }
--- a/kernel/batchcap_test.go
+++ b/kernel/batchcap_test.go
@@ -53,8 +53,8 @@
 		ended, _ := q.g.Done(now, c.batch, madeAll(c.batch))
 		for _, o := range ended {
 			q.made += len(o.Made)
-			for _, m := range o.Made {
-				q.g.Release(now, m)
+			for _, ref := range o.Made {
+				q.g.Release(now, ref)
 			}
 		}
 		return true
@@ -84,19 +84,19 @@
 
 // A worker with a rate cap gets no more calls than that allows, also where two batchers call it, and the other workers
 // make the rest.
-func TestAWorkerWithARateCapGetsNoMoreCalls(t *testing.T) {
+func TestRateCapLimitsCallsToWorker(t *testing.T) {
 	t.Parallel()
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
-		var both []time.Time
+		var calls []time.Time
 		for range 2 {
 			q := cappedQueue{g: newBatchQueue(4)}
 			q.g.SetRateCap("worker-0", model.NewRateCap(perSecond))
 			q.play(30 * time.Second)
-			both = append(both, q.calls...)
+			calls = append(calls, q.calls...)
 			must.EqOp(t, 0, q.refused)
 			must.GreaterEq(t, 1100, q.made)
 		}
-		must.LessEq(t, int(1.5*perSecond*4+5), mostWithin(both, 4*time.Second))
+		must.LessEq(t, int(1.5*perSecond*4+5), mostWithin(calls, 4*time.Second))
 	}
 }
 
@@ -115,41 +115,41 @@
 
 // A batcher that begins does not know what the one before it called last, and spares workers with rate caps as long as if it
 // had been just now.
-func TestABatcherThatBeginsSparesCappedWorkers(t *testing.T) {
+func TestTakeoverDelaysCallsToCappedWorkers(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	stated := model.NewRateCap(1)
-	g := newBatchQueue(1)
-	g.SetRateCap("worker-0", stated)
-	g.TakeOver(now)
-	g.Add(now, pieceGroup(1, 1, 10, now.Add(time.Minute)))
-	_, called := g.Next(now.Add(kernel.CapBatcherPause(stated) - time.Millisecond))
+	q := newBatchQueue(1)
+	q.SetRateCap("worker-0", stated)
+	q.TakeOver(now)
+	q.Add(now, pieceGroup(1, 1, 10, now.Add(time.Minute)))
+	_, called := q.Next(now.Add(kernel.CapBatcherPause(stated) - time.Millisecond))
 	must.False(t, called)
-	_, called = g.Next(now.Add(kernel.CapBatcherPause(stated)))
+	_, called = q.Next(now.Add(kernel.CapBatcherPause(stated)))
 	must.True(t, called)
 }
 
 // A worker that the list leaves out for a moment is spared as before. Seen in review, as on the project's own interface: what a
 // batcher knew of its own calls went with the entry. Proved by: this test on the code before.
-func TestAWorkerWithARateCapThatTheListLeavesOutOnce(t *testing.T) {
+func TestRateCapPauseSurvivesMissingListing(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	stated := model.NewRateCap(1)
 	pause := kernel.CapBatcherPause(stated)
-	g := newBatchQueue(1)
-	g.SetRateCap("worker-0", stated)
-	g.Add(now, pieceGroup(1, 1, 10, now.Add(time.Minute)))
-	batch, called := g.Next(now)
+	q := newBatchQueue(1)
+	q.SetRateCap("worker-0", stated)
+	q.Add(now, pieceGroup(1, 1, 10, now.Add(time.Minute)))
+	batch, called := q.Next(now)
 	must.True(t, called)
-	g.Done(now, batch, madeAll(batch))
+	q.Done(now, batch, madeAll(batch))
 
-	g.SetEndpoints(nil)
-	g.Expire(now.Add(pause / 2))
-	g.SetEndpoints(workers(1))
-	g.SetRateCap("worker-0", stated)
-	g.Add(now, pieceGroup(2, 1, 10, now.Add(time.Minute)))
-	_, called = g.Next(now.Add(pause - time.Millisecond))
+	q.SetEndpoints(nil)
+	q.Expire(now.Add(pause / 2))
+	q.SetEndpoints(workers(1))
+	q.SetRateCap("worker-0", stated)
+	q.Add(now, pieceGroup(2, 1, 10, now.Add(time.Minute)))
+	_, called = q.Next(now.Add(pause - time.Millisecond))
 	must.False(t, called)
-	_, called = g.Next(now.Add(pause))
+	_, called = q.Next(now.Add(pause))
 	must.True(t, called)
 }
--- a/kernel/batchend.go
+++ b/kernel/batchend.go
@@ -8,156 +8,156 @@
 )
 
 // Refused takes in that an endpoint did not run a call: its pieces wait again.
-func (g *BatchQueue) Refused(now time.Time, batch PieceBatch) []GroupOutcome {
-	m := g.end(batch, nil)
-	if m != nil {
-		m.pausedUntil = now.Add(workerPause)
-		g.lastStart = time.Time{}
-		m.health.Probing = false
+func (q *BatchQueue) Refused(now time.Time, batch PieceBatch) []GroupOutcome {
+	w := q.finishCall(batch, nil)
+	if w != nil {
+		w.pausedUntil = now.Add(refusalBackoff)
+		q.lastStart = time.Time{}
+		w.health.Probing = false
 	}
-	return g.retryPieces(now, batch, nil, model.PieceNoRoom, false)
+	return q.requeuePieces(now, batch, nil, model.PieceNoRoom, false)
 }
 
 // Failed takes in that a call ended without an answer. What it made, if anything, is lost.
-func (g *BatchQueue) Failed(now time.Time, batch PieceBatch) []GroupOutcome {
-	if m := g.end(batch, nil); m != nil {
-		m.health = m.health.WithFailure(now)
-		g.lastStart = time.Time{}
+func (q *BatchQueue) Failed(now time.Time, batch PieceBatch) []GroupOutcome {
+	if w := q.finishCall(batch, nil); w != nil {
+		w.health = w.health.WithFailure(now)
+		q.lastStart = time.Time{}
 	}
-	return g.retryPieces(now, batch, nil, model.PieceFailed, true)
+	return q.requeuePieces(now, batch, nil, model.PieceFailed, true)
 }
 
 // Crashed takes in that a worker's process ended in the middle of a call: one of the pieces may have ended it.
-func (g *BatchQueue) Crashed(now time.Time, batch PieceBatch) []GroupOutcome {
+func (q *BatchQueue) Crashed(now time.Time, batch PieceBatch) []GroupOutcome {
 	for _, id := range batch.groups {
-		if w := g.groups[id]; w != nil {
-			w.suspect = true
+		if g := q.groups[id]; g != nil {
+			g.suspect = true
 		}
 	}
-	return g.Failed(now, batch)
+	return q.Failed(now, batch)
 }
 
 // Unreachable takes in that a call's endpoint could not be connected to: its pieces wait again.
-func (g *BatchQueue) Unreachable(now time.Time, batch PieceBatch) []GroupOutcome {
-	if m := g.end(batch, nil); m != nil {
-		m.health = m.health.WithUnreachable(now)
-		g.lastStart = time.Time{}
+func (q *BatchQueue) Unreachable(now time.Time, batch PieceBatch) []GroupOutcome {
+	if w := q.finishCall(batch, nil); w != nil {
+		w.health = w.health.WithUnreachable(now)
+		q.lastStart = time.Time{}
 	}
-	return g.retryPieces(now, batch, nil, model.PieceFailed, false)
+	return q.requeuePieces(now, batch, nil, model.PieceFailed, false)
 }
 
 // Done takes the results of a call in. It returns the groups that ended, and the results that
 // nobody waits for any more.
-func (g *BatchQueue) Done(now time.Time, batch PieceBatch, results []model.PieceResult) (ended []GroupOutcome, unwanted []MadePiece) {
-	m := g.end(batch, results)
-	if m != nil {
-		m.health = m.health.WithSuccess()
-		m.noteSlowdown(now, batch, g.usualSlowdown())
+func (q *BatchQueue) Done(now time.Time, batch PieceBatch, results []model.PieceResult) (ended []GroupOutcome, unwanted []ResultRef) {
+	w := q.finishCall(batch, results)
+	if w != nil {
+		w.health = w.health.WithSuccess()
+		w.updateSlowdown(now, batch, q.medianSlowdown())
 	}
 	failed := map[int]model.PieceFault{}
 	for i, p := range batch.Pieces {
 		r := results[i]
 		if r.Handle == "" {
 			failed[i] = r.Fault
-			if m != nil && r.Fault == model.PieceNoRoom {
-				g.noteFull(now, m)
+			if w != nil && r.Fault == model.PieceNoRoom {
+				q.recordNoRoom(now, w)
 			}
 			continue
 		}
-		g.results[r.Handle] = heldResult{worker: batch.Endpoint.Incarnation(), bytes: batch.bytes[i], since: batch.startedAt, until: now.Add(g.traits.Keep)}
-		made := MadePiece{Number: p.Number, Handle: r.Handle, Worker: batch.Endpoint.Incarnation(), Pool: batch.Endpoint.Pool, Domain: batch.Endpoint.FailureDomain, Bytes: batch.bytes[i]}
-		w := g.groups[batch.groups[i]]
-		if w == nil || w.has(p.Number) {
-			unwanted = append(unwanted, made)
+		q.results[r.Handle] = heldResult{worker: batch.Endpoint.Incarnation(), bytes: batch.bytes[i], callStartedAt: batch.startedAt, expiresAt: now.Add(q.traits.Keep)}
+		ref := ResultRef{Number: p.Number, Handle: r.Handle, Worker: batch.Endpoint.Incarnation(), Pool: batch.Endpoint.Pool, Domain: batch.Endpoint.FailureDomain, Bytes: batch.bytes[i]}
+		g := q.groups[batch.groups[i]]
+		if g == nil || g.hasResult(p.Number) {
+			unwanted = append(unwanted, ref)
 			continue
 		}
-		w.made = append(w.made, made)
-		w.waiting = slices.DeleteFunc(w.waiting, func(q model.Piece) bool { return q.Number == p.Number })
+		g.results = append(g.results, ref)
+		g.waiting = slices.DeleteFunc(g.waiting, func(other model.Piece) bool { return other.Number == p.Number })
 	}
-	ended = g.retryPieces(now, batch, failed, "", true)
+	ended = q.requeuePieces(now, batch, failed, "", true)
 	for _, id := range slices.Compact(slices.Clone(batch.groups)) {
-		w := g.groups[id]
-		if w == nil || len(w.made) < len(w.Pieces) {
+		g := q.groups[id]
+		if g == nil || len(g.results) < len(g.Pieces) {
 			continue
 		}
-		slices.SortFunc(w.made, func(a, b MadePiece) int { return a.Number - b.Number })
-		ended = append(ended, w.outcome(""))
-		delete(g.groups, id)
+		slices.SortFunc(g.results, func(a, b ResultRef) int { return a.Number - b.Number })
+		ended = append(ended, g.outcome(""))
+		delete(q.groups, id)
 	}
 	return ended, unwanted
 }
 
-// end frees the slot of a call, and the room of the pieces that were not made.
-func (g *BatchQueue) end(batch PieceBatch, results []model.PieceResult) *worker {
-	delete(g.running, batch.ID)
+// finishCall frees the slot of a call, and the room of the pieces that were not made.
+func (q *BatchQueue) finishCall(batch PieceBatch, results []model.PieceResult) *worker {
+	delete(q.running, batch.ID)
 	for i, p := range batch.Pieces {
-		if w := g.groups[batch.groups[i]]; w != nil {
-			w.running[p.Number]--
+		if g := q.groups[batch.groups[i]]; g != nil {
+			g.runningCalls[p.Number]--
 		}
 	}
-	m := g.workers[batch.Endpoint.Incarnation()]
-	if m == nil {
+	w := q.workers[batch.Endpoint.Incarnation()]
+	if w == nil {
 		return nil
 	}
-	m.calls--
+	w.runningCalls--
 	for i, bytes := range batch.bytes {
 		if results == nil || results[i].Handle == "" {
-			m.used -= bytes
+			w.usedRoom -= bytes
 		}
 	}
-	return m
+	return w
 }
 
-// retryPieces puts pieces that were not made back among the waiting ones, or ends their groups.
+// requeuePieces puts pieces that were not made back among the waiting ones, or ends their groups.
 // With failed nil, all pieces of the call share one fault.
-func (g *BatchQueue) retryPieces(now time.Time, batch PieceBatch, failed map[int]model.PieceFault, all model.PieceFault, counts bool) []GroupOutcome {
+func (q *BatchQueue) requeuePieces(now time.Time, batch PieceBatch, failed map[int]model.PieceFault, sharedFault model.PieceFault, counts bool) []GroupOutcome {
 	var ended []GroupOutcome
 	for i, p := range batch.Pieces {
-		fault := all
+		fault := sharedFault
 		if failed != nil {
-			var bad bool
-			if fault, bad = failed[i]; !bad {
+			var wasNotMade bool
+			if fault, wasNotMade = failed[i]; !wasNotMade {
 				continue
 			}
 		}
-		w := g.groups[batch.groups[i]]
-		if w == nil || w.elsewhere(p.Number) {
+		g := q.groups[batch.groups[i]]
+		if g == nil || g.madeOrPending(p.Number) {
 			continue
 		}
-		if !counts || (fault == model.PieceNoRoom && g.policy.Uses(RoomLearnt)) {
-			w.tries[p.Number]--
+		if !counts || (fault == model.PieceNoRoom && q.policy.Uses(LearnRoomFromRefusals)) {
+			g.attempts[p.Number]--
 		}
-		hopeless := fault == model.PieceInputGone || fault == model.PieceLate || w.inputsFreed
-		if hopeless || w.tries[p.Number] >= pieceTries || !now.Add(g.callTime(1)).Before(w.Until) {
-			ended = append(ended, w.outcome(fault))
-			delete(g.groups, w.ID)
+		final := fault == model.PieceInputGone || fault == model.PieceLate || g.inputsFreed
+		if final || g.attempts[p.Number] >= maxPieceAttempts || !now.Add(q.callTime(1)).Before(g.Until) {
+			ended = append(ended, g.outcome(fault))
+			delete(q.groups, g.ID)
 			continue
 		}
-		w.waiting = append(w.waiting, p)
+		g.waiting = append(g.waiting, p)
 	}
 	return ended
 }
 
 // outcome returns how a group ended; the fault is empty where it is whole.
-func (w *waitingGroup) outcome(fault model.PieceFault) GroupOutcome {
-	return GroupOutcome{Group: w.ID, Made: w.made, Fault: fault, Waited: w.waited, InputsFreed: w.inputsFreed}
+func (g *waitingGroup) outcome(fault model.PieceFault) GroupOutcome {
+	return GroupOutcome{Group: g.ID, Made: g.results, Fault: fault, Waited: g.waited, InputsFreed: g.inputsFreed}
 }
 
 // EndStale ends the waiting groups whose inputs went with an incarnation of their worker: a process that
 // started again may give the same handle to another request's result.
-func (g *BatchQueue) EndStale(superseded func(incarnation string) bool) []GroupOutcome {
+func (q *BatchQueue) EndStale(superseded func(incarnation string) bool) []GroupOutcome {
 	var ended []GroupOutcome
-	for id, w := range g.groups {
-		if len(w.waiting) == 0 || !AnyStale(w.Inputs, superseded) {
+	for id, g := range q.groups {
+		if len(g.waiting) == 0 || !AnyStale(g.Inputs, superseded) {
 			continue
 		}
-		ended = append(ended, w.outcome(model.PieceInputGone))
-		delete(g.groups, id)
+		ended = append(ended, g.outcome(model.PieceInputGone))
+		delete(q.groups, id)
 	}
 	return ended
 }
 
 // AnyStale tells whether any of several results went with an incarnation of its worker.
-func AnyStale(made []MadePiece, superseded func(incarnation string) bool) bool {
-	return slices.ContainsFunc(made, func(m MadePiece) bool { return superseded(m.Worker) })
+func AnyStale(results []ResultRef, superseded func(incarnation string) bool) bool {
+	return slices.ContainsFunc(results, func(r ResultRef) bool { return superseded(r.Worker) })
 }
--- a/kernel/batchers_test.go
+++ b/kernel/batchers_test.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestLargeHostsBatch(t *testing.T) {
+func TestLargeHostsArePreferredAsBatchers(t *testing.T) {
 	var nodes []kernel.Peer
 	for i := range 60 {
 		n := kernel.Peer{Name: fmt.Sprint("small-", i), Capacity: 0.192}
@@ -51,7 +51,7 @@
 
 func TestAnswerClaim(t *testing.T) {
 	claim := func(name string, capacity float64, batches, leaving bool) kernel.PoolClaim {
-		return kernel.PoolClaim{Peer: kernel.Peer{Name: name, Capacity: capacity}, Batches: batches, Leaving: leaving}
+		return kernel.PoolClaim{Peer: kernel.Peer{Name: name, Capacity: capacity}, Batching: batches, Leaving: leaving}
 	}
 	both := []kernel.Peer{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}}
 	first := kernel.NodesByHash("pool", both)[0]
--- a/kernel/batchfailure_test.go
+++ b/kernel/batchfailure_test.go
@@ -9,43 +9,43 @@
 	"basilstall.example/basilstall/model"
 )
 
-func TestARefusedCallIsMadeElsewhere(t *testing.T) {
+func TestRefusedCallIsRetriedOnAnotherWorker(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(2)
-	g.Add(now, pieceGroup(1, 3, 0, now.Add(5*time.Second)))
-	first, _ := g.Next(now)
-	must.SliceEmpty(t, g.Refused(now, first))
-	second, ok := g.Next(now)
+	q := newBatchQueue(2)
+	q.Add(now, pieceGroup(1, 3, 0, now.Add(5*time.Second)))
+	first, _ := q.Next(now)
+	must.SliceEmpty(t, q.Refused(now, first))
+	second, ok := q.Next(now)
 	must.True(t, ok)
 	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name, must.Sprint("the one that refused is left alone for a while"))
 	must.Len(t, 3, second.Pieces)
 }
 
-func TestAnUnreachableWorkerIsPutAsideAtOnce(t *testing.T) {
+func TestUnreachableWorkerIsEjectedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(2)
+	q := newBatchQueue(2)
 	for id := uint64(1); id <= 2; id++ {
-		g.Add(now, pieceGroup(id, 1, 0, now.Add(5*time.Second)))
+		q.Add(now, pieceGroup(id, 1, 0, now.Add(5*time.Second)))
 	}
-	first, _ := g.Next(now)
-	must.SliceEmpty(t, g.Unreachable(now, first))
-	second, ok := g.Next(now)
+	first, _ := q.Next(now)
+	must.SliceEmpty(t, q.Unreachable(now, first))
+	second, ok := q.Next(now)
 	must.True(t, ok)
 	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name)
 	must.Len(t, 2, second.Pieces)
-	g.Add(now, pieceGroup(3, 1, 0, now.Add(5*time.Second)))
-	_, ok = g.Next(now.Add(500 * time.Millisecond))
+	q.Add(now, pieceGroup(3, 1, 0, now.Add(5*time.Second)))
+	_, ok = q.Next(now.Add(500 * time.Millisecond))
 	must.False(t, ok)
-	_, ok = g.Next(now.Add(1100 * time.Millisecond))
+	_, ok = q.Next(now.Add(1100 * time.Millisecond))
 	must.True(t, ok, must.Sprint("after a while one call tries it again"))
 }
 
-func TestAGoneInputEndsTheGroup(t *testing.T) {
+func TestLostInputEndsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
-	g.Add(now, pieceGroup(1, 2, 0, now.Add(5*time.Second)))
-	batch, _ := g.Next(now)
-	ended, _ := g.Done(now, batch, []model.PieceResult{{Handle: "h"}, {Fault: model.PieceInputGone}})
+	q := newBatchQueue(1)
+	q.Add(now, pieceGroup(1, 2, 0, now.Add(5*time.Second)))
+	batch, _ := q.Next(now)
+	ended, _ := q.Done(now, batch, []model.PieceResult{{Handle: "h"}, {Fault: model.PieceInputGone}})
 	must.Len(t, 1, ended)
 	must.Eq(t, model.PieceInputGone, ended[0].Fault)
 	must.Len(t, 1, ended[0].Made, must.Sprint("what was made is told, to be freed"))
@@ -53,11 +53,11 @@
 
 func TestResultsOfACancelledGroupAreUnwanted(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
-	g.Add(now, pieceGroup(1, 2, 0, now.Add(5*time.Second)))
-	batch, _ := g.Next(now)
-	must.SliceEmpty(t, g.Cancel(1))
-	ended, unwanted := g.Done(now, batch, madeAll(batch))
+	q := newBatchQueue(1)
+	q.Add(now, pieceGroup(1, 2, 0, now.Add(5*time.Second)))
+	batch, _ := q.Next(now)
+	must.SliceEmpty(t, q.Cancel(1))
+	ended, unwanted := q.Done(now, batch, madeAll(batch))
 	must.SliceEmpty(t, ended)
 	must.Len(t, 2, unwanted)
 }
--- a/kernel/batchfetch_test.go
+++ b/kernel/batchfetch_test.go
@@ -18,86 +18,86 @@
 }
 
 func fetchingGroup(id uint64, pieces int, now time.Time, free bool) kernel.PieceGroup {
-	g := pieceGroup(id, pieces, 6000, now.Add(2*time.Second))
-	g.FreeInputs = free
+	group := pieceGroup(id, pieces, 6000, now.Add(2*time.Second))
+	group.FreeInputs = free
 	for n := range 4 {
-		g.Inputs = append(g.Inputs, kernel.MadePiece{Number: n, Handle: "input", Worker: "before", Pool: "q", Bytes: 60_000})
+		group.Inputs = append(group.Inputs, kernel.ResultRef{Number: n, Handle: "input", Worker: "before", Pool: "q", Bytes: 60_000})
 	}
-	return g
+	return group
 }
 
 func fetchQueue(now time.Time, groups ...kernel.PieceGroup) *kernel.BatchQueue {
-	g := kernel.NewBatchQueue(fetchTraits)
-	g.SetEndpoints(workers(1))
+	q := kernel.NewBatchQueue(fetchTraits)
+	q.SetEndpoints(workers(1))
 	for _, group := range groups {
-		g.Add(now, group)
+		q.Add(now, group)
 	}
-	return g
+	return q
 }
 
 // Results that wait for their consumer's call to end hold their room for another 400 ms; freed when
 // they were fetched, they hold it for a fifth of that.
 func TestInputsAreFreedOnceTheirCallHasFetchedThem(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := fetchQueue(now, fetchingGroup(1, 10, now, true))
-	batch, ok := g.Next(now)
+	q := fetchQueue(now, fetchingGroup(1, 10, now, true))
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Less(t, 100*time.Millisecond, batch.FetchTime())
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime()-time.Millisecond)))
-	must.Len(t, 4, g.Fetched(now.Add(batch.FetchTime())))
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())), must.Sprint("each once"))
-	ended, _ := g.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime()-time.Millisecond)))
+	must.Len(t, 4, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each once"))
+	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
 	must.Len(t, 1, ended)
 	must.True(t, ended[0].InputsFreed)
 }
 
 func TestInputsThatOthersNeedAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := fetchQueue(now, fetchingGroup(1, 10, now, false))
-	batch, _ := g.Next(now)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
-	ended, _ := g.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
+	q := fetchQueue(now, fetchingGroup(1, 10, now, false))
+	batch, _ := q.Next(now)
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
+	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
 	must.False(t, ended[0].InputsFreed)
 }
 
 func TestInputsAreKeptWhilePiecesWait(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := fetchQueue(now, fetchingGroup(1, 70, now, true))
-	batch, _ := g.Next(now)
+	q := fetchQueue(now, fetchingGroup(1, 70, now, true))
+	batch, _ := q.Next(now)
 	must.Len(t, 62, batch.Pieces)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
-	refused := g.Refused(now, batch)
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
+	refused := q.Refused(now, batch)
 	must.SliceEmpty(t, refused)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
 }
 
 // A piece whose inputs are freed can't be made again: asking would cost a call for nothing.
 func TestAPieceThatFailsAfterItsInputsWereFreedEndsItsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := fetchQueue(now, fetchingGroup(1, 10, now, true))
-	batch, _ := g.Next(now)
-	g.Fetched(now.Add(batch.FetchTime()))
+	q := fetchQueue(now, fetchingGroup(1, 10, now, true))
+	batch, _ := q.Next(now)
+	q.TakeFetchedInputs(now.Add(batch.FetchTime()))
 	results := madeAll(batch)
 	results[3] = model.PieceResult{Fault: model.PieceFailed}
-	ended, _ := g.Done(now.Add(228*time.Millisecond), batch, results)
+	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, results)
 	must.Len(t, 1, ended)
 	must.EqOp(t, model.PieceFailed, ended[0].Fault)
 	must.Len(t, 9, ended[0].Made)
 }
 
 // Where half of a pool's room is free, results are kept for as long as something might need them again.
-func TestResultsAreGivenUpEarlyOnlyWhereRoomIsScarce(t *testing.T) {
+func TestRoomIsScarceAboveHalf(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(2)
-	must.EqOp(t, 0, g.RoomTaken(now))
-	must.True(t, addPieces(g, now, 1, 8, 2_000_000))
-	batch, ok := g.Next(now)
+	q := newBatchQueue(2)
+	must.EqOp(t, 0, q.RoomTaken(now))
+	must.True(t, addPieces(q, now, 1, 8, 2_000_000))
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 8, batch.Pieces)
-	must.False(t, kernel.PoolEstimate{RoomTaken: g.RoomTaken(now)}.Scarce(), must.Sprint("16 of 36 MB"))
-	now = now.Add(g.Spacing())
-	must.True(t, addPieces(g, now, 2, 2, 2_000_000))
-	_, ok = g.Next(now)
+	must.False(t, kernel.PoolEstimate{RoomTaken: q.RoomTaken(now)}.Scarce(), must.Sprint("16 of 36 MB"))
+	now = now.Add(q.Spacing())
+	must.True(t, addPieces(q, now, 2, 2, 2_000_000))
+	_, ok = q.Next(now)
 	must.True(t, ok)
-	must.True(t, kernel.PoolEstimate{RoomTaken: g.RoomTaken(now)}.Scarce(), must.Sprint("20 of 36 MB"))
+	must.True(t, kernel.PoolEstimate{RoomTaken: q.RoomTaken(now)}.Scarce(), must.Sprint("20 of 36 MB"))
 }
--- a/kernel/batchhandover.go
+++ b/kernel/batchhandover.go
@@ -7,12 +7,12 @@
 // HandOver ends the groups of which no piece was started yet: they are to be asked of the node that batches
 // for the pool from now on. What is under way is brought to its end here. The next batcher learns what room
 // is taken as after any loss.
-func (g *BatchQueue) HandOver() []GroupOutcome {
+func (q *BatchQueue) HandOver() []GroupOutcome {
 	var moved []GroupOutcome
-	for id, w := range g.groups {
-		if len(w.waiting) == len(w.Pieces) {
-			moved = append(moved, w.outcome(model.PieceMoved))
-			delete(g.groups, id)
+	for id, g := range q.groups {
+		if len(g.waiting) == len(g.Pieces) {
+			moved = append(moved, g.outcome(model.PieceMoved))
+			delete(q.groups, id)
 		}
 	}
 	return moved
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -52,7 +52,7 @@
 
 	// simulatedPool drives a batch queue in virtual time, with workers that work one call at a time.
 	simulatedPool struct {
-		g      *kernel.BatchQueue
+		queue  *kernel.BatchQueue
 		load   pieceLoad
 		now    time.Time
 		began  time.Time
@@ -61,127 +61,127 @@
 		// running and overdue hold calls by when they end and when they are overdue.
 		running map[time.Time][]kernel.PieceBatch
 		overdue map[time.Time][]kernel.PieceBatch
-		held    map[time.Time][]kernel.MadePiece
+		held    map[time.Time][]kernel.ResultRef
 		next    time.Time
 	}
 )
 
 func simulate(load pieceLoad, policy kernel.Policy) []*simulatedGroup {
-	began := time.Unix(1000, 0)
-	p := &simulatedPool{
-		g: newBatchQueue(5), load: load, now: began, began: began, random: rand.New(rand.NewPCG(load.seed, 0)),
-		groups: map[uint64]*simulatedGroup{}, running: map[time.Time][]kernel.PieceBatch{}, overdue: map[time.Time][]kernel.PieceBatch{}, held: map[time.Time][]kernel.MadePiece{}, next: began,
+	start := time.Unix(1000, 0)
+	s := &simulatedPool{
+		queue: newBatchQueue(5), load: load, now: start, began: start, random: rand.New(rand.NewPCG(load.seed, 0)),
+		groups: map[uint64]*simulatedGroup{}, running: map[time.Time][]kernel.PieceBatch{}, overdue: map[time.Time][]kernel.PieceBatch{}, held: map[time.Time][]kernel.ResultRef{}, next: start,
 	}
-	p.g.SetPolicy(policy)
-	for end := began.Add(load.length + load.slack + load.patience + time.Second); p.now.Before(end); p.now = p.now.Add(loadStep) {
-		p.step()
+	s.queue.SetPolicy(policy)
+	for end := start.Add(load.length + load.slack + load.patience + time.Second); s.now.Before(end); s.now = s.now.Add(loadStep) {
+		s.step()
 	}
 	var out []*simulatedGroup
-	for id := uint64(1); id <= uint64(len(p.groups)); id++ {
-		out = append(out, p.groups[id])
+	for id := uint64(1); id <= uint64(len(s.groups)); id++ {
+		out = append(out, s.groups[id])
 	}
 	return out
 }
 
-func (p *simulatedPool) step() {
-	for _, made := range p.held[p.now] {
-		p.g.Release(p.now, made)
+func (s *simulatedPool) step() {
+	for _, made := range s.held[s.now] {
+		s.queue.Release(s.now, made)
 	}
-	delete(p.held, p.now)
-	for _, batch := range p.overdue[p.now] {
-		p.g.Overdue(p.now, batch)
+	delete(s.held, s.now)
+	for _, batch := range s.overdue[s.now] {
+		s.queue.Overdue(s.now, batch)
 	}
-	delete(p.overdue, p.now)
-	for _, batch := range p.running[p.now] {
-		if p.now.Sub(batch.StartedAt())+loadStep < p.callTime(batch) {
-			p.end(p.g.Failed(p.now, batch))
+	delete(s.overdue, s.now)
+	for _, batch := range s.running[s.now] {
+		if s.now.Sub(batch.StartedAt())+loadStep < s.callTime(batch) {
+			s.end(s.queue.Failed(s.now, batch))
 			continue
 		}
-		ended, unwanted := p.g.Done(p.now, batch, madeAll(batch))
-		p.end(ended)
-		p.hold(unwanted, 0)
+		ended, unwanted := s.queue.Done(s.now, batch, madeAll(batch))
+		s.end(ended)
+		s.hold(unwanted, 0)
 	}
-	delete(p.running, p.now)
-	for !p.next.After(p.now) && p.next.Sub(p.began) < p.load.length {
-		p.arrive()
+	delete(s.running, s.now)
+	for !s.next.After(s.now) && s.next.Sub(s.began) < s.load.length {
+		s.arrive()
 	}
-	if p.now.Sub(p.began)%loadSweep == 0 {
-		p.end(p.g.Expire(p.now))
+	if s.now.Sub(s.began)%loadSweep == 0 {
+		s.end(s.queue.Expire(s.now))
 	}
 	for {
-		batch, ok := p.g.Next(p.now)
+		batch, ok := s.queue.Next(s.now)
 		if !ok {
 			return
 		}
 		// A call is given up after 2.5 times what is expected and 0.3 s, as by package relay.
-		patience := time.Duration(2.5*float64(p.g.Expected(batch))) + 300*time.Millisecond
-		at := p.at(min(patience, p.callTime(batch)))
-		p.running[at] = append(p.running[at], batch)
-		at = p.at(p.g.OverdueAfter(batch))
-		p.overdue[at] = append(p.overdue[at], batch)
+		patience := time.Duration(2.5*float64(s.queue.Expected(batch))) + 300*time.Millisecond
+		at := s.at(min(patience, s.callTime(batch)))
+		s.running[at] = append(s.running[at], batch)
+		at = s.at(s.queue.OverdueAfter(batch))
+		s.overdue[at] = append(s.overdue[at], batch)
 	}
 }
 
 // at returns the step that comes a time from now.
-func (p *simulatedPool) at(after time.Duration) time.Time {
-	return p.now.Add(after).Truncate(loadStep).Add(loadStep)
+func (s *simulatedPool) at(after time.Duration) time.Time {
+	return s.now.Add(after).Truncate(loadStep).Add(loadStep)
 }
 
 // callTime is how long a call takes that begins now, or began when it was handed out.
-func (p *simulatedPool) callTime(batch kernel.PieceBatch) time.Duration {
+func (s *simulatedPool) callTime(batch kernel.PieceBatch) time.Duration {
 	usual := batchTraits.CallTime + time.Duration(len(batch.Pieces))*batchTraits.PieceTime
-	since := batch.StartedAt().Sub(p.began)
-	if since < p.load.from || since >= p.load.to || !slices.Contains(p.load.slow, batch.Endpoint.Name) {
+	elapsed := batch.StartedAt().Sub(s.began)
+	if elapsed < s.load.from || elapsed >= s.load.to || !slices.Contains(s.load.slow, batch.Endpoint.Name) {
 		return usual
 	}
-	return time.Duration(p.load.slowX * float64(usual))
+	return time.Duration(s.load.slowX * float64(usual))
 }
 
 // arrive takes the next group in and draws when the one after it comes.
-func (p *simulatedPool) arrive() {
-	pieces := 1 + p.random.IntN(4)
-	group := pieceGroup(uint64(len(p.groups)+1), pieces, 1_500_000, p.now.Add(p.load.slack))
-	group.Until = group.Due.Add(p.load.patience)
-	if len(p.load.ranks) > 0 {
-		group.Rank = p.load.ranks[len(p.groups)%len(p.load.ranks)]
+func (s *simulatedPool) arrive() {
+	pieces := 1 + s.random.IntN(4)
+	group := pieceGroup(uint64(len(s.groups)+1), pieces, 1_500_000, s.now.Add(s.load.slack))
+	group.Until = group.Due.Add(s.load.patience)
+	if len(s.load.ranks) > 0 {
+		group.Rank = s.load.ranks[len(s.groups)%len(s.load.ranks)]
 	}
-	s := &simulatedGroup{PieceGroup: group, came: p.now}
-	p.groups[group.ID] = s
-	if accepted, retry := p.g.Add(p.now, group); !accepted {
-		s.ended, s.fault, s.wait = p.now, model.PieceLate, retry
+	g := &simulatedGroup{PieceGroup: group, came: s.now}
+	s.groups[group.ID] = g
+	if accepted, retry := s.queue.Add(s.now, group); !accepted {
+		g.ended, g.fault, g.wait = s.now, model.PieceLate, retry
 	}
-	rate := p.load.perSecond
-	if since := p.now.Sub(p.began); since >= p.load.from && since < p.load.to {
-		rate *= p.load.burst
+	rate := s.load.perSecond
+	if elapsed := s.now.Sub(s.began); elapsed >= s.load.from && elapsed < s.load.to {
+		rate *= s.load.burst
 	}
-	p.next = p.next.Add(time.Duration(p.random.ExpFloat64() / rate * float64(time.Second)))
+	s.next = s.next.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second)))
 }
 
-func (p *simulatedPool) end(ended []kernel.GroupOutcome) {
+func (s *simulatedPool) end(ended []kernel.GroupOutcome) {
 	for _, o := range ended {
-		s := p.groups[o.Group]
-		s.ended, s.made, s.fault, s.wait = p.now, o.Fault == "", o.Fault, o.Wait
+		g := s.groups[o.Group]
+		g.ended, g.made, g.fault, g.wait = s.now, o.Fault == "", o.Fault, o.Wait
 		held := time.Duration(0)
-		if s.made {
-			held = p.load.held
+		if g.made {
+			held = s.load.held
 		}
-		p.hold(o.Made, held)
+		s.hold(o.Made, held)
 	}
 }
 
-func (p *simulatedPool) hold(made []kernel.MadePiece, held time.Duration) {
-	at := p.at(held)
-	p.held[at] = append(p.held[at], made...)
+func (s *simulatedPool) hold(made []kernel.ResultRef, held time.Duration) {
+	at := s.at(held)
+	s.held[at] = append(s.held[at], made...)
 }
 
 // onTime counts the groups that were made before they were due, and neverTold those whose callers stayed
 // until the end of their patience and were told nothing.
 func onTime(groups []*simulatedGroup) (served, neverTold int) {
-	for _, s := range groups {
+	for _, g := range groups {
 		switch {
-		case s.made && !s.ended.After(s.Due):
+		case g.made && !g.ended.After(g.Due):
 			served++
-		case s.ended.IsZero() || (!s.made && s.ended.After(s.Until.Add(-time.Second))):
+		case g.ended.IsZero() || (!g.made && g.ended.After(g.Until.Add(-time.Second))):
 			neverTold++
 		}
 	}
@@ -193,7 +193,7 @@
 // How: work that can no longer be on time goes after all that can, and in a queue there is always some that
 // can. Nothing ended it but its deadline. Proved by the batcher's state as such groups were withdrawn: late
 // by 3.5 s, at place 12 to 29 of the queue, never tried.
-func TestStarvedWorkIsEndedInABurst(t *testing.T) {
+func TestStarvedGroupsEndInBurst(t *testing.T) {
 	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
 	shortest := batchTraits.CallTime + batchTraits.PieceTime
 	var onTimeWith, onTimeWithout int
@@ -204,30 +204,30 @@
 		}
 		groups := simulate(load, kernel.Policy{})
 		served, neverTold := onTime(groups)
-		servedWithout, heldWithout := onTime(simulate(load, kernel.Policy{}.Without(kernel.LateEnded)))
+		servedWithout, notToldWithout := onTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
 		must.EqOp(t, 0, neverTold, must.Sprint("seed ", seed, ": callers that were told nothing"))
-		must.Positive(t, heldWithout, must.Sprint("seed ", seed, ": the load has callers to be told"))
+		must.Positive(t, notToldWithout, must.Sprint("seed ", seed, ": the load has callers to be told"))
 		onTimeWith += served
 		onTimeWithout += servedWithout
-		for _, s := range groups {
+		for _, g := range groups {
 			// A full call after it can't be on time, at the next look; a call that is under way is waited for.
-			latest := s.Due.Add(-shortest + full + loadSweep + full)
-			must.False(t, !s.made && s.ended.After(latest), must.Sprint("group ", s.ID, " of seed ", seed, " ended ", s.ended.Sub(s.Due), " after it was due"))
-			must.True(t, s.made || s.fault == model.PieceLate || s.fault == model.PieceStarved)
+			latest := g.Due.Add(-shortest + full + loadSweep + full)
+			must.False(t, !g.made && g.ended.After(latest), must.Sprint("group ", g.ID, " of seed ", seed, " ended ", g.ended.Sub(g.Due), " after it was due"))
+			must.True(t, g.made || g.fault == model.PieceLate || g.fault == model.PieceStarved)
 		}
 	}
 	must.GreaterEq(t, onTimeWithout, onTimeWith, must.Sprint("what is on time must not become less"))
 }
 
 // A pool without a queue makes late work all the same: it takes nothing from others.
-func TestLateWorkIsMadeWhereNothingQueues(t *testing.T) {
+func TestLateWorkIsMadeWithoutBacklog(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(1)
+	q := newBatchQueue(1)
 	late := pieceGroup(1, 3, 8000, now.Add(-time.Second))
-	ok, _ := g.Add(now, late)
+	ok, _ := q.Add(now, late)
 	must.True(t, ok)
-	must.SliceEmpty(t, g.Expire(now.Add(loadSweep)))
-	batch, ok := g.Next(now.Add(loadSweep))
+	must.SliceEmpty(t, q.Expire(now.Add(loadSweep)))
+	batch, ok := q.Next(now.Add(loadSweep))
 	must.True(t, ok)
 	must.Len(t, 3, batch.Pieces)
 	must.True(t, slices.ContainsFunc(batch.Pieces, func(p model.Piece) bool { return p.Request == late.Pieces[0].Request }))
@@ -237,7 +237,7 @@
 // the other, which was given up just before it ended, at 3.3 times: 10 endpoints lost 34 calls in
 // 5 s. How: nothing but a call's end told that it was slow, and a call that was given up told nothing of the slowdown.
 // Proved by the calls' times: all at slow endpoints ended as failures, those at others in 1.1 times what is stated.
-func TestSlowEndpointsHoldUpLittle(t *testing.T) {
+func TestSlowWorkersDelayFewGroups(t *testing.T) {
 	var onTimeWith, onTimeWithout, missedWith, missedWithout int
 	for seed := range uint64(loadSeeds) {
 		load := pieceLoad{
@@ -249,7 +249,7 @@
 		served, _ := onTime(groups)
 		onTimeWith += served
 		missedWith += len(groups) - served
-		groups = simulate(load, kernel.Policy{}.Without(kernel.SlowWorkers))
+		groups = simulate(load, kernel.Policy{}.Without(kernel.AvoidSlowWorkers))
 		served, _ = onTime(groups)
 		onTimeWithout += served
 		missedWithout += len(groups) - served
@@ -260,15 +260,15 @@
 
 // onTimeOf counts the groups of a rank that were made before they were due.
 func onTimeOf(groups []*simulatedGroup, rank int) int {
-	of := slices.DeleteFunc(slices.Clone(groups), func(s *simulatedGroup) bool { return s.Rank != rank })
-	served, _ := onTime(of)
+	ofRank := slices.DeleteFunc(slices.Clone(groups), func(g *simulatedGroup) bool { return g.Rank != rank })
+	served, _ := onTime(ofRank)
 	return served
 }
 
 // Pattern: requests of two priorities in a pool that is busy and not overloaded. A due time that priority puts off by
 // 0.2 s a rank makes the lower ones late although there is time for all. Beyond what the pool can make, the higher
 // ones go first as before.
-func TestPriorityCountsWhenNotAllCanBeOnTime(t *testing.T) {
+func TestRankAffectsOrderOnlyUnderOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		perSecond  float64
@@ -284,7 +284,7 @@
 					seed: seed, length: 10 * time.Second, perSecond: tc.perSecond, burst: 1, slack: 700 * time.Millisecond,
 					patience: 5 * time.Second, held: 300 * time.Millisecond, ranks: []int{0, 10},
 				}
-				groups, without := simulate(load, kernel.Policy{}), simulate(load, kernel.Policy{}.Without(kernel.RankedWhenOverloaded))
+				groups, without := simulate(load, kernel.Policy{}), simulate(load, kernel.Policy{}.Without(kernel.RankOnlyWhenOverloaded))
 				highWith += onTimeOf(groups, 0)
 				lowWith += onTimeOf(groups, 10)
 				highWithout += onTimeOf(without, 0)
--- a/kernel/batchorder.go
+++ b/kernel/batchorder.go
@@ -8,130 +8,130 @@
 )
 
 const (
-	// urgencyStep is how much later a group counts as due for each rank of its priority: about
+	// rankPenalty is how much later a group counts as due for each rank of its priority: about
 	// what a group waits under load.
-	urgencyStep = 200 * time.Millisecond
-	// overloadCalls is for how many full calls after the last sign of overload priority counts: what waits then was
+	rankPenalty = 200 * time.Millisecond
+	// overloadHoldCalls is for how many full calls after the last sign of overload priority counts: what waits then was
 	// admitted under it.
-	overloadCalls = 4
+	overloadHoldCalls = 4
 )
 
-// order returns the groups with waiting pieces: those that can still be on time by when they
+// sortedGroups returns the groups with waiting pieces: those that can still be on time by when they
 // are due, then the late ones.
-func (g *BatchQueue) order(now time.Time) []*waitingGroup {
+func (q *BatchQueue) sortedGroups(now time.Time) []*waitingGroup {
 	var out []*waitingGroup
-	for _, w := range g.groups {
-		if g.isLate(now, w) {
-			w.dropCopies()
+	for _, g := range q.groups {
+		if q.isLate(now, g) {
+			g.dropDuplicates()
 		}
-		if len(w.waiting) > 0 {
-			out = append(out, w)
+		if len(g.waiting) > 0 {
+			out = append(out, g)
 		}
 	}
-	shortest := now.Add(g.callTime(1))
-	byOrder := func(a, b *waitingGroup) int { return g.compareGroups(shortest, a, b, 0, 0) }
-	g.byRank = g.ranked(now)
-	slices.SortFunc(out, byOrder)
-	if !g.byRank && g.overfull(now, out) {
-		g.overloadedAt = now
-		g.byRank = true
-		slices.SortFunc(out, byOrder)
+	earliestFinish := now.Add(q.callTime(1))
+	compare := func(a, b *waitingGroup) int { return q.compareGroups(earliestFinish, a, b, 0, 0) }
+	q.byRank = q.usesRank(now)
+	slices.SortFunc(out, compare)
+	if !q.byRank && q.overloaded(now, out) {
+		q.overloadedAt = now
+		q.byRank = true
+		slices.SortFunc(out, compare)
 	}
 	return out
 }
 
-// ranked tells whether priority counts in the order of what waits: while not all can be on time, and a little longer,
+// usesRank tells whether priority counts in the order of what waits: while not all can be on time, and a little longer,
 // since what is refused or given up makes room for the rest. While all can be on time, priority would make the lower ones
 // late for nothing.
-func (g *BatchQueue) ranked(now time.Time) bool {
-	if !g.policy.Uses(RankedWhenOverloaded) {
+func (q *BatchQueue) usesRank(now time.Time) bool {
+	if !q.policy.Uses(RankOnlyWhenOverloaded) {
 		return true
 	}
-	return !g.overloadedAt.IsZero() && now.Sub(g.overloadedAt) < overloadCalls*g.callTime(g.traits.Batch)
+	return !q.overloadedAt.IsZero() && now.Sub(q.overloadedAt) < overloadHoldCalls*q.callTime(q.traits.Batch)
 }
 
-// overfull tells whether, of the groups that could be on time by themselves, some would not be in the order of their due
+// overloaded tells whether, of the groups that could be on time by themselves, some would not be in the order of their due
 // times.
-func (g *BatchQueue) overfull(now time.Time, order []*waitingGroup) bool {
-	each := float64(g.callTime(g.traits.Batch)) / g.calls()
-	shortest := now.Add(g.callTime(1))
+func (q *BatchQueue) overloaded(now time.Time, groups []*waitingGroup) bool {
+	interval := float64(q.callTime(q.traits.Batch)) / q.concurrency()
+	earliestFinish := now.Add(q.callTime(1))
 	pieces := 0
-	for _, w := range order {
-		if shortest.After(w.Due) {
+	for _, g := range groups {
+		if earliestFinish.After(g.Due) {
 			return false
 		}
-		pieces += len(w.waiting)
-		wait := time.Duration(float64(pieces) / float64(g.traits.Batch) * each)
-		if wait > time.Duration(each) && now.Add(wait+g.callTime(len(w.waiting))).After(w.Due) {
+		pieces += len(g.waiting)
+		wait := time.Duration(float64(pieces) / float64(q.traits.Batch) * interval)
+		if wait > time.Duration(interval) && now.Add(wait+q.callTime(len(g.waiting))).After(g.Due) {
 			return true
 		}
 	}
 	return false
 }
 
-// orderFor returns the groups in the order in which a worker is to take them: those whose inputs lie
+// sortedGroupsFor returns the groups in the order in which a worker is to take them: those whose inputs lie
 // in another failure domain count as due later, by how long they would wait for their own.
-func (g *BatchQueue) orderFor(now time.Time, m *worker, order []*waitingGroup) []*waitingGroup {
-	shortest := now.Add(g.callTime(1))
-	later := func(w *waitingGroup) time.Duration {
-		if w.Domain == "" || w.Domain == m.endpoint.FailureDomain {
+func (q *BatchQueue) sortedGroupsFor(now time.Time, w *worker, groups []*waitingGroup) []*waitingGroup {
+	earliestFinish := now.Add(q.callTime(1))
+	delay := func(g *waitingGroup) time.Duration {
+		if g.Domain == "" || g.Domain == w.endpoint.FailureDomain {
 			return 0
 		}
-		return w.LocalityWait
+		return g.LocalityWait
 	}
-	out := slices.Clone(order)
+	out := slices.Clone(groups)
 	slices.SortStableFunc(out, func(a, b *waitingGroup) int {
-		return g.compareGroups(shortest, a, b, later(a), later(b))
+		return q.compareGroups(earliestFinish, a, b, delay(a), delay(b))
 	})
 	return out
 }
 
 // compareGroups puts groups that can still be on time first, then goes by when they count as due.
-func (g *BatchQueue) compareGroups(shortest time.Time, a, b *waitingGroup, laterA, laterB time.Duration) int {
-	if la, lb := shortest.After(a.Due), shortest.After(b.Due); la != lb && g.policy.Uses(LateLast) {
-		if la {
+func (q *BatchQueue) compareGroups(earliestFinish time.Time, a, b *waitingGroup, delayA, delayB time.Duration) int {
+	if lateA, lateB := earliestFinish.After(a.Due), earliestFinish.After(b.Due); lateA != lateB && q.policy.Uses(LateLast) {
+		if lateA {
 			return 1
 		}
 		return -1
 	}
-	if c := g.countsAsDue(a).Add(laterA).Compare(g.countsAsDue(b).Add(laterB)); c != 0 {
+	if c := q.effectiveDue(a).Add(delayA).Compare(q.effectiveDue(b).Add(delayB)); c != 0 {
 		return c
 	}
 	return int(int64(a.ID) - int64(b.ID))
 }
 
-// countsAsDue is when a group counts as due in the order that is in force.
-func (g *BatchQueue) countsAsDue(w *waitingGroup) time.Time {
-	if !g.byRank {
-		return w.Due
+// effectiveDue is when a group counts as due in the order that is in force.
+func (q *BatchQueue) effectiveDue(g *waitingGroup) time.Time {
+	if !q.byRank {
+		return g.Due
 	}
-	return w.rankedDue()
+	return g.rankedDue()
 }
 
 // rankedDue is when a group counts as due beside others.
 func (p PieceGroup) rankedDue() time.Time {
-	return p.Due.Add(time.Duration(p.Rank) * urgencyStep)
+	return p.Due.Add(time.Duration(p.Rank) * rankPenalty)
 }
 
-// idle returns the workers that may get a call, those that have most room first.
-func (g *BatchQueue) idle(now time.Time) []*worker {
+// availableWorkers returns the workers that may get a call, those that have most room first.
+func (q *BatchQueue) availableWorkers(now time.Time) []*worker {
 	var out []*worker
-	for _, m := range g.workers {
-		if m.calls >= max(1, g.traits.Slots) || !m.endpoint.TakesWork() {
+	for _, w := range q.workers {
+		if w.runningCalls >= max(1, q.traits.Slots) || !w.endpoint.TakesWork() {
 			continue
 		}
-		if g.cold.Senders > 0 && IsCold(now, m.endpoint) && !g.cold.Due(now, m.calledAt) {
+		if q.coldShare.Senders > 0 && IsCold(now, w.endpoint) && !q.coldShare.Due(now, w.lastCallAt) {
 			continue
 		}
-		if m.atCap(now) {
+		if w.atRateCap(now) {
 			continue
 		}
-		if !now.Before(m.pausedUntil) && m.health.Usable(now) {
-			out = append(out, m)
+		if !now.Before(w.pausedUntil) && w.health.Usable(now) {
+			out = append(out, w)
 		}
 	}
 	slices.SortFunc(out, func(a, b *worker) int {
-		if c := cmp.Compare(g.freeRoom(now, b), g.freeRoom(now, a)); c != 0 {
+		if c := cmp.Compare(q.freeRoom(now, b), q.freeRoom(now, a)); c != 0 {
 			return c
 		}
 		return strings.Compare(a.endpoint.Name, b.endpoint.Name)
@@ -139,17 +139,17 @@
 	return out
 }
 
-// suits tells whether a worker may make a group: in the domain where the inputs lie, or
+// eligible tells whether a worker may make a group: in the domain where the inputs lie, or
 // anywhere once the group has waited.
-func (g *BatchQueue) suits(now time.Time, m *worker, w *waitingGroup) bool {
-	if w.Domain == "" || m.endpoint.FailureDomain == w.Domain {
+func (q *BatchQueue) eligible(now time.Time, w *worker, g *waitingGroup) bool {
+	if g.Domain == "" || w.endpoint.FailureDomain == g.Domain {
 		return true
 	}
-	if now.Sub(w.arrived) >= w.LocalityWait || !g.policy.Uses(NearInputs) {
+	if now.Sub(g.addedAt) >= g.LocalityWait || !q.policy.Uses(InputLocality) {
 		return true
 	}
-	for _, other := range g.workers {
-		if other.endpoint.FailureDomain == w.Domain && other.endpoint.TakesWork() {
+	for _, other := range q.workers {
+		if other.endpoint.FailureDomain == g.Domain && other.endpoint.TakesWork() {
 			return false
 		}
 	}
--- a/kernel/batchroom.go
+++ b/kernel/batchroom.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// refusedRoom is how long room counts as taken that a worker refused a result for: about as long
+	// refusedRoomDecay is how long room counts as taken that a worker refused a result for: about as long
 	// as results are held. It shrinks meanwhile, so that pieces try the worker again as results lapse.
-	refusedRoom = 700 * time.Millisecond
+	refusedRoomDecay = 700 * time.Millisecond
 	// handoverCalls is for how many full calls after a take-over another batcher's calls may be
 	// under way: the one that it had made, and those for groups that waited there.
 	handoverCalls = 3
@@ -17,101 +17,101 @@
 
 // TakeOver takes in that another node may have batched for the pool until now. Its calls may be under
 // way, and what it had made takes room until it lapses. Workers that bound what they take may just have got one of them.
-func (g *BatchQueue) TakeOver(now time.Time) {
-	full := g.callTime(g.traits.Batch)
-	g.sharedUntil = now.Add(handoverCalls * full)
-	g.foreignUntil = now.Add(g.traits.Keep + full)
-	for _, m := range g.workers {
-		if m.calledAt.IsZero() {
-			m.calledAt = now
+func (q *BatchQueue) TakeOver(now time.Time) {
+	full := q.callTime(q.traits.Batch)
+	q.sharedUntil = now.Add(handoverCalls * full)
+	q.foreignUntil = now.Add(q.traits.Keep + full)
+	for _, w := range q.workers {
+		if w.lastCallAt.IsZero() {
+			w.lastCallAt = now
 		}
 	}
 }
 
-// Inherits tells whether results of another batcher may still take room.
-func (g *BatchQueue) Inherits(now time.Time) bool {
-	return now.Before(g.foreignUntil)
+// MayHoldForeignResults tells whether results of another batcher may still take room.
+func (q *BatchQueue) MayHoldForeignResults(now time.Time) bool {
+	return now.Before(q.foreignUntil)
 }
 
-// NoteRoom takes in how much room an endpoint reports to have free: what is missing beyond the
+// SetFreeRoom takes in how much room an endpoint reports to have free: what is missing beyond the
 // results known here belongs to another batcher, whose place this one took.
-func (g *BatchQueue) NoteRoom(now time.Time, incarnation string, free int64) {
-	if m := g.workers[incarnation]; m != nil {
-		m.setForeign(now, g.foreignUntil, g.traits.Room-free-m.used)
+func (q *BatchQueue) SetFreeRoom(now time.Time, incarnation string, free int64) {
+	if w := q.workers[incarnation]; w != nil {
+		w.setForeign(now, q.foreignUntil, q.traits.Room-free-w.usedRoom)
 	}
 }
 
-// noteFull takes in that a call found no room for a result although there should have been some: all
+// recordNoRoom takes in that a call found no room for a result although there should have been some: all
 // that is not used by results known here is taken by others.
-func (g *BatchQueue) noteFull(now time.Time, m *worker) {
-	taken := g.traits.Room - m.used
-	if !g.policy.Uses(RoomLearnt) {
-		taken = g.traits.Room
+func (q *BatchQueue) recordNoRoom(now time.Time, w *worker) {
+	taken := q.traits.Room - w.usedRoom
+	if !q.policy.Uses(LearnRoomFromRefusals) {
+		taken = q.traits.Room
 	}
-	m.setForeign(now, now.Add(refusedRoom), taken)
+	w.setForeign(now, now.Add(refusedRoomDecay), taken)
 }
 
-func (m *worker) setForeign(now, until time.Time, bytes int64) {
-	m.foreign = max(0, bytes)
-	m.foreignAt = now
-	m.foreignUntil = until
+func (w *worker) setForeign(now, until time.Time, bytes int64) {
+	w.foreignBytes = max(0, bytes)
+	w.foreignAt = now
+	w.foreignUntil = until
 }
 
 // foreignRoom is how much room others' results are taken to fill. They lapse one after the other, so
 // what was noted shrinks evenly until the last is gone.
-func (m *worker) foreignRoom(now time.Time) float64 {
-	if m.foreign == 0 || !now.Before(m.foreignUntil) {
+func (w *worker) foreignRoom(now time.Time) float64 {
+	if w.foreignBytes == 0 || !now.Before(w.foreignUntil) {
 		return 0
 	}
-	left := float64(m.foreignUntil.Sub(now)) / float64(m.foreignUntil.Sub(m.foreignAt))
-	return float64(m.foreign) * left
+	remaining := float64(w.foreignUntil.Sub(now)) / float64(w.foreignUntil.Sub(w.foreignAt))
+	return float64(w.foreignBytes) * remaining
 }
 
 // freeRoom is how much room a worker is taken to have, in bytes; it may be negative.
-func (g *BatchQueue) freeRoom(now time.Time, m *worker) float64 {
-	return float64(g.traits.Room)*roomMargin - float64(m.used) - m.foreignRoom(now)
+func (q *BatchQueue) freeRoom(now time.Time, w *worker) float64 {
+	return float64(q.traits.Room)*roomMargin - float64(w.usedRoom) - w.foreignRoom(now)
 }
 
 // RoomTaken returns which share of the workers' room is taken, between 0 and 1.
-func (g *BatchQueue) RoomTaken(now time.Time) float64 {
-	total, free := g.room(now)
+func (q *BatchQueue) RoomTaken(now time.Time) float64 {
+	total, free := q.roomTotals(now)
 	if total <= 0 {
 		return 0
 	}
 	return 1 - free/total
 }
 
-// room returns how much room the workers have in all, and how much of it is free.
-func (g *BatchQueue) room(now time.Time) (total, free float64) {
-	for _, m := range g.workers {
-		if m.endpoint.TakesWork() {
-			total += float64(g.traits.Room) * roomMargin
-			free += max(0, g.freeRoom(now, m))
+// roomTotals returns how much roomTotals the workers have in all, and how much of it is free.
+func (q *BatchQueue) roomTotals(now time.Time) (total, free float64) {
+	for _, w := range q.workers {
+		if w.endpoint.TakesWork() {
+			total += float64(q.traits.Room) * roomMargin
+			free += max(0, q.freeRoom(now, w))
 		}
 	}
 	return total, free
 }
 
 // Worker returns an endpoint by its incarnation.
-func (g *BatchQueue) Worker(incarnation string) (model.Endpoint, bool) {
-	m := g.workers[incarnation]
-	if m == nil {
+func (q *BatchQueue) Worker(incarnation string) (model.Endpoint, bool) {
+	w := q.workers[incarnation]
+	if w == nil {
 		return model.Endpoint{}, false
 	}
-	return m.endpoint, true
+	return w.endpoint, true
 }
 
 // Release takes in that a result is no longer held.
-func (g *BatchQueue) Release(now time.Time, made MadePiece) {
-	m := g.workers[made.Worker]
-	r, known := g.results[made.Handle]
-	delete(g.results, made.Handle)
+func (q *BatchQueue) Release(now time.Time, made ResultRef) {
+	w := q.workers[made.Worker]
+	r, known := q.results[made.Handle]
+	delete(q.results, made.Handle)
 	switch {
-	case m == nil:
+	case w == nil:
 	case known:
-		m.used -= r.bytes
-		g.hold += time.Duration(holdWeight * float64(now.Sub(r.since)-g.hold))
+		w.usedRoom -= r.bytes
+		q.holdTime += time.Duration(holdWeight * float64(now.Sub(r.callStartedAt)-q.holdTime))
 	default:
-		m.foreign = max(0, m.foreign-made.Bytes)
+		w.foreignBytes = max(0, w.foreignBytes-made.Bytes)
 	}
 }
--- a/kernel/batchslow.go
+++ b/kernel/batchslow.go
@@ -13,69 +13,69 @@
 	overdueFactor = 1.5
 	// slowFactor is how many times as long as the pool's usual endpoint one takes to count as slow.
 	slowFactor = 1.5
-	// slowProbe is how often a slow endpoint gets a piece that it is too slow for, to find out whether it still
+	// slowProbeInterval is how often a slow endpoint gets a piece that it is too slow for, to find out whether it still
 	// is; the piece is made elsewhere, too, once it is overdue.
-	slowProbe = time.Second
-	// recoverWeight is the weight of the newest call in a slow endpoint's slowdown, and of the first that tells that it
+	slowProbeInterval = time.Second
+	// recoveryWeight is the weight of the newest call in a slow endpoint's slowdown, and of the first that tells that it
 	// is slow: two calls bring it back.
-	recoverWeight = 0.7
+	recoveryWeight = 0.7
 )
 
 // Overdue takes in that a call takes longer than it should. Where nothing queues, its pieces that another endpoint
 // could still make on time wait again; whichever is made first counts. It returns how many.
-func (g *BatchQueue) Overdue(now time.Time, batch PieceBatch) int {
-	if _, runs := g.running[batch.ID]; !runs || !g.policy.Uses(SlowWorkers) {
+func (q *BatchQueue) Overdue(now time.Time, batch PieceBatch) int {
+	if _, runs := q.running[batch.ID]; !runs || !q.policy.Uses(AvoidSlowWorkers) {
 		return 0
 	}
-	if m := g.workers[batch.Endpoint.Incarnation()]; m != nil {
-		m.unanswered = true
+	if w := q.workers[batch.Endpoint.Incarnation()]; w != nil {
+		w.unanswered = true
 	}
-	if g.backlog() > lateBacklog {
+	if q.backlog() > maxLateBacklog {
 		// A second call would take an endpoint from pieces that wait for their first.
 		return 0
 	}
-	again := 0
+	requeued := 0
 	for i, p := range batch.Pieces {
-		w := g.groups[batch.groups[i]]
-		if w == nil || w.inputsFreed || w.tries[p.Number] >= pieceTries || w.waitsFor(p.Number) || g.isLate(now, w) {
+		g := q.groups[batch.groups[i]]
+		if g == nil || g.inputsFreed || g.attempts[p.Number] >= maxPieceAttempts || g.isWaiting(p.Number) || q.isLate(now, g) {
 			continue
 		}
-		w.waiting = append(w.waiting, p)
-		again++
+		g.waiting = append(g.waiting, p)
+		requeued++
 	}
-	return again
+	return requeued
 }
 
 // OverdueAfter returns how long after its start a call is overdue.
-func (g *BatchQueue) OverdueAfter(batch PieceBatch) time.Duration {
-	expected := g.Expected(batch)
+func (q *BatchQueue) OverdueAfter(batch PieceBatch) time.Duration {
+	expected := q.Expected(batch)
 	if batch.probe {
-		expected = batch.stated
+		expected = batch.statedTime
 	}
-	return time.Duration(overdueFactor*float64(expected)) + fetchGrace
+	return time.Duration(overdueFactor*float64(expected)) + maxFetchDelay
 }
 
-// noteSlowdown takes in how long a call took.
-func (m *worker) noteSlowdown(now time.Time, batch PieceBatch, usual float64) {
+// updateSlowdown takes in how long a call took.
+func (w *worker) updateSlowdown(now time.Time, batch PieceBatch, median float64) {
 	weight := slowdownWeight
-	if m.unanswered || m.slowdown > slowFactor*usual {
-		weight = recoverWeight
+	if w.unanswered || w.slowdown > slowFactor*median {
+		weight = recoveryWeight
 	}
-	m.slowdown += weight * (batch.took(now) - m.slowdown)
-	m.unanswered = false
+	w.slowdown += weight * (batch.relativeDuration(now) - w.slowdown)
+	w.unanswered = false
 }
 
-// took is how long a call has taken, relative to what is stated.
-func (b PieceBatch) took(now time.Time) float64 {
-	return float64(now.Sub(b.startedAt)) / float64(max(1, b.stated))
+// relativeDuration is how long a call has taken, relative to what is stated.
+func (b PieceBatch) relativeDuration(now time.Time) float64 {
+	return float64(now.Sub(b.startedAt)) / float64(max(1, b.statedTime))
 }
 
-// usualSlowdown is the median of the endpoints' slowdowns: where all are slow, none is to be spared.
-func (g *BatchQueue) usualSlowdown() float64 {
-	slowdowns := make([]float64, 0, len(g.workers))
-	for _, m := range g.workers {
-		if m.endpoint.TakesWork() {
-			slowdowns = append(slowdowns, m.slowdown)
+// medianSlowdown is the median of the endpoints' slowdowns: where all are slow, none is to be spared.
+func (q *BatchQueue) medianSlowdown() float64 {
+	slowdowns := make([]float64, 0, len(q.workers))
+	for _, w := range q.workers {
+		if w.endpoint.TakesWork() {
+			slowdowns = append(slowdowns, w.slowdown)
 		}
 	}
 	if len(slowdowns) == 0 {
@@ -85,50 +85,50 @@
 	return max(1, slowdowns[(len(slowdowns)-1)/2])
 }
 
-// slow tells whether an endpoint takes much longer than the usual one, or has yet to answer a call that was overdue.
-func (g *BatchQueue) slow(m *worker, usual float64) bool {
-	return g.policy.Uses(SlowWorkers) && (m.unanswered || m.slowdown > slowFactor*usual)
+// isSlow tells whether an endpoint takes much longer than the usual one, or has yet to answer a call that was overdue.
+func (q *BatchQueue) isSlow(w *worker, median float64) bool {
+	return q.policy.Uses(AvoidSlowWorkers) && (w.unanswered || w.slowdown > slowFactor*median)
 }
 
 // fillSlow collects the pieces that a slow worker is to make next: of groups that it makes on time, or that are late
 // whoever makes them, where its slowdown is known; else a single piece from time to time.
-func (g *BatchQueue) fillSlow(now time.Time, m *worker, order []*waitingGroup) PieceBatch {
-	if !m.unanswered {
-		end := now.Add(time.Duration(m.slowdown * float64(g.callTime(g.traits.Batch))))
-		fit := slices.DeleteFunc(slices.Clone(order), func(w *waitingGroup) bool { return end.After(w.Due) && !g.isLate(now, w) })
-		if batch := g.fill(now, m, fit); len(batch.Pieces) > 0 {
+func (q *BatchQueue) fillSlow(now time.Time, w *worker, groups []*waitingGroup) PieceBatch {
+	if !w.unanswered {
+		end := now.Add(time.Duration(w.slowdown * float64(q.callTime(q.traits.Batch))))
+		inTime := slices.DeleteFunc(slices.Clone(groups), func(g *waitingGroup) bool { return end.After(g.Due) && !q.isLate(now, g) })
+		if batch := q.fill(now, w, inTime); len(batch.Pieces) > 0 {
 			return batch
 		}
 	}
-	if now.Sub(m.probedAt) < slowProbe {
+	if now.Sub(w.probedAt) < slowProbeInterval {
 		return PieceBatch{}
 	}
-	batch := g.fill(now, m, order)
+	batch := q.fill(now, w, groups)
 	if len(batch.Pieces) == 0 {
 		return batch
 	}
-	m.probedAt = now
+	w.probedAt = now
 	batch.probe = true
 	batch.Pieces, batch.groups, batch.bytes = batch.Pieces[:1], batch.groups[:1], batch.bytes[:1]
 	return batch
 }
 
-// dropCopies takes back the pieces of a late group that wait for a second endpoint beside a call under way.
-func (w *waitingGroup) dropCopies() {
-	w.waiting = slices.DeleteFunc(w.waiting, func(p model.Piece) bool { return w.running[p.Number] > 0 })
+// dropDuplicates takes back the pieces of a late group that wait for a second endpoint beside a call under way.
+func (g *waitingGroup) dropDuplicates() {
+	g.waiting = slices.DeleteFunc(g.waiting, func(p model.Piece) bool { return g.runningCalls[p.Number] > 0 })
 }
 
-// waitsFor tells whether a piece waits for a call.
-func (w *waitingGroup) waitsFor(number int) bool {
-	return slices.ContainsFunc(w.waiting, func(p model.Piece) bool { return p.Number == number })
+// isWaiting tells whether a piece waits for a call.
+func (g *waitingGroup) isWaiting(number int) bool {
+	return slices.ContainsFunc(g.waiting, func(p model.Piece) bool { return p.Number == number })
 }
 
-// has tells whether a piece was made.
-func (w *waitingGroup) has(number int) bool {
-	return slices.ContainsFunc(w.made, func(m MadePiece) bool { return m.Number == number })
+// hasResult tells whether a piece was made.
+func (g *waitingGroup) hasResult(number int) bool {
+	return slices.ContainsFunc(g.results, func(r ResultRef) bool { return r.Number == number })
 }
 
-// elsewhere tells whether a piece needs no other call: it was made, waits already or is under way.
-func (w *waitingGroup) elsewhere(number int) bool {
-	return w.has(number) || w.waitsFor(number) || w.running[number] > 0
+// madeOrPending tells whether a piece needs no other call: it was made, waits already or is under way.
+func (g *waitingGroup) madeOrPending(number int) bool {
+	return g.hasResult(number) || g.isWaiting(number) || g.runningCalls[number] > 0
 }
--- a/kernel/batchsuspect_test.go
+++ b/kernel/batchsuspect_test.go
@@ -11,36 +11,36 @@
 
 // A piece may end the worker that begins to make it. What shared its call would go with it to the next worker, and be
 // under way at each end as it is: nothing could tell them apart, and all would fail.
-func TestRequestsUnderWhichAWorkerEndedShareNoCall(t *testing.T) {
+func TestSuspectGroupsShareNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := newBatchQueue(3)
+	q := newBatchQueue(3)
 	for id := uint64(1); id <= 3; id++ {
 		group := pieceGroup(id, 2, 8000, now.Add(5*time.Second))
 		for i := range group.Pieces {
 			group.Pieces[i].Digest = model.Digest(group.Pieces[i].Request)
 		}
-		ok, _ := g.Add(now, group)
+		ok, _ := q.Add(now, group)
 		must.True(t, ok)
 	}
-	batch, ok := g.Next(now)
+	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 6, batch.Pieces)
 	must.Eq(t, []model.Digest{"request-1", "request-2", "request-3"}, batch.Digests())
-	must.SliceEmpty(t, g.Crashed(now, batch))
+	must.SliceEmpty(t, q.Crashed(now, batch))
 	for range 2 {
 		now = now.Add(time.Second)
-		batch, ok = g.Next(now)
+		batch, ok = q.Next(now)
 		must.True(t, ok)
 		must.Len(t, 2, batch.Pieces)
 		must.Len(t, 1, batch.Digests())
 	}
 	// What comes later joins the last of them.
-	ok, _ = g.Add(now, pieceGroup(7, 2, 8000, now.Add(2*time.Second)))
+	ok, _ = q.Add(now, pieceGroup(7, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
-	ok, _ = g.Add(now, pieceGroup(8, 2, 8000, now.Add(2*time.Second)))
+	ok, _ = q.Add(now, pieceGroup(8, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
 	now = now.Add(time.Second)
-	batch, ok = g.Next(now)
+	batch, ok = q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 6, batch.Pieces)
 	must.Len(t, 1, batch.Digests())
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -4,70 +4,70 @@
 	"time"
 )
 
-// leastCalls keeps the time that a queue needs finite where its workers take nearly nothing.
-const leastCalls = 0.01
+// minConcurrency keeps the time that a queue needs finite where its workers take nearly nothing.
+const minConcurrency = 0.01
 
-// Wait estimates how long the pieces of a group that comes now wait until their call starts: the
+// EstimateWait estimates how long the pieces of a group that comes now wait until their call starts: the
 // work that goes before them, by the time of full batches and by room. One that only the wait makes late is a sign of
 // overload.
-func (g *BatchQueue) Wait(now time.Time, group PieceGroup) time.Duration {
-	wait := g.estimate(now, group)
-	alone := now.Add(g.callTime(len(group.Pieces)))
-	if !alone.After(group.Due) && alone.Add(wait).After(group.Due) {
-		g.overloadedAt = now
+func (q *BatchQueue) EstimateWait(now time.Time, group PieceGroup) time.Duration {
+	wait := q.estimate(now, group)
+	finishAlone := now.Add(q.callTime(len(group.Pieces)))
+	if !finishAlone.After(group.Due) && finishAlone.Add(wait).After(group.Due) {
+		q.overloadedAt = now
 	}
 	return wait
 }
 
-func (g *BatchQueue) estimate(now time.Time, group PieceGroup) time.Duration {
-	workers := g.staying()
+func (q *BatchQueue) estimate(now time.Time, group PieceGroup) time.Duration {
+	workers := q.activeWorkers()
 	if workers == 0 {
 		return lapsedGrace
 	}
-	total, free := g.room(now)
-	ahead, aheadBytes := g.ahead(now, group, free)
-	full := g.callTime(g.traits.Batch)
-	calls := g.calls()
+	total, free := q.roomTotals(now)
+	ahead, aheadBytes := q.workAhead(now, group, free)
+	full := q.callTime(q.traits.Batch)
+	calls := q.concurrency()
 	// With all endpoints busy, one comes free after a call's share on average.
 	first := float64(full) / (2 * calls)
-	if g.free(now) > 0 {
+	if q.freeWorkers(now) > 0 {
 		first = 0
 	}
-	bySlots := first + float64(ahead)/float64(max(1, g.traits.Batch))/calls*float64(full)
+	bySlots := first + float64(ahead)/float64(max(1, q.traits.Batch))/calls*float64(full)
 	missing := float64(aheadBytes) - free
-	if g.traits.Room <= 0 || missing <= 0 || group.ResultBytes == 0 {
+	if q.traits.Room <= 0 || missing <= 0 || group.ResultBytes == 0 {
 		return time.Duration(bySlots)
 	}
 	// What is not free comes free as fast as results were held lately.
-	byRoom := time.Duration(missing / total * float64(g.hold))
+	byRoom := time.Duration(missing / total * float64(q.holdTime))
 	return max(time.Duration(bySlots), byRoom)
 }
 
-// ahead returns how many pieces are made before those of a group, and how many bytes of results find
+// workAhead returns how many pieces are made before those of a group, and how many bytes of results find
 // room before its last one has. Work that is late goes after all that is not. Results that are larger
 // wait for room while smaller ones pass them by, so they count as far as there is room for them.
-func (g *BatchQueue) ahead(now time.Time, group PieceGroup, free float64) (pieces int, bytes int64) {
+func (q *BatchQueue) workAhead(now time.Time, group PieceGroup, free float64) (pieces int, bytes int64) {
 	bytes = int64(len(group.Pieces)) * group.ResultBytes
-	shortest := now.Add(g.callTime(1))
+	earliestFinish := now.Add(q.callTime(1))
 	own := &waitingGroup{PieceGroup: group}
-	heavyRoom := free
-	for _, w := range g.groups {
-		if !g.policy.Uses(OwnWait) {
-			if !w.rankedDue().After(group.rankedDue()) {
-				pieces += len(w.waiting)
-				bytes += int64(len(w.waiting)) * w.ResultBytes
+	roomForLarger := free
+	for _, g := range q.groups {
+		if !q.policy.Uses(WaitPerRequest) {
+			if !g.rankedDue().After(group.rankedDue()) {
+				pieces += len(g.waiting)
+				bytes += int64(len(g.waiting)) * g.ResultBytes
 			}
 			continue
 		}
-		if g.compareGroups(shortest, w, own, 0, 0) > 0 {
+		if q.compareGroups(earliestFinish, g, own, 0, 0) > 0 {
 			continue
 		}
-		waiting := len(w.waiting)
-		if w.ResultBytes > group.ResultBytes {
-			waiting = min(waiting, int(max(0, heavyRoom)/float64(w.ResultBytes)))
-			heavyRoom -= float64(waiting) * float64(w.ResultBytes)
+		waiting := len(g.waiting)
+		if g.ResultBytes > group.ResultBytes {
+			waiting = min(waiting, int(max(0, roomForLarger)/float64(g.ResultBytes)))
+			roomForLarger -= float64(waiting) * float64(g.ResultBytes)
 		} else {
-			bytes += int64(waiting) * w.ResultBytes
+			bytes += int64(waiting) * g.ResultBytes
 		}
 		pieces += waiting
 	}
@@ -75,60 +75,60 @@
 }
 
 // backlog is how many full batches wait for each endpoint.
-func (g *BatchQueue) backlog() float64 {
+func (q *BatchQueue) backlog() float64 {
 	waiting := 0
-	for _, w := range g.groups {
-		waiting += len(w.waiting)
+	for _, g := range q.groups {
+		waiting += len(g.waiting)
 	}
-	return float64(waiting) / (float64(max(1, g.traits.Batch)) * g.calls() / float64(max(1, g.traits.Slots)))
+	return float64(waiting) / (float64(max(1, q.traits.Batch)) * q.concurrency() / float64(max(1, q.traits.Slots)))
 }
 
-func (g *BatchQueue) staying() int {
+func (q *BatchQueue) activeWorkers() int {
 	n := 0
-	for _, m := range g.workers {
-		if m.endpoint.TakesWork() {
+	for _, w := range q.workers {
+		if w.endpoint.TakesWork() {
 			n++
 		}
 	}
 	return n
 }
 
-// calls is how many calls the workers carry out at one time; one that takes only so many a second counts for as much of
+// concurrency is how many concurrency the workers carry out at one time; one that takes only so many a second counts for as much of
 // its slots as those keep busy.
-func (g *BatchQueue) calls() float64 {
-	full := g.callTime(g.traits.Batch)
+func (q *BatchQueue) concurrency() float64 {
+	full := q.callTime(q.traits.Batch)
 	calls := 0.0
-	for _, m := range g.workers {
-		if m.endpoint.TakesWork() {
-			calls += m.parallel(full, g.traits.Slots)
+	for _, w := range q.workers {
+		if w.endpoint.TakesWork() {
+			calls += w.concurrency(full, q.traits.Slots)
 		}
 	}
-	return max(leastCalls, calls)
+	return max(minConcurrency, calls)
 }
 
-func (m *worker) parallel(full time.Duration, slots int) float64 {
+func (w *worker) concurrency(full time.Duration, slots int) float64 {
 	all := float64(max(1, slots))
-	if !m.rateCap.Stated {
+	if !w.rateCap.Stated {
 		return all
 	}
-	return min(all, float64(full)/float64(CapBatcherPause(m.rateCap)))
+	return min(all, float64(full)/float64(CapBatcherPause(w.rateCap)))
 }
 
-// atCap tells whether a worker takes no call now because of what it got lately.
-func (m *worker) atCap(now time.Time) bool {
-	return m.rateCap.Stated && now.Sub(m.calledAt) < CapBatcherPause(m.rateCap)
+// atRateCap tells whether a worker takes no call now because of what it got lately.
+func (w *worker) atRateCap(now time.Time) bool {
+	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherPause(w.rateCap)
 }
 
-func (g *BatchQueue) free(now time.Time) int {
+func (q *BatchQueue) freeWorkers(now time.Time) int {
 	n := 0
-	for _, m := range g.workers {
-		if m.endpoint.TakesWork() && m.calls < max(1, g.traits.Slots) && !m.atCap(now) {
+	for _, w := range q.workers {
+		if w.endpoint.TakesWork() && w.runningCalls < max(1, q.traits.Slots) && !w.atRateCap(now) {
 			n++
 		}
 	}
 	return n
 }
 
-func (g *BatchQueue) callTime(pieces int) time.Duration {
-	return g.traits.CallTime + time.Duration(min(pieces, g.traits.Batch))*g.traits.PieceTime
+func (q *BatchQueue) callTime(pieces int) time.Duration {
+	return q.traits.CallTime + time.Duration(min(pieces, q.traits.Batch))*q.traits.PieceTime
 }
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -223,7 +223,7 @@
 	cold.ColdUntil = start.Add(time.Minute)
 	g := kernel.NewBatchQueue(batchTraits)
 	share := kernel.ColdTerms{}.Share(4).Single()
-	g.SetCold(share)
+	g.SetColdShare(share)
 	g.SetEndpoints([]model.Endpoint{warm, cold})
 	calls := map[string]int{}
 	id := uint64(0)
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -84,7 +84,7 @@
 	}
 	a := b.admitted
 	a.Until = now.Add(6 * time.Second)
-	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.g.Wait(now, pieceGroup(id, 3, 8000, now.Add(burstObjective)))}}
+	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.g.EstimateWait(now, pieceGroup(id, 3, 8000, now.Add(burstObjective)))}}
 	plan := kernel.PlanStages(f, a, estimates, burstEngine)
 	refusal := kernel.AdmitStages(now, f, a, plan, estimates)
 	if refusal == nil {
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -107,7 +107,7 @@
 }
 
 // DomainOf returns the failure domain where most of the results lie; empty for none.
-func DomainOf(made []MadePiece) string {
+func DomainOf(made []ResultRef) string {
 	counts := map[string]int{}
 	best := ""
 	for _, m := range made {
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -83,7 +83,7 @@
 }
 
 func TestDomainOfIsWhereMostResultsLie(t *testing.T) {
-	made := []kernel.MadePiece{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
+	made := []kernel.ResultRef{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
 	must.Eq(t, "b", kernel.DomainOf(made))
 	must.Eq(t, "", kernel.DomainOf(nil))
 }
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -34,7 +34,7 @@
 		pool   string
 		pieces []model.Piece
 		// inputs are what each piece is made from; with freeInputs nothing else needs them.
-		inputs     []kernel.MadePiece
+		inputs     []kernel.ResultRef
 		freeInputs bool
 		bytes      int64
 		domain     string
@@ -165,7 +165,7 @@
 		if g == nil {
 			continue
 		}
-		if last, fresh := g.lastReport(); fresh && (!last.queued() || !r.options.Policy.Uses(kernel.OwnWait)) {
+		if last, fresh := g.lastReport(); fresh && (!last.queued() || !r.options.Policy.Uses(kernel.WaitPerRequest)) {
 			out[i].Wait, out[i].RoomTaken = last.wait, last.roomTaken
 			continue
 		}
@@ -229,7 +229,7 @@
 }
 
 // release frees results of one queue by way of its batcher, which keeps account of the room.
-func (r *Relay) release(made []kernel.MadePiece) {
+func (r *Relay) release(made []kernel.ResultRef) {
 	queue := r.hub.queueOf(made[0])
 	g := r.hub.find(queue)
 	if g == nil {
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -21,20 +21,20 @@
 		homes  kernel.Homes
 		// results has an entry for each stage that is done. It, started and released belong to the
 		// goroutine that serves the request.
-		results map[int][]kernel.MadePiece
+		results map[int][]kernel.ResultRef
 		started map[int]bool
 		// released is true once the engine's inputs were given up.
 		released bool
 
 		mu sync.Mutex
 		// held lists, by stage, the results that are still held.
-		held map[int][]kernel.MadePiece
+		held map[int][]kernel.ResultRef
 	}
 
 	// stageDone is how one stage ended.
 	stageDone struct {
 		stage int
-		made  []kernel.MadePiece
+		made  []kernel.ResultRef
 		// inputsFreed is true where the batcher freed what the stage was made from.
 		inputsFreed bool
 		refusal     *model.Refusal
@@ -82,9 +82,9 @@
 		stages:  j.admission.Route.Stages,
 		homes:   j.admission.Homes,
 		domain:  kernel.HomeDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AtHome(r.Registry().Endpoints(p.name))),
-		results: map[int][]kernel.MadePiece{},
+		results: map[int][]kernel.ResultRef{},
 		started: map[int]bool{},
-		held:    map[int][]kernel.MadePiece{},
+		held:    map[int][]kernel.ResultRef{},
 	}
 	firstEvent := p.expectFirstEvent()
 	run.plan = kernel.PlanStages(j.forward, j.admission, r.hub.traitsOf(run.stages), firstEvent)
@@ -103,7 +103,7 @@
 			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: o.Wait, RoomTaken: o.RoomTaken})
 		}
 	}
-	if queued(estimates) && r.options.Policy.Uses(kernel.KnownReturns) {
+	if queued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
 		j.forward = j.forward.WithWaited(r.waitedBefore(ctx, j.forward, j.admission))
 	}
 	run.plan = kernel.PlanStages(j.forward, j.admission, estimates, firstEvent)
@@ -154,7 +154,7 @@
 
 // collectInputs lists the results that the engine needs.
 func (s *stageRun) collectInputs() {
-	var last []kernel.MadePiece
+	var last []kernel.ResultRef
 	for _, i := range s.plan.Last {
 		last = append(last, s.results[i]...)
 	}
@@ -200,7 +200,7 @@
 	if len(node.After) == 0 {
 		piece.Key = j.forward.PieceKey
 	}
-	var inputs []kernel.MadePiece
+	var inputs []kernel.ResultRef
 	for _, before := range node.After {
 		inputs = append(inputs, run.results[before]...)
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
