--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -9,84 +9,90 @@
 )
 
 const (
-	// roomMargin is the share of an endpoint's room that is given out: sizes are approximate.
+	// roomMargin is the share of an endpoint's room that is allocated; the sizes of results are approximate.
 	roomMargin = 0.97
-	// spacingRatio is the least time between the starts of two calls, as a share of the time in which
-	// one endpoint comes free on average. Calls take nearly the same time, so starts that fall
-	// together stay together, and pieces that just missed them wait for a whole call; spaced
-	// evenly, a piece waits for a part of the spacingRatio.
+	// spacingRatio sets the least time between the starts of two calls, as a share of the mean interval at which
+	// an endpoint becomes free. Calls take nearly the same time, so calls that once start together continue to do
+	// so, and a piece that arrives just after waits for a whole call. With evenly spaced starts it waits for a
+	// part of the interval.
 	spacingRatio = 0.8
-	// refusalBackoff is how long an endpoint that refused a call as full gets no other: a part of
-	// the shortest call.
+	// refusalBackoff is how long an endpoint gets no call after it refused one because it was full: a part of the
+	// shortest call.
 	refusalBackoff = 60 * time.Millisecond
-	// maxPieceAttempts bounds how often a piece is asked for.
+	// maxPieceAttempts bounds the attempts to make one piece.
 	maxPieceAttempts = 3
-	// slowdownWeight is the weight of the newest call in an endpoint's slowdown.
+	// slowdownWeight is the weight of the newest call in the moving average of an endpoint's slowdown.
 	slowdownWeight = 0.3
-	// holdWeight is the weight of the newest result in the time that results are held.
+	// holdWeight is the weight of the newest result in the moving average of how long results are held.
 	holdWeight = 0.05
-	// unlistedRetention is how long it counts when a worker that is no longer listed got its last call: longer than the pause
-	// between two calls under the smallest rate cap.
+	// unlistedRetention is how long the time of a worker's last call is kept after the worker is no longer
+	// listed. It is longer than the pause between two calls under the smallest rate cap.
 	unlistedRetention = 30 * time.Second
-	// maxLateBacklog is how many full batches an endpoint may have waiting for work that comes
-	// late to be taken all the same.
+	// maxLateBacklog is the backlog, in full batches per endpoint, up to which a group is accepted although it
+	// will be late.
 	maxLateBacklog = 0.5
 )
 
 type (
-	// BatchQueue collects the pieces of one pool from all nodes, and cuts them into calls as its
-	// endpoints come free. An endpoint works on one call at a time and takes the same time for
-	// a call whatever it holds, so pieces wait here, where others can join them, and never at
-	// an endpoint. No piece is started whose result would find no room. It changes in place.
+	// BatchQueue collects the pieces of one pool from all nodes and combines them into calls as the pool's
+	// endpoints become free. An endpoint works on one call at a time, and a call takes about the same time
+	// whatever it holds, so pieces wait in the queue, where others can join their call, and never at an endpoint.
+	//
+	// Room is the memory that an endpoint has for results, in bytes. A piece is started only if there is room for
+	// its result.
+	//
+	// A BatchQueue is mutable.
 	BatchQueue struct {
 		traits model.PieceTraits
-		// workers holds the pool's endpoints by their incarnations.
+		// workers holds the pool's endpoints by incarnation.
 		workers map[string]*worker
-		// unlistedCalledAt holds when incarnations that are no longer listed got their last call.
+		// unlistedCalledAt holds the time of the last call to each incarnation that is no longer listed.
 		unlistedCalledAt map[string]time.Time
 		groups           map[uint64]*waitingGroup
 		running          map[uint64]PieceBatch
-		// results holds what is known to occupy room, by handle.
+		// results holds the results that are known to occupy room, by handle.
 		results     map[string]heldResult
 		lastBatchID uint64
-		// holdTime is how long results occupy room, from the start of their call.
+		// holdTime is the moving average of how long results occupy room, from the start of their call.
 		holdTime time.Duration
-		// lastStart is when the last call was handed out.
+		// lastStart is when the last call was started.
 		lastStart time.Time
-		// sharedUntil is until when calls of another batcher may be under way at the workers,
-		// foreignUntil until when results may lie there that it had made.
+		// sharedUntil is until when calls of another batcher may be running on the workers, foreignUntil until
+		// when results of another batcher may occupy room there.
 		sharedUntil  time.Time
 		foreignUntil time.Time
 		policy       Policy
-		// byRank is true while priority counts in the order of what waits, as of the last order.
+		// byRank is true if the most recent ordering of the groups took their rank into account.
 		byRank bool
-		// overloadedAt is when it last showed that not all can be on time.
+		// overloadedAt is the last time at which the queue held or was offered more work than can be done on
+		// time.
 		overloadedAt time.Time
-		// coldShare bounds the calls to coldShare workers.
+		// coldShare limits the calls to cold workers.
 		coldShare ColdShare
 	}
 
 	worker struct {
 		endpoint     model.Endpoint
 		runningCalls int
-		// lastCallAt is when it last got a call, or may have got one of another batcher.
+		// lastCallAt is when the last call was sent to it, or may have been sent by another batcher.
 		lastCallAt time.Time
-		// usedRoom is the room taken by results and by calls under way.
+		// usedRoom is the room taken by known results and by running calls, in bytes.
 		usedRoom    int64
 		pausedUntil time.Time
-		// foreignBytes is the room that was taken at foreignAt by results that are not known here; they
-		// are gone at foreignUntil.
+		// foreignBytes is the room that results unknown to this queue occupied at foreignAt; they are gone at
+		// foreignUntil.
 		foreignBytes int64
 		foreignAt    time.Time
 		foreignUntil time.Time
 		health       Health
-		// slowdown is how long calls take, relative to what is stated; probedAt is when it last got a piece for
-		// finding out whether it is still slow.
+		// slowdown is the moving average of the duration of calls relative to the stated one; probedAt is when a
+		// single piece was last sent to find out whether the worker is still slow.
 		slowdown float64
 		probedAt time.Time
-		// rateCap is how many calls a second it takes of all batchers.
+		// rateCap limits the calls a second that the worker accepts from all batchers together.
 		rateCap model.RateCap
-		// unanswered is true from a call that was overdue until one is answered: its slowdown is not known.
+		// unanswered is true from the time a call is overdue until any call is answered; meanwhile the slowdown
+		// is unknown.
 		unanswered bool
 	}
 
@@ -96,27 +102,29 @@
 		waiting  []model.Piece
 		results  []ResultRef
 		attempts map[int]int
-		// runningCalls counts the calls under way for each piece: a call that is overdue has a second one beside it.
+		// runningCalls counts the running calls for each piece, by its number; an overdue call may have a second
+		// one in parallel.
 		runningCalls map[int]int
 		waited       time.Duration
-		// fetchedAt is when the calls under way have fetched the inputs.
+		// fetchedAt is when the running calls have fetched their inputs.
 		fetchedAt   time.Time
 		inputsFreed bool
-		// suspect is true once a worker ended while it made this group's pieces: no two such groups share a call, so
-		// that what ends a worker does not take the same others' pieces with it again and again.
+		// suspect is true once a worker's process ended while it made pieces of this group. Two suspect groups
+		// never share a call, so that a group that crashes workers does not repeatedly fail the same other
+		// groups.
 		suspect bool
 	}
 
 	heldResult struct {
 		worker string
 		bytes  int64
-		// callStartedAt is when its call started, until when its worker drops it.
+		// callStartedAt is when its call started, expiresAt when its worker drops it.
 		callStartedAt time.Time
 		expiresAt     time.Time
 	}
 )
 
-// NewBatchQueue returns a batch queue for a pool.
+// NewBatchQueue returns an empty queue for a pool with the given traits.
 func NewBatchQueue(traits model.PieceTraits) *BatchQueue {
 	return &BatchQueue{
 		traits:           traits,
@@ -129,29 +137,30 @@
 	}
 }
 
-// SetPolicy says which mechanisms decide.
+// SetPolicy sets which mechanisms are in use.
 func (q *BatchQueue) SetPolicy(p Policy) {
 	q.policy = p
 }
 
-// SetTraits takes over what the newest routing says of the pool.
+// SetTraits sets the traits of the pool as the current routing states them.
 func (q *BatchQueue) SetTraits(traits model.PieceTraits) {
 	q.traits = traits
 }
 
-// SetColdShare says how often one node may call a worker that is cold.
+// SetColdShare sets how often one node may call a cold worker.
 func (q *BatchQueue) SetColdShare(share ColdShare) {
 	q.coldShare = share
 }
 
-// SetRateCap says how many calls a second a worker takes of all batchers.
+// SetRateCap sets how many calls a second a worker accepts from all batchers together.
 func (q *BatchQueue) SetRateCap(incarnation string, stated model.RateCap) {
 	if w := q.workers[incarnation]; w != nil {
 		w.rateCap = stated
 	}
 }
 
-// SetEndpoints brings the workers in line with the registry. What a worker held is gone with it.
+// SetEndpoints sets the pool's listed endpoints. Results of workers that are no longer listed are forgotten: they
+// are lost with the worker.
 func (q *BatchQueue) SetEndpoints(endpoints []model.Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
@@ -178,7 +187,7 @@
 	}
 }
 
-// Add takes a group in, or tells that it cannot be made in time and when to come back.
+// Add adds a group to the queue. It returns false and when to retry if the group cannot be made in time.
 func (q *BatchQueue) Add(now time.Time, group PieceGroup) (accepted bool, retryAfter time.Duration) {
 	if len(q.workers) > 0 && q.activeWorkers() == 0 {
 		return false, RetryAfter(evacuatedRetry)
@@ -202,7 +211,7 @@
 	return true, 0
 }
 
-// Cancel forgets a group and returns what was made for it; what is still being made turns up as
+// Cancel removes a group and returns the results made for it so far. Done returns those still being made as
 // unwanted.
 func (q *BatchQueue) Cancel(id uint64) []ResultRef {
 	g := q.groups[id]
@@ -213,8 +222,8 @@
 	return g.results
 }
 
-// Expire ends the groups that can no longer be made in time and forgets results that their
-// workers no longer hold, and workers that are gone.
+// Expire ends the groups that can no longer be made in time. It also forgets results that their workers have
+// dropped, and workers that have not been listed for unlistedRetention.
 func (q *BatchQueue) Expire(now time.Time) []GroupOutcome {
 	var ended []GroupOutcome
 	earliestFinish := now.Add(q.callTime(1))
@@ -238,7 +247,7 @@
 	return ended
 }
 
-// Pending returns how many pieces wait and how many calls are under way.
+// Pending returns the number of waiting pieces and of running calls.
 func (q *BatchQueue) Pending() (pieces, calls int) {
 	for _, g := range q.groups {
 		pieces += len(g.waiting)
@@ -246,8 +255,8 @@
 	return pieces, len(q.running)
 }
 
-// Usage returns how much room of an endpoint is taken, as far as is known here, and how many calls
-// it works on.
+// Usage returns how much of an endpoint's room is known to be taken, in bytes, and the number of calls it is
+// running.
 func (q *BatchQueue) Usage(incarnation string) (bytes int64, calls int) {
 	w := q.workers[incarnation]
 	if w == nil {
--- a/kernel/batch_property_test.go
+++ b/kernel/batch_property_test.go
@@ -13,8 +13,8 @@
 // batchPieceBytes is the size of each result in the property test.
 const batchPieceBytes = 1_500_000
 
-// batchMachine drives a batch queue with calls that end in any way and any order, and keeps its own
-// account beside.
+// batchMachine drives a batch queue with calls that end in any way and in any order, and keeps its own account of
+// groups and room.
 type batchMachine struct {
 	now     time.Time
 	queue   *kernel.BatchQueue
@@ -25,8 +25,8 @@
 	inCalls map[string]int64
 }
 
-// Whatever calls do, each group ends once, with each of its pieces or with a fault, and room is
-// never given out twice.
+// However calls end, each group ends once, with all of its pieces or with a fault, and room is never allocated
+// twice.
 func TestBatchQueueAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &batchMachine{
@@ -60,7 +60,7 @@
 	name := batch.Endpoint.Name
 	m.inCalls[name] += batchPieceBytes * int64(len(batch.Pieces))
 	if m.inCalls[name]+m.held[name] > batchTraits.Room {
-		t.Fatalf("room of %s was given out twice", name)
+		t.Fatalf("room of %s was allocated twice", name)
 	}
 	m.running = append(m.running, batch)
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-// expire lets time pass until all workers have dropped what they hold.
+// expire advances the time until all workers have dropped their results.
 func (m *batchMachine) expire(t *rapid.T) {
 	m.ended(t, m.queue.Expire(m.now))
 	m.now = m.now.Add(2 * batchTraits.Keep)
--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -58,7 +58,7 @@
 		must.True(t, ok)
 	}
 	_, ok = q.Next(now)
-	must.False(t, ok, must.Sprint("a call that waits at an endpoint can't be joined"))
+	must.False(t, ok, must.Sprint("no call waits at an endpoint, where other pieces could not join it"))
 	ended, unwanted := q.Done(now.Add(221*time.Millisecond), first, madeAll(first))
 	must.Len(t, 1, ended)
 	must.SliceEmpty(t, unwanted)
@@ -115,7 +115,7 @@
 	must.True(t, ok)
 	q.Add(now, pieceGroup(2, 1, 0, now.Add(5*time.Second)))
 	_, ok = q.Next(now.Add(q.Spacing() / 2))
-	must.False(t, ok, must.Sprint("others may still join"))
+	must.False(t, ok, must.Sprint("more pieces may join"))
 	q.Add(now, pieceGroup(3, 7, 0, now.Add(5*time.Second)))
 	batch, ok := q.Next(now.Add(q.Spacing() / 2))
 	must.True(t, ok, must.Sprint("a full call need not wait"))
@@ -125,8 +125,8 @@
 	must.True(t, ok)
 }
 
-// Of two full calls one waits for the other. Where both can be on time the earlier due one goes first, else the one of
-// higher priority, whichever came first.
+// Of two full calls one has to wait. If both can be on time, the one that is due earlier goes first, otherwise
+// the one with the higher priority, whichever was added first.
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
@@ -186,7 +186,7 @@
 	batch, _ := q.Next(now)
 	results := madeAll(batch)
 	q.Done(now.Add(368*time.Millisecond), batch, results)
-	// 12 of 17.46 MB are taken; the slot is free.
+	// 12 of 17.46 MB are taken, and the worker is free.
 	must.Positive(t, q.EstimateWait(now, group))
 	for _, r := range results {
 		q.Release(now.Add(900*time.Millisecond), kernel.ResultRef{Handle: r.Handle, Worker: "worker-0"})
@@ -211,7 +211,7 @@
 		ok, _ := q.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
 	}
-	// Three full calls of 368 ms are due before it.
+	// Three full calls of 368 ms go before it.
 	for id := uint64(4); id <= 5; id++ {
 		ok, _ := q.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
@@ -254,9 +254,9 @@
 	must.False(t, ok)
 }
 
-// Under load a worker that comes free finds many groups waiting: among groups due at about the same
-// time it takes those whose inputs lie in its own failure domain. At equal load half as many bytes
-// of results crossed between domains.
+// Under load a worker that becomes free finds many groups waiting. Among groups that are due at about the same
+// time it takes those with inputs in its own failure domain, which halves the bytes of results sent between
+// domains at equal load.
 func TestAWorkerTakesGroupsOfItsOwnDomainFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
@@ -278,13 +278,13 @@
 		must.True(t, ok)
 		taken[batch.Endpoint.FailureDomain] = append(taken[batch.Endpoint.FailureDomain], batch.Pieces[0].Request)
 	}
-	must.Eq(t, []string{"request-5"}, taken["domain-0"], must.Sprint("what is due a second before goes first"))
+	must.Eq(t, []string{"request-5"}, taken["domain-0"], must.Sprint("a group that is due a second earlier goes first"))
 	must.Eq(t, []string{"request-1"}, taken["domain-1"])
 }
 
-// Each piece of a stage fetches all results of the stage before, 1.4 MB a request, and five workers lie in
-// three failure domains. At two thirds of what the calls carry, groups that may wait for the next call of
-// their domain hardly ever move, and wait no longer than a call.
+// Five workers are in three failure domains, and each piece fetches all results of the previous stage, 1.4 MB a
+// request. At two thirds of the capacity, groups that may wait for the next call in their domain are rarely made
+// in another one, and wait no longer than two full calls.
 func TestPiecesWaitForTheirInputsDomain(t *testing.T) {
 	traits := model.PieceTraits{Slots: 1, Batch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, Keep: 4 * time.Second}
 	full := 444 * time.Millisecond
@@ -327,15 +327,15 @@
 	}
 	groups, moved, longest := run(kernel.Policy{})
 	_, movedWithout, _ := run(kernel.Policy{}.Without(kernel.InputLocality))
-	t.Logf("%d groups, %d moved where they wait, %d where not; the longest wait was %v", groups, moved, movedWithout, longest)
+	t.Logf("%d groups: %d made in another domain, %d without InputLocality; longest wait %v", groups, moved, movedWithout, longest)
 	must.Less(t, groups/10, moved)
 	must.Greater(t, groups/5, movedWithout)
 	must.LessEq(t, 2*full, longest)
 }
 
-// A worker that starts again under its name holds nothing: its room is free, results of its former incarnation
-// are not counted against it, and pieces made from them end at once, as the new process may give their
-// handles to other requests.
+// A worker that restarts under its name has all its room free: results of its former incarnation are not counted.
+// Groups with those results as inputs end at once, as the new process may assign the same handles to other
+// requests.
 func TestRestartedWorkerHoldsNoResults(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := model.Endpoint{Name: "m", Pool: "p", State: model.Live, Started: time.Unix(900, 0)}
@@ -356,11 +356,11 @@
 	must.False(t, ok, must.Sprint("the room is taken"))
 	q.SetEndpoints([]model.Endpoint{restarted})
 	batch, ok = q.Next(now)
-	must.True(t, ok, must.Sprint("the room went with the former incarnation"))
+	must.True(t, ok, must.Sprint("the room of the former incarnation is free"))
 	must.EqOp(t, restarted.Incarnation(), batch.Endpoint.Incarnation())
 	q.Release(now, made[0])
 	used, _ := q.Usage(restarted.Incarnation())
-	must.EqOp(t, 800, used, must.Sprint("a result of the former incarnation frees nothing of the new one"))
+	must.EqOp(t, 800, used, must.Sprint("releasing a result of the former incarnation frees no room of the new one"))
 
 	accepted, _ := q.Add(now, kernel.PieceGroup{
 		ID: 3, Pieces: []model.Piece{{Request: "r", Number: 0}}, ResultBytes: 400, Inputs: made,
@@ -372,7 +372,7 @@
 	must.EqOp(t, model.PieceInputGone, stale[0].Fault)
 }
 
-// addPieces adds a group of pieces that may wait for long.
+// addPieces adds a group of pieces that is due in five seconds.
 func addPieces(q *kernel.BatchQueue, now time.Time, id uint64, count int, bytes int64) bool {
 	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: now.Add(5 * time.Second), Until: now.Add(5 * time.Second)}
 	for n := range count {
--- a/kernel/batchcall.go
+++ b/kernel/batchcall.go
@@ -8,7 +8,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Next hands out a call that is to be made now; false means that none is.
+// Next starts the next call and returns it. It returns false if no call is to be made now.
 func (q *BatchQueue) Next(now time.Time) (PieceBatch, bool) {
 	groups := q.sortedGroups(now)
 	if len(groups) == 0 || q.shouldDefer(now, groups) {
@@ -33,12 +33,12 @@
 	return PieceBatch{}, false
 }
 
-// shouldDefer tells whether the next call is better made a little later, with more pieces.
+// shouldDefer reports whether to delay the next call so that more pieces can join it.
 func (q *BatchQueue) shouldDefer(now time.Time, groups []*waitingGroup) bool {
 	return q.policy.Uses(SpacedCalls) && now.Sub(q.lastStart) < q.Spacing() && q.countWaiting(groups) < q.traits.Batch
 }
 
-// Spacing is the least time between the starts of two calls that are not full.
+// Spacing returns the least time between the starts of two calls that are not full.
 func (q *BatchQueue) Spacing() time.Duration {
 	return time.Duration(spacingRatio * float64(q.callTime(q.traits.Batch/2)) / q.concurrency())
 }
@@ -51,8 +51,7 @@
 	return n
 }
 
-// fill collects the pieces that a worker is to make next. A group's pieces stay together where
-// they fit.
+// fill selects the pieces of a worker's next call. The pieces of a group stay together where they fit.
 func (q *BatchQueue) fill(now time.Time, w *worker, groups []*waitingGroup) PieceBatch {
 	var batch PieceBatch
 	room := math.Inf(1)
@@ -111,8 +110,8 @@
 	return batch
 }
 
-// Expected returns how long a call may take before its endpoint is given up: what is stated,
-// times the slowdown that the endpoint showed.
+// Expected returns how long a call is expected to take: the stated duration times the slowdown of its endpoint,
+// where that is above 1.
 func (q *BatchQueue) Expected(batch PieceBatch) time.Duration {
 	slowdown := 1.0
 	if w := q.workers[batch.Endpoint.Incarnation()]; w != nil {
--- a/kernel/batchcap_test.go
+++ b/kernel/batchcap_test.go
@@ -11,16 +11,16 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Seen: a worker that had named a limit got calls as fast as it answered them. Cause and class as for requests: the field
-// was not understood. Proved by: this test, and that of two batchers, on the queue without the cap.
+// Workers may state a rate cap. These tests guard against a batcher that calls such a worker as fast as it
+// answers.
 
 type (
-	// cappedQueue is a queue with more pieces than its workers bear.
+	// cappedQueue simulates a queue that gets more pieces than its capped workers accept.
 	cappedQueue struct {
 		g     *kernel.BatchQueue
 		under []cappedCall
 		next  uint64
-		// calls are when the first worker got its calls.
+		// calls holds the start times of the calls to the first worker.
 		calls         []time.Time
 		made, refused int
 	}
@@ -31,7 +31,7 @@
 	}
 )
 
-// play has the queue work for a time.
+// play runs the simulation for a time.
 func (q *cappedQueue) play(length time.Duration) {
 	start := time.Unix(1000, 0)
 	for step := time.Duration(0); step < length; step += 10 * time.Millisecond {
@@ -82,7 +82,7 @@
 	}
 }
 
-// A worker with a rate cap gets no more calls than that allows, also where two batchers call it, and the other workers
+// A worker with a rate cap gets no more calls than the cap allows, even from two batchers, and the other workers
 // make the rest.
 func TestRateCapLimitsCallsToWorker(t *testing.T) {
 	t.Parallel()
@@ -100,7 +100,8 @@
 	}
 }
 
-// Where all workers have caps, what they don't take is refused at once, with when to come back, and what they take is made.
+// If all workers have rate caps, pieces beyond the caps are refused at once with a time to retry, and the others
+// are made.
 func TestPiecesBeyondAllRateCapsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	q := cappedQueue{g: newBatchQueue(2)}
@@ -113,8 +114,8 @@
 	must.GreaterEq(t, 200, q.made)
 }
 
-// A batcher that begins does not know what the one before it called last, and spares workers with rate caps as long as if it
-// had been just now.
+// A new batcher does not know which workers the previous one called last. It pauses before it calls workers with
+// rate caps as if each had been called at the takeover.
 func TestTakeoverDelaysCallsToCappedWorkers(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -129,8 +130,8 @@
 	must.True(t, called)
 }
 
-// A worker that the list leaves out for a moment is spared as before. Seen in review, as on the project's own interface: what a
-// batcher knew of its own calls went with the entry. Proved by: this test on the code before.
+// The pause between calls to a worker with a rate cap also holds if the worker is missing from one listing. The
+// time of its last call must not be dropped with the entry.
 func TestRateCapPauseSurvivesMissingListing(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
--- a/kernel/batchend.go
+++ b/kernel/batchend.go
@@ -7,7 +7,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Refused takes in that an endpoint did not run a call: its pieces wait again.
+// Refused records that an endpoint refused a call without running it, and requeues its pieces.
 func (q *BatchQueue) Refused(now time.Time, batch PieceBatch) []GroupOutcome {
 	w := q.finishCall(batch, nil)
 	if w != nil {
@@ -18,7 +18,7 @@
 	return q.requeuePieces(now, batch, nil, model.PieceNoRoom, false)
 }
 
-// Failed takes in that a call ended without an answer. What it made, if anything, is lost.
+// Failed records that a call ended without an answer. Any results it made are lost.
 func (q *BatchQueue) Failed(now time.Time, batch PieceBatch) []GroupOutcome {
 	if w := q.finishCall(batch, nil); w != nil {
 		w.health = w.health.WithFailure(now)
@@ -27,7 +27,8 @@
 	return q.requeuePieces(now, batch, nil, model.PieceFailed, true)
 }
 
-// Crashed takes in that a worker's process ended in the middle of a call: one of the pieces may have ended it.
+// Crashed records that a worker's process ended during a call. Any piece of the call may have caused it, so all
+// of its groups become suspect.
 func (q *BatchQueue) Crashed(now time.Time, batch PieceBatch) []GroupOutcome {
 	for _, id := range batch.groups {
 		if g := q.groups[id]; g != nil {
@@ -37,7 +38,7 @@
 	return q.Failed(now, batch)
 }
 
-// Unreachable takes in that a call's endpoint could not be connected to: its pieces wait again.
+// Unreachable records that a call's endpoint could not be connected to, and requeues its pieces.
 func (q *BatchQueue) Unreachable(now time.Time, batch PieceBatch) []GroupOutcome {
 	if w := q.finishCall(batch, nil); w != nil {
 		w.health = w.health.WithUnreachable(now)
@@ -46,8 +47,8 @@
 	return q.requeuePieces(now, batch, nil, model.PieceFailed, false)
 }
 
-// Done takes the results of a call in. It returns the groups that ended, and the results that
-// nobody waits for any more.
+// Done records the results of a call. It returns the groups that ended, and the results that no group needs any
+// more.
 func (q *BatchQueue) Done(now time.Time, batch PieceBatch, results []model.PieceResult) (ended []GroupOutcome, unwanted []ResultRef) {
 	w := q.finishCall(batch, results)
 	if w != nil {
@@ -87,7 +88,7 @@
 	return ended, unwanted
 }
 
-// finishCall frees the slot of a call, and the room of the pieces that were not made.
+// finishCall frees the slot of a call and the room of the pieces that were not made.
 func (q *BatchQueue) finishCall(batch PieceBatch, results []model.PieceResult) *worker {
 	delete(q.running, batch.ID)
 	for i, p := range batch.Pieces {
@@ -108,8 +109,8 @@
 	return w
 }
 
-// requeuePieces puts pieces that were not made back among the waiting ones, or ends their groups.
-// With failed nil, all pieces of the call share one fault.
+// requeuePieces requeues the pieces of a call that were not made, or ends their groups. If failed is nil, all
+// pieces failed with the fault sharedFault. If counts is false, the call does not count as an attempt.
 func (q *BatchQueue) requeuePieces(now time.Time, batch PieceBatch, failed map[int]model.PieceFault, sharedFault model.PieceFault, counts bool) []GroupOutcome {
 	var ended []GroupOutcome
 	for i, p := range batch.Pieces {
@@ -138,13 +139,13 @@
 	return ended
 }
 
-// outcome returns how a group ended; the fault is empty where it is whole.
+// outcome returns the outcome of a group with the given fault, which is empty for a complete group.
 func (g *waitingGroup) outcome(fault model.PieceFault) GroupOutcome {
 	return GroupOutcome{Group: g.ID, Made: g.results, Fault: fault, Waited: g.waited, InputsFreed: g.inputsFreed}
 }
 
-// EndStale ends the waiting groups whose inputs went with an incarnation of their worker: a process that
-// started again may give the same handle to another request's result.
+// EndStale ends the waiting groups with inputs that were lost with an earlier incarnation of their worker. A
+// restarted process may assign the same handle to the result of another request.
 func (q *BatchQueue) EndStale(superseded func(incarnation string) bool) []GroupOutcome {
 	var ended []GroupOutcome
 	for id, g := range q.groups {
@@ -157,7 +158,7 @@
 	return ended
 }
 
-// AnyStale tells whether any of several results went with an incarnation of its worker.
+// AnyStale reports whether any of the results belongs to a superseded incarnation of its worker.
 func AnyStale(results []ResultRef, superseded func(incarnation string) bool) bool {
 	return slices.ContainsFunc(results, func(r ResultRef) bool { return superseded(r.Worker) })
 }
--- a/kernel/batchers.go
+++ b/kernel/batchers.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// capacityExponent keeps a pool off small hosts while large ones are up, however many the small ones are: a host of four
-// times another's capacity is chosen 4,096 times as often.
+// capacityExponent keeps pools off small hosts while large ones are up, however many small ones there are: a host
+// with four times the capacity of another is chosen 4,096 times as often.
 const capacityExponent = 6
 
-// Peer is a node as the choice of who works for others sees it.
+// Peer is a node that can be selected as a batcher.
 type Peer struct {
 	Name   string
 	Domain string
-	// Capacity is what the node's host can carry relative to others; 1 where it is not known.
+	// Capacity is the capacity of the node's host relative to others, or 1 if unknown.
 	Capacity float64
 }
 
-// NodesByHash returns the nodes in the order in which they are to batch the pieces of a pool, the
-// same for all who know the same nodes: by weighted rendezvous hashing, so that the loss of one
-// node moves only what was its.
+// NodesByHash returns the names of the nodes in the order of preference for a subject, such as a pool to batch
+// for. The order is the same on all nodes that know the same nodes. It uses weighted rendezvous hashing, so that
+// the loss of a node moves only the pools of that node.
 func NodesByHash(subject string, nodes []Peer) []string {
 	scores := make(map[string]float64, len(nodes))
 	names := make([]string, 0, len(nodes))
@@ -41,8 +41,8 @@
 	return names
 }
 
-// weightedScore is the weight over the negative logarithm of the hash, taken as a number between 0
-// and 1: the greatest of these falls to each node with a chance in proportion to its weight.
+// weightedScore returns the weight divided by the negative logarithm of the hash, which is scaled to between 0
+// and 1. The probability that a node has the greatest score is proportional to its weight.
 func weightedScore(subject string, n Peer) float64 {
 	u := (float64(rendezvousScore(subject, n.Name)) + 1) / (math.MaxUint64 + 2)
 	capacity := n.Capacity
@@ -54,30 +54,30 @@
 
 // The answers to a node that batches for a pool or is about to.
 const (
-	// KeepPool: this node goes on to batch, and the other one leaves the pool to it.
+	// KeepPool means that this node continues to batch, and the other one stops or does not begin.
 	KeepPool PoolAnswer = iota
-	// YieldPool: the other node batches from now on.
+	// YieldPool means that the other node batches from now on.
 	YieldPool
-	// SharePool: each batches for its own requests.
+	// SharePool means that each node batches for its own requests.
 	SharePool
 )
 
 type (
-	// PoolAnswer is what a node that batches answers to another one.
+	// PoolAnswer is a batcher's answer to the claim of another node.
 	PoolAnswer int
 
 	// PoolClaim is a node's claim to batch for a pool.
 	PoolClaim struct {
 		Peer
-		// Batching is true for a node that does so already, Leaving for one that will soon be gone.
+		// Batching is true if the node already batches for the pool, Leaving if it is about to leave.
 		Batching bool
 		Leaving  bool
 	}
 )
 
-// AnswerClaim decides which of two nodes batches for a pool, where the first does. It goes on unless it is
-// leaving or the other can carry more: a change costs calls that are not full. Where both batch, the one that
-// comes first for the pool does so alone. A leaving node gets no pool from one that stays.
+// AnswerClaim decides which of two nodes batches for a pool that own batches for at present. The present batcher
+// continues unless it is leaving or the other node has more capacity, as a change costs calls that are not full.
+// If both nodes batch, the first by NodesByHash continues alone. A leaving node gets no pool from one that stays.
 func AnswerClaim(pool string, own, other PoolClaim) PoolAnswer {
 	keep := other.Capacity <= own.Capacity
 	if other.Batching {
--- a/kernel/batchers_test.go
+++ b/kernel/batchers_test.go
@@ -25,8 +25,9 @@
 			small++
 		}
 	}
-	// 50 hosts of a weight of 0.00005 beside 10 of 0.26: 1 in 1,000. Where a small host batched for
-	// the pool of all requests, its link and processor bound the fleet to a third of its service.
+	// 50 hosts with a weight of 0.00005 and 10 with 0.26: a small host is first for 1 pool in 1,000. A small host
+	// that batches for the pool of all requests limits the fleet to a third of its throughput by its link and
+	// processor.
 	must.LessEq(t, 3, small)
 }
 
@@ -61,14 +62,14 @@
 		own, other kernel.PoolClaim
 		want       kernel.PoolAnswer
 	}{
-		{"an equal that is back does not take the pool", claim("a", 1, true, false), claim("b", 1, false, false), kernel.KeepPool},
-		{"a smaller one neither", claim("a", 1, true, false), claim("b", 0.5, false, false), kernel.KeepPool},
-		{"a larger one does", claim("a", 1, true, false), claim("b", 2, false, false), kernel.YieldPool},
-		{"of two that batch the first goes on", claim(first, 1, true, false), claim(second, 1, true, false), kernel.KeepPool},
-		{"and the second leaves it", claim(second, 1, true, false), claim(first, 1, true, false), kernel.YieldPool},
-		{"a leaving one hands over", claim("a", 2, true, true), claim("b", 1, false, false), kernel.YieldPool},
-		{"but not to one that leaves too", claim("a", 1, true, true), claim("b", 1, false, true), kernel.SharePool},
-		{"a leaving one gets none", claim("a", 1, true, false), claim("b", 2, true, true), kernel.KeepPool},
+		{"a node of equal capacity does not take over", claim("a", 1, true, false), claim("b", 1, false, false), kernel.KeepPool},
+		{"nor does one of less capacity", claim("a", 1, true, false), claim("b", 0.5, false, false), kernel.KeepPool},
+		{"a node of more capacity does", claim("a", 1, true, false), claim("b", 2, false, false), kernel.YieldPool},
+		{"of two batchers the first continues", claim(first, 1, true, false), claim(second, 1, true, false), kernel.KeepPool},
+		{"and the second yields", claim(second, 1, true, false), claim(first, 1, true, false), kernel.YieldPool},
+		{"a leaving batcher yields", claim("a", 2, true, true), claim("b", 1, false, false), kernel.YieldPool},
+		{"but not to another leaving node", claim("a", 1, true, true), claim("b", 1, false, true), kernel.SharePool},
+		{"a leaving node gets no pool", claim("a", 1, true, false), claim("b", 2, true, true), kernel.KeepPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			must.EqOp(t, tc.want, kernel.AnswerClaim("pool", tc.own, tc.other))
--- a/kernel/batchfailure_test.go
+++ b/kernel/batchfailure_test.go
@@ -17,7 +17,7 @@
 	must.SliceEmpty(t, q.Refused(now, first))
 	second, ok := q.Next(now)
 	must.True(t, ok)
-	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name, must.Sprint("the one that refused is left alone for a while"))
+	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name, must.Sprint("the worker that refused gets no call for a while"))
 	must.Len(t, 3, second.Pieces)
 }
 
@@ -37,7 +37,7 @@
 	_, ok = q.Next(now.Add(500 * time.Millisecond))
 	must.False(t, ok)
 	_, ok = q.Next(now.Add(1100 * time.Millisecond))
-	must.True(t, ok, must.Sprint("after a while one call tries it again"))
+	must.True(t, ok, must.Sprint("a single call probes it after its ejection"))
 }
 
 func TestLostInputEndsGroup(t *testing.T) {
@@ -48,7 +48,7 @@
 	ended, _ := q.Done(now, batch, []model.PieceResult{{Handle: "h"}, {Fault: model.PieceInputGone}})
 	must.Len(t, 1, ended)
 	must.Eq(t, model.PieceInputGone, ended[0].Fault)
-	must.Len(t, 1, ended[0].Made, must.Sprint("what was made is told, to be freed"))
+	must.Len(t, 1, ended[0].Made, must.Sprint("results made so far are returned, to be freed"))
 }
 
 func TestResultsOfACancelledGroupAreUnwanted(t *testing.T) {
--- a/kernel/batchfetch.go
+++ b/kernel/batchfetch.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// maxFetchDelay is how long after the start of a call its endpoint begins to fetch inputs at the
-	// latest: some round trips.
+	// maxFetchDelay is the time after the start of a call within which its endpoint begins to fetch inputs: some
+	// round trips.
 	maxFetchDelay = 60 * time.Millisecond
-	// fetchMargin is how many times the time that the endpoint's link needs for the inputs they may
-	// take: their workers' links carry other calls' inputs too.
+	// fetchMargin is the factor by which fetching the inputs may exceed the time that the endpoint's link needs
+	// for them: the links of the workers that hold the inputs carry the inputs of other calls too.
 	fetchMargin = 2
-	// scarceRoomShare is the share of a pool's room from which on it counts as scarce: with more left,
-	// twice the results that are usually held find room.
+	// scarceRoomShare is the taken share of a pool's room above which room counts as scarce. Below it there is
+	// room for twice as many results as are usually held.
 	scarceRoomShare = 0.5
 )
 
-// Scarce tells whether so much of a pool's room is taken that results are to be given up as soon as
-// nothing is likely to need them again.
+// Scarce reports whether so much of the pool's room is taken that results should be freed as soon as they are
+// unlikely to be needed again.
 func (e PoolEstimate) Scarce() bool {
 	return e.RoomTaken > scarceRoomShare
 }
 
-// fetchTime returns how long after its start a call needs the inputs of its pieces at most. Each
-// piece fetches all inputs of its group.
+// fetchTime returns the time after the start of a call by which the inputs of its pieces are fetched. Each piece
+// fetches all inputs of its group.
 func (q *BatchQueue) fetchTime(batch PieceBatch) time.Duration {
 	if q.traits.Link <= 0 {
 		return batch.statedTime
@@ -35,17 +35,17 @@
 	return maxFetchDelay + time.Duration(fetchMargin*float64(bytes)/float64(q.traits.Link)*float64(time.Second))
 }
 
-// FetchTime returns how long after its start a call needs the inputs of its pieces at most.
+// FetchTime returns the time after the start of the call by which the inputs of its pieces are fetched.
 func (b PieceBatch) FetchTime() time.Duration {
 	return b.fetchTime
 }
 
-// TakeFetchedInputs returns the inputs that the calls under way have fetched and that nothing else needs;
-// each is returned once. Held until the calls end, they would take room from other results for
-// twice as long. The price: a piece whose call fails after that can't be made again.
+// TakeFetchedInputs returns the inputs that running calls have fetched and that nothing else needs, each only
+// once. If they were kept until the calls end, they would occupy room for twice as long. In return, a piece whose
+// call fails after this cannot be made again.
 func (q *BatchQueue) TakeFetchedInputs(now time.Time) []ResultRef {
 	if now.Before(q.sharedUntil) {
-		// Another batcher's call may come first at a worker; then the inputs are fetched later.
+		// A call of another batcher may run first on a worker, which delays the fetch.
 		return nil
 	}
 	var out []ResultRef
--- a/kernel/batchfetch_test.go
+++ b/kernel/batchfetch_test.go
@@ -10,8 +10,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// fetchTraits are those of a pool whose calls take 374 ms when full, and fetch their inputs in some
-// 10 ms.
+// fetchTraits are the traits of a pool with full calls of 374 ms, which fetch their inputs in about 10 ms.
 var fetchTraits = model.PieceTraits{
 	Slots: 1, Batch: 62, CallTime: 200 * time.Millisecond, PieceTime: 2800 * time.Microsecond,
 	Room: 810_000, Keep: 4 * time.Second, Link: 1_250_000_000,
@@ -35,8 +34,8 @@
 	return q
 }
 
-// Results that wait for their consumer's call to end hold their room for another 400 ms; freed when
-// they were fetched, they hold it for a fifth of that.
+// Results that are kept until the call that consumes them ends occupy room for another 400 ms. Freed once
+// fetched, they occupy it for a fifth of that.
 func TestInputsAreFreedOnceTheirCallHasFetchedThem(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := fetchQueue(now, fetchingGroup(1, 10, now, true))
@@ -45,7 +44,7 @@
 	must.Less(t, 100*time.Millisecond, batch.FetchTime())
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime()-time.Millisecond)))
 	must.Len(t, 4, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
-	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each once"))
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each only once"))
 	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
 	must.Len(t, 1, ended)
 	must.True(t, ended[0].InputsFreed)
@@ -71,7 +70,7 @@
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
 }
 
-// A piece whose inputs are freed can't be made again: asking would cost a call for nothing.
+// A piece whose inputs were freed cannot be made again, so a retry would waste a call.
 func TestAPieceThatFailsAfterItsInputsWereFreedEndsItsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := fetchQueue(now, fetchingGroup(1, 10, now, true))
@@ -85,7 +84,7 @@
 	must.Len(t, 9, ended[0].Made)
 }
 
-// Where half of a pool's room is free, results are kept for as long as something might need them again.
+// While half of a pool's room is free, results are kept for as long as they might be needed again.
 func TestRoomIsScarceAboveHalf(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
--- a/kernel/batchhandover.go
+++ b/kernel/batchhandover.go
@@ -4,9 +4,9 @@
 	"basilstall.example/basilstall/model"
 )
 
-// HandOver ends the groups of which no piece was started yet: they are to be asked of the node that batches
-// for the pool from now on. What is under way is brought to its end here. The next batcher learns what room
-// is taken as after any loss.
+// HandOver ends the groups of which no piece has been started; their senders then send them to the pool's next
+// batcher. Groups with started pieces are completed here. The next batcher learns how much room is taken in the
+// same way as after the loss of a batcher.
 func (q *BatchQueue) HandOver() []GroupOutcome {
 	var moved []GroupOutcome
 	for id, g := range q.groups {
--- a/kernel/batchhandover_test.go
+++ b/kernel/batchhandover_test.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// What was not started moves to the next batcher; what is under way ends where it began.
+// Groups that were not started move to the next batcher; running ones are completed by the previous one.
 func TestHandOverMovesUnstartedGroups(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
@@ -28,7 +28,8 @@
 	must.SliceEmpty(t, unwanted)
 }
 
-// Beside another batcher's calls a call may wait at its worker, and fetch later than reckoned.
+// While another batcher may call the same worker, a call may wait there and fetch its inputs later than
+// estimated.
 func TestInputsAreKeptWhileAnotherBatchersCallsMayRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := kernel.NewBatchQueue(fetchTraits)
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// loadStep is the resolution of a simulated pool, loadSweep how often what waits is looked over.
+	// loadStep is the time step of the simulation, loadSweep the interval between calls of Expire.
 	loadStep  = 5 * time.Millisecond
 	loadSweep = 200 * time.Millisecond
-	// loadSeeds is how many draws a load is judged by: one of them sways by a tenth.
+	// loadSeeds is the number of random seeds for each load; the result of a single seed varies by a tenth.
 	loadSeeds = 30
 )
 
 type (
-	// pieceLoad is what a simulated pool is asked for: groups of pieces of one size, at a rate that a burst
-	// multiplies.
+	// pieceLoad is the load of a simulated pool: groups of pieces of one size, at a rate that is higher during a
+	// burst.
 	pieceLoad struct {
 		seed   uint64
 		length time.Duration
-		// perSecond is the usual rate of groups, burst by how much it is multiplied between from and to.
+		// perSecond is the base rate of groups, burst the factor that multiplies it between from and to.
 		perSecond float64
 		burst     float64
 		from, to  time.Duration
-		// slack is how long after it comes a group is due, and patience how much longer its caller stays.
+		// slack is the time from a group's arrival until it is due, patience how much longer its caller waits.
 		slack, patience time.Duration
 		// held is how long a result is held.
 		held time.Duration
-		// ranks are those of the groups in turn; all have the first where there are none.
+		// ranks are assigned to the groups in turn; if empty, all groups have rank 0.
 		ranks []int
-		// slow workers take slowX times as long between from and to.
+		// slow workers take slowX times as long for calls that start between from and to.
 		slow  []string
 		slowX float64
 	}
 
-	// simulatedGroup is what became of a group.
+	// simulatedGroup is a group and its outcome.
 	simulatedGroup struct {
 		kernel.PieceGroup
 		came, ended time.Time
@@ -50,7 +50,7 @@
 		wait        time.Duration
 	}
 
-	// simulatedPool drives a batch queue in virtual time, with workers that work one call at a time.
+	// simulatedPool drives a batch queue in virtual time. Each of its workers runs one call at a time.
 	simulatedPool struct {
 		queue  *kernel.BatchQueue
 		load   pieceLoad
@@ -58,7 +58,8 @@
 		began  time.Time
 		random *rand.Rand
 		groups map[uint64]*simulatedGroup
-		// running and overdue hold calls by when they end and when they are overdue.
+		// running holds calls by the time at which they end, overdue by the time at which they become overdue,
+		// held holds results by the time at which they are released.
 		running map[time.Time][]kernel.PieceBatch
 		overdue map[time.Time][]kernel.PieceBatch
 		held    map[time.Time][]kernel.ResultRef
@@ -113,7 +114,7 @@
 		if !ok {
 			return
 		}
-		// A call is given up after 2.5 times what is expected and 0.3 s, as by package relay.
+		// The timeout of a call is 2.5 times its expected duration plus 0.3 s, as in package relay.
 		patience := time.Duration(2.5*float64(s.queue.Expected(batch))) + 300*time.Millisecond
 		at := s.at(min(patience, s.callTime(batch)))
 		s.running[at] = append(s.running[at], batch)
@@ -122,12 +123,12 @@
 	}
 }
 
-// at returns the step that comes a time from now.
+// at returns the first step after the given time from now.
 func (s *simulatedPool) at(after time.Duration) time.Time {
 	return s.now.Add(after).Truncate(loadStep).Add(loadStep)
 }
 
-// callTime is how long a call takes that begins now, or began when it was handed out.
+// callTime returns how long a call takes, by its start.
 func (s *simulatedPool) callTime(batch kernel.PieceBatch) time.Duration {
 	usual := batchTraits.CallTime + time.Duration(len(batch.Pieces))*batchTraits.PieceTime
 	elapsed := batch.StartedAt().Sub(s.began)
@@ -137,7 +138,7 @@
 	return time.Duration(s.load.slowX * float64(usual))
 }
 
-// arrive takes the next group in and draws when the one after it comes.
+// arrive adds the next group and draws the arrival time of the one after it.
 func (s *simulatedPool) arrive() {
 	pieces := 1 + s.random.IntN(4)
 	group := pieceGroup(uint64(len(s.groups)+1), pieces, 1_500_000, s.now.Add(s.load.slack))
@@ -174,8 +175,8 @@
 	s.held[at] = append(s.held[at], made...)
 }
 
-// onTime counts the groups that were made before they were due, and neverTold those whose callers stayed
-// until the end of their patience and were told nothing.
+// onTime counts the groups that were made before they were due, and the groups whose callers waited until their
+// patience ended without an answer.
 func onTime(groups []*simulatedGroup) (served, neverTold int) {
 	for _, g := range groups {
 		switch {
@@ -188,11 +189,9 @@
 	return served, neverTold
 }
 
-// Seen: in a burst beyond what a pool of heavy results can make, requests waited for their pieces until their
-// callers left, 4.4 s for an objective of 1.1 s, and were told nothing; neighbours that came later passed.
-// How: work that can no longer be on time goes after all that can, and in a queue there is always some that
-// can. Nothing ended it but its deadline. Proved by the batcher's state as such groups were withdrawn: late
-// by 3.5 s, at place 12 to 29 of the queue, never tried.
+// During a burst beyond a pool's capacity, late groups come after all that can still be on time, and there are
+// always some of these. Unless they are ended, their callers wait until their deadline, several times the latency
+// objective, and get no answer. Late groups must end earlier, and the number of groups on time must not decrease.
 func TestStarvedGroupsEndInBurst(t *testing.T) {
 	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
 	shortest := batchTraits.CallTime + batchTraits.PieceTime
@@ -205,21 +204,22 @@
 		groups := simulate(load, kernel.Policy{})
 		served, neverTold := onTime(groups)
 		servedWithout, notToldWithout := onTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
-		must.EqOp(t, 0, neverTold, must.Sprint("seed ", seed, ": callers that were told nothing"))
-		must.Positive(t, notToldWithout, must.Sprint("seed ", seed, ": the load has callers to be told"))
+		must.EqOp(t, 0, neverTold, must.Sprint("seed ", seed, ": callers without an answer"))
+		must.Positive(t, notToldWithout, must.Sprint("seed ", seed, ": some callers get no answer without EndStarvedGroups"))
 		onTimeWith += served
 		onTimeWithout += servedWithout
 		for _, g := range groups {
-			// A full call after it can't be on time, at the next look; a call that is under way is waited for.
+			// A group ends at the first Expire that comes one full call after it can no longer be on time; a
+			// running call is completed.
 			latest := g.Due.Add(-shortest + full + loadSweep + full)
 			must.False(t, !g.made && g.ended.After(latest), must.Sprint("group ", g.ID, " of seed ", seed, " ended ", g.ended.Sub(g.Due), " after it was due"))
 			must.True(t, g.made || g.fault == model.PieceLate || g.fault == model.PieceStarved)
 		}
 	}
-	must.GreaterEq(t, onTimeWithout, onTimeWith, must.Sprint("what is on time must not become less"))
+	must.GreaterEq(t, onTimeWithout, onTimeWith, must.Sprint("the number of groups on time must not decrease"))
 }
 
-// A pool without a queue makes late work all the same: it takes nothing from others.
+// A pool without a backlog makes late work, as this takes no capacity from other work.
 func TestLateWorkIsMadeWithoutBacklog(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
@@ -233,10 +233,9 @@
 	must.True(t, slices.ContainsFunc(batch.Pieces, func(p model.Piece) bool { return p.Request == late.Pieces[0].Request }))
 }
 
-// Seen: while a third of a stage's endpoints took 3.5 times as long as usual, each of them got a full call after
-// the other, which was given up just before it ended, at 3.3 times: 10 endpoints lost 34 calls in
-// 5 s. How: nothing but a call's end told that it was slow, and a call that was given up told nothing of the slowdown.
-// Proved by the calls' times: all at slow endpoints ended as failures, those at others in 1.1 times what is stated.
+// A worker that slows down to 3.5 times the usual duration must not get one full call after another, each of
+// which reaches its timeout just before it ends, at 3.3 times. An overdue call, also one that times out, must
+// mark its worker as slow.
 func TestSlowWorkersDelayFewGroups(t *testing.T) {
 	var onTimeWith, onTimeWithout, missedWith, missedWithout int
 	for seed := range uint64(loadSeeds) {
@@ -255,7 +254,7 @@
 		missedWithout += len(groups) - served
 	}
 	must.Greater(t, onTimeWithout, onTimeWith)
-	must.Less(t, missedWithout/2, missedWith, must.Sprint("of those that missed it without, fewer than half do; on time ", onTimeWith, ", without ", onTimeWithout))
+	must.Less(t, missedWithout/2, missedWith, must.Sprint("fewer than half as many groups are late; on time ", onTimeWith, ", without ", onTimeWithout))
 }
 
 // onTimeOf counts the groups of a rank that were made before they were due.
@@ -265,9 +264,9 @@
 	return served
 }
 
-// Pattern: requests of two priorities in a pool that is busy and not overloaded. A due time that priority puts off by
-// 0.2 s a rank makes the lower ones late although there is time for all. Beyond what the pool can make, the higher
-// ones go first as before.
+// Requests of two priorities share a pool. While it is busy but not overloaded, delaying the due time of lower
+// ranks would make them late although there is capacity for all, so rank must not count. Under overload the
+// higher priority goes first.
 func TestRankAffectsOrderOnlyUnderOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -290,7 +289,7 @@
 				highWithout += onTimeOf(without, 0)
 				lowWithout += onTimeOf(without, 10)
 			}
-			t.Log("on time, of high rank ", highWith, " (", highWithout, " without), of low rank ", lowWith, " (", lowWithout, ")")
+			t.Log("on time: high rank ", highWith, " (", highWithout, " without), low rank ", lowWith, " (", lowWithout, ")")
 			if !tc.overloaded {
 				must.Greater(t, lowWithout, lowWith)
 				must.Greater(t, highWithout+lowWithout, highWith+lowWith)
--- a/kernel/batchorder.go
+++ b/kernel/batchorder.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// rankPenalty is how much later a group counts as due for each rank of its priority: about
-	// what a group waits under load.
+	// rankPenalty is how much later a group counts as due for each rank below the highest: about what a group
+	// waits under load.
 	rankPenalty = 200 * time.Millisecond
-	// overloadHoldCalls is for how many full calls after the last sign of overload priority counts: what waits then was
-	// admitted under it.
+	// overloadHoldCalls is the time, in full calls, for which rank counts after the last sign of overload: the
+	// groups that are waiting then were admitted under overload.
 	overloadHoldCalls = 4
 )
 
-// sortedGroups returns the groups with waiting pieces: those that can still be on time by when they
-// are due, then the late ones.
+// sortedGroups returns the groups with waiting pieces by effective due time: first those that can still be on
+// time, then the late ones.
 func (q *BatchQueue) sortedGroups(now time.Time) []*waitingGroup {
 	var out []*waitingGroup
 	for _, g := range q.groups {
@@ -40,9 +40,9 @@
 	return out
 }
 
-// usesRank tells whether priority counts in the order of what waits: while not all can be on time, and a little longer,
-// since what is refused or given up makes room for the rest. While all can be on time, priority would make the lower ones
-// late for nothing.
+// usesRank reports whether the rank of groups affects their order: during overload and for a while after, as
+// refused and ended groups leave capacity for the rest. While all groups can be on time, ranking would make lower
+// ranks late without need.
 func (q *BatchQueue) usesRank(now time.Time) bool {
 	if !q.policy.Uses(RankOnlyWhenOverloaded) {
 		return true
@@ -50,8 +50,8 @@
 	return !q.overloadedAt.IsZero() && now.Sub(q.overloadedAt) < overloadHoldCalls*q.callTime(q.traits.Batch)
 }
 
-// overloaded tells whether, of the groups that could be on time by themselves, some would not be in the order of their due
-// times.
+// overloaded reports whether some groups that could be on time on their own would be late if all were made in the
+// order of their due times.
 func (q *BatchQueue) overloaded(now time.Time, groups []*waitingGroup) bool {
 	interval := float64(q.callTime(q.traits.Batch)) / q.concurrency()
 	earliestFinish := now.Add(q.callTime(1))
@@ -69,8 +69,8 @@
 	return false
 }
 
-// sortedGroupsFor returns the groups in the order in which a worker is to take them: those whose inputs lie
-// in another failure domain count as due later, by how long they would wait for their own.
+// sortedGroupsFor returns the groups in the order in which a worker should take them. Groups with inputs in
+// another failure domain count as due later, by the time that they would wait for a worker in their own domain.
 func (q *BatchQueue) sortedGroupsFor(now time.Time, w *worker, groups []*waitingGroup) []*waitingGroup {
 	earliestFinish := now.Add(q.callTime(1))
 	delay := func(g *waitingGroup) time.Duration {
@@ -86,7 +86,7 @@
 	return out
 }
 
-// compareGroups puts groups that can still be on time first, then goes by when they count as due.
+// compareGroups orders groups that can still be on time first, then by effective due time.
 func (q *BatchQueue) compareGroups(earliestFinish time.Time, a, b *waitingGroup, delayA, delayB time.Duration) int {
 	if lateA, lateB := earliestFinish.After(a.Due), earliestFinish.After(b.Due); lateA != lateB && q.policy.Uses(LateLast) {
 		if lateA {
@@ -100,7 +100,7 @@
 	return int(int64(a.ID) - int64(b.ID))
 }
 
-// effectiveDue is when a group counts as due in the order that is in force.
+// effectiveDue returns the due time by which a group is ordered at present.
 func (q *BatchQueue) effectiveDue(g *waitingGroup) time.Time {
 	if !q.byRank {
 		return g.Due
@@ -108,12 +108,12 @@
 	return g.rankedDue()
 }
 
-// rankedDue is when a group counts as due beside others.
+// rankedDue returns the due time of a group, delayed according to its rank.
 func (p PieceGroup) rankedDue() time.Time {
 	return p.Due.Add(time.Duration(p.Rank) * rankPenalty)
 }
 
-// availableWorkers returns the workers that may get a call, those that have most room first.
+// availableWorkers returns the workers that may get a call now, those with the most free room first.
 func (q *BatchQueue) availableWorkers(now time.Time) []*worker {
 	var out []*worker
 	for _, w := range q.workers {
@@ -139,8 +139,8 @@
 	return out
 }
 
-// eligible tells whether a worker may make a group: in the domain where the inputs lie, or
-// anywhere once the group has waited.
+// eligible reports whether a worker may make a group: it is in the failure domain of the group's inputs, the
+// group has waited for LocalityWait, or that domain has no worker that takes work.
 func (q *BatchQueue) eligible(now time.Time, w *worker, g *waitingGroup) bool {
 	if g.Domain == "" || w.endpoint.FailureDomain == g.Domain {
 		return true
--- a/kernel/batchroom.go
+++ b/kernel/batchroom.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// refusedRoomDecay is how long room counts as taken that a worker refused a result for: about as long
-	// as results are held. It shrinks meanwhile, so that pieces try the worker again as results lapse.
+	// refusedRoomDecay is the time for which room counts as taken after a worker had none for a result: about as
+	// long as results are held. The amount shrinks to zero over this time, so that the worker is tried again as
+	// results expire.
 	refusedRoomDecay = 700 * time.Millisecond
-	// handoverCalls is for how many full calls after a take-over another batcher's calls may be
-	// under way: the one that it had made, and those for groups that waited there.
+	// handoverCalls is the time, in full calls, for which the previous batcher's calls may still be running after
+	// a takeover: its running call and those for the groups that were waiting there.
 	handoverCalls = 3
 )
 
-// TakeOver takes in that another node may have batched for the pool until now. Its calls may be under
-// way, and what it had made takes room until it lapses. Workers that bound what they take may just have got one of them.
+// TakeOver records that another node may have batched for the pool until now. Its calls may still be running, its
+// results occupy room until they expire, and it may just have called the workers whose call rate is limited.
 func (q *BatchQueue) TakeOver(now time.Time) {
 	full := q.callTime(q.traits.Batch)
 	q.sharedUntil = now.Add(handoverCalls * full)
@@ -28,21 +29,21 @@
 	}
 }
 
-// MayHoldForeignResults tells whether results of another batcher may still take room.
+// MayHoldForeignResults reports whether results of another batcher may still occupy room.
 func (q *BatchQueue) MayHoldForeignResults(now time.Time) bool {
 	return now.Before(q.foreignUntil)
 }
 
-// SetFreeRoom takes in how much room an endpoint reports to have free: what is missing beyond the
-// results known here belongs to another batcher, whose place this one took.
+// SetFreeRoom records the free room that an endpoint reports, in bytes. Room that is neither free nor taken by
+// known results is attributed to the previous batcher.
 func (q *BatchQueue) SetFreeRoom(now time.Time, incarnation string, free int64) {
 	if w := q.workers[incarnation]; w != nil {
 		w.setForeign(now, q.foreignUntil, q.traits.Room-free-w.usedRoom)
 	}
 }
 
-// recordNoRoom takes in that a call found no room for a result although there should have been some: all
-// that is not used by results known here is taken by others.
+// recordNoRoom records that a worker had no room for a result although it should have had some. All room that
+// known results do not use is attributed to other batchers.
 func (q *BatchQueue) recordNoRoom(now time.Time, w *worker) {
 	taken := q.traits.Room - w.usedRoom
 	if !q.policy.Uses(LearnRoomFromRefusals) {
@@ -57,8 +58,8 @@
 	w.foreignUntil = until
 }
 
-// foreignRoom is how much room others' results are taken to fill. They lapse one after the other, so
-// what was noted shrinks evenly until the last is gone.
+// foreignRoom returns the estimated room taken by results of other batchers, in bytes. They expire one after the
+// other, so the recorded amount decreases linearly to zero.
 func (w *worker) foreignRoom(now time.Time) float64 {
 	if w.foreignBytes == 0 || !now.Before(w.foreignUntil) {
 		return 0
@@ -67,12 +68,12 @@
 	return float64(w.foreignBytes) * remaining
 }
 
-// freeRoom is how much room a worker is taken to have, in bytes; it may be negative.
+// freeRoom returns the estimated free room of a worker, in bytes; it may be negative.
 func (q *BatchQueue) freeRoom(now time.Time, w *worker) float64 {
 	return float64(q.traits.Room)*roomMargin - float64(w.usedRoom) - w.foreignRoom(now)
 }
 
-// RoomTaken returns which share of the workers' room is taken, between 0 and 1.
+// RoomTaken returns the share of the workers' room that is taken, from 0 to 1.
 func (q *BatchQueue) RoomTaken(now time.Time) float64 {
 	total, free := q.roomTotals(now)
 	if total <= 0 {
@@ -81,7 +82,7 @@
 	return 1 - free/total
 }
 
-// roomTotals returns how much roomTotals the workers have in all, and how much of it is free.
+// roomTotals returns the room of all workers that take work and how much of it is free, in bytes.
 func (q *BatchQueue) roomTotals(now time.Time) (total, free float64) {
 	for _, w := range q.workers {
 		if w.endpoint.TakesWork() {
@@ -92,7 +93,7 @@
 	return total, free
 }
 
-// Worker returns an endpoint by its incarnation.
+// Worker returns the endpoint with the given incarnation, if it is listed.
 func (q *BatchQueue) Worker(incarnation string) (model.Endpoint, bool) {
 	w := q.workers[incarnation]
 	if w == nil {
@@ -101,7 +102,7 @@
 	return w.endpoint, true
 }
 
-// Release takes in that a result is no longer held.
+// Release records that a result no longer occupies room.
 func (q *BatchQueue) Release(now time.Time, made ResultRef) {
 	w := q.workers[made.Worker]
 	r, known := q.results[made.Handle]
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -10,8 +10,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// roomTraits are those of a pool whose results are many and small beside its room of 3 MB, which its
-// workers do not tell: 28 pieces of 60 kB a call, five workers, calls of 444 ms.
+// roomTraits are the traits of a pool with many results that are small compared with its room of 3 MB, and with
+// workers that do not report their room: 28 pieces of 60 kB a call, five workers, calls of 444 ms.
 var roomTraits = model.PieceTraits{
 	Slots: 1, Batch: 28, CallTime: 240 * time.Millisecond, PieceTime: 7300 * time.Microsecond,
 	Room: 3_000_000, Keep: 4 * time.Second, Link: 1_250_000_000,
@@ -19,9 +19,9 @@
 
 const roomResult = 60_000
 
-// lostBatcher plays the pattern "the batcher is lost with all that it knew": the workers are full of
-// results that nobody frees. They lapse one after the other, as they were made over the last second,
-// Keep after each was made. Requests of four pieces come at three quarters of what the calls can carry.
+// lostBatcher simulates the loss of a batcher with all its state: the workers are full of results that nobody
+// frees. These were made over the second before the loss, and each expires Keep after it was made. Requests of
+// four pieces arrive at three quarters of the calls' capacity.
 type lostBatcher struct {
 	queue   *kernel.BatchQueue
 	lapses  map[string][]time.Time
@@ -36,7 +36,7 @@
 	s.queue.SetPolicy(policy)
 	s.queue.SetEndpoints(workers(5))
 	s.queue.TakeOver(start)
-	// The loss was 1.5 s ago: nodes need that to come back.
+	// The batcher was lost 1.5 s ago, which is how long nodes need to replace it.
 	lost := start.Add(-1500 * time.Millisecond)
 	for _, w := range workers(5) {
 		for i := range 50 {
@@ -46,7 +46,7 @@
 	return s
 }
 
-// foreign is how many results of the lost batcher a worker holds.
+// foreign returns how many results of the lost batcher a worker holds.
 func (s *lostBatcher) foreign(now time.Time, worker string) int {
 	n := 0
 	for _, at := range s.lapses[worker] {
@@ -57,8 +57,8 @@
 	return n
 }
 
-// end ends a call as its worker does: pieces find room or are not made. Results are given up at once, as
-// if their consumers had fetched them.
+// end completes a call as its worker would: pieces without room are not made. Results are freed at once, as if
+// they had been fetched.
 func (s *lostBatcher) end(now time.Time, batch kernel.PieceBatch) {
 	room := int(roomTraits.Room/roomResult) - s.foreign(batch.StartedAt(), batch.Endpoint.Name)
 	results := madeAll(batch)
@@ -79,7 +79,7 @@
 	}
 }
 
-// play returns how many requests were made by the end of each second.
+// play runs the simulation and returns the cumulative number of completed requests at the end of each second.
 func (s *lostBatcher) play(start time.Time, seconds int) []int {
 	var done []int
 	id := uint64(0)
@@ -91,7 +91,7 @@
 			s.end(now, batch)
 		}
 		s.queue.Expire(now)
-		// 60 requests a second; the calls carry 79.
+		// 60 requests arrive each second; the calls can carry 79.
 		if step%10 < 3 {
 			id++
 			s.queue.Add(now, pieceGroup(id, 4, roomResult, now.Add(2500*time.Millisecond)))
@@ -110,18 +110,18 @@
 	return done
 }
 
-// What workers refuse tells how much room the lost batcher's results take, and pieces that found none
-// are asked for again for as long as they can be on time. With workers put aside whole after a refusal, and
-// three tries a piece, less was served in the seconds in which those results lapse.
+// Refusals for lack of room show how much room the lost batcher's results take, and pieces that found none are
+// retried for as long as they can be on time. Without this a refusal stops all calls to a worker, and a piece
+// fails after three attempts.
 func TestRoomTakenByLostBatcherIsEstimated(t *testing.T) {
 	start := time.Unix(1000, 0)
 	learnt := newLostBatcher(start, kernel.Policy{})
 	with := learnt.play(start, 6)
 	withoutLearning := newLostBatcher(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
 	without := withoutLearning.play(start, 6)
-	t.Logf("requests made by second: learnt %v (%d pieces without room), put aside %v (%d)", with, learnt.wasted, without, withoutLearning.wasted)
+	t.Logf("requests completed by second: %v (%d pieces without room), without LearnRoomFromRefusals %v (%d)", with, learnt.wasted, without, withoutLearning.wasted)
 	must.GreaterEq(t, without[2], with[2])
-	must.GreaterEq(t, 60*3*9/10, with[5]-with[2], must.Sprint("what comes is served once the results have lapsed"))
+	must.GreaterEq(t, 60*3*9/10, with[5]-with[2], must.Sprint("new requests are served once the results have expired"))
 }
 
 func TestReportedRoomReplacesEstimate(t *testing.T) {
--- a/kernel/batchslow.go
+++ b/kernel/batchslow.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// overdueFactor is how many times as long as expected a call takes to count as overdue: beyond what calls at
-	// sound endpoints sway by.
+	// overdueFactor is the multiple of its expected duration after which a call is overdue: more than the
+	// variation among calls to healthy endpoints.
 	overdueFactor = 1.5
-	// slowFactor is how many times as long as the pool's usual endpoint one takes to count as slow.
+	// slowFactor is the multiple of the pool's median slowdown above which an endpoint counts as slow.
 	slowFactor = 1.5
-	// slowProbeInterval is how often a slow endpoint gets a piece that it is too slow for, to find out whether it still
-	// is; the piece is made elsewhere, too, once it is overdue.
+	// slowProbeInterval is how often a slow endpoint gets a piece that it is too slow for, to find out whether it
+	// has recovered. The piece is also made elsewhere once it is overdue.
 	slowProbeInterval = time.Second
-	// recoveryWeight is the weight of the newest call in a slow endpoint's slowdown, and of the first that tells that it
-	// is slow: two calls bring it back.
+	// recoveryWeight is the weight of the newest call in the slowdown of an endpoint that is slow or answers for
+	// the first time after an overdue call. Two calls bring a recovered endpoint back to normal.
 	recoveryWeight = 0.7
 )
 
-// Overdue takes in that a call takes longer than it should. Where nothing queues, its pieces that another endpoint
-// could still make on time wait again; whichever is made first counts. It returns how many.
+// Overdue records that a call is overdue. Unless the pool has a backlog, the pieces that another endpoint could
+// still make on time are requeued, and the first result of each piece is used. It returns the number of requeued
+// pieces.
 func (q *BatchQueue) Overdue(now time.Time, batch PieceBatch) int {
 	if _, runs := q.running[batch.ID]; !runs || !q.policy.Uses(AvoidSlowWorkers) {
 		return 0
@@ -31,7 +32,7 @@
 		w.unanswered = true
 	}
 	if q.backlog() > maxLateBacklog {
-		// A second call would take an endpoint from pieces that wait for their first.
+		// A second call would occupy an endpoint while other pieces wait for their first.
 		return 0
 	}
 	requeued := 0
@@ -55,7 +56,7 @@
 	return time.Duration(overdueFactor*float64(expected)) + maxFetchDelay
 }
 
-// updateSlowdown takes in how long a call took.
+// updateSlowdown updates the slowdown with the duration of a call that has ended.
 func (w *worker) updateSlowdown(now time.Time, batch PieceBatch, median float64) {
 	weight := slowdownWeight
 	if w.unanswered || w.slowdown > slowFactor*median {
@@ -65,12 +66,13 @@
 	w.unanswered = false
 }
 
-// relativeDuration is how long a call has taken, relative to what is stated.
+// relativeDuration returns how long a call has run, relative to the stated duration.
 func (b PieceBatch) relativeDuration(now time.Time) float64 {
 	return float64(now.Sub(b.startedAt)) / float64(max(1, b.statedTime))
 }
 
-// medianSlowdown is the median of the endpoints' slowdowns: where all are slow, none is to be spared.
+// medianSlowdown returns the median of the endpoints' slowdowns, at least 1. If most endpoints are slow, none is
+// avoided.
 func (q *BatchQueue) medianSlowdown() float64 {
 	slowdowns := make([]float64, 0, len(q.workers))
 	for _, w := range q.workers {
@@ -85,13 +87,13 @@
 	return max(1, slowdowns[(len(slowdowns)-1)/2])
 }
 
-// isSlow tells whether an endpoint takes much longer than the usual one, or has yet to answer a call that was overdue.
+// isSlow reports whether an endpoint is much slower than the median, or has yet to answer after an overdue call.
 func (q *BatchQueue) isSlow(w *worker, median float64) bool {
 	return q.policy.Uses(AvoidSlowWorkers) && (w.unanswered || w.slowdown > slowFactor*median)
 }
 
-// fillSlow collects the pieces that a slow worker is to make next: of groups that it makes on time, or that are late
-// whoever makes them, where its slowdown is known; else a single piece from time to time.
+// fillSlow selects the pieces of a slow worker's next call. If its slowdown is known, it gets groups that it can
+// make on time, or that are late wherever they are made; otherwise, a single piece every slowProbeInterval.
 func (q *BatchQueue) fillSlow(now time.Time, w *worker, groups []*waitingGroup) PieceBatch {
 	if !w.unanswered {
 		end := now.Add(time.Duration(w.slowdown * float64(q.callTime(q.traits.Batch))))
@@ -113,22 +115,23 @@
 	return batch
 }
 
-// dropDuplicates takes back the pieces of a late group that wait for a second endpoint beside a call under way.
+// dropDuplicates removes the waiting pieces of a late group that are also in a running call.
 func (g *waitingGroup) dropDuplicates() {
 	g.waiting = slices.DeleteFunc(g.waiting, func(p model.Piece) bool { return g.runningCalls[p.Number] > 0 })
 }
 
-// isWaiting tells whether a piece waits for a call.
+// isWaiting reports whether a piece waits for a call.
 func (g *waitingGroup) isWaiting(number int) bool {
 	return slices.ContainsFunc(g.waiting, func(p model.Piece) bool { return p.Number == number })
 }
 
-// hasResult tells whether a piece was made.
+// hasResult reports whether a piece has been made.
 func (g *waitingGroup) hasResult(number int) bool {
 	return slices.ContainsFunc(g.results, func(r ResultRef) bool { return r.Number == number })
 }
 
-// madeOrPending tells whether a piece needs no other call: it was made, waits already or is under way.
+// madeOrPending reports whether a piece needs no further call: it has been made, is waiting or is in a running
+// call.
 func (g *waitingGroup) madeOrPending(number int) bool {
 	return g.hasResult(number) || g.isWaiting(number) || g.runningCalls[number] > 0
 }
--- a/kernel/batchslow_test.go
+++ b/kernel/batchslow_test.go
@@ -10,7 +10,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// overdueCall starts a call for a group of two pieces at the first of two workers, and lets it become overdue.
+// overdueCall starts a call for a group of two pieces at one of two workers, and advances the time until it is
+// overdue.
 func overdueCall(t *testing.T, slack time.Duration) (q *kernel.BatchQueue, call kernel.PieceBatch, now time.Time) {
 	t.Helper()
 	now = time.Unix(1000, 0)
@@ -26,7 +27,7 @@
 func TestOverduePiecesAreMadeOnAnotherWorker(t *testing.T) {
 	q, first, now := overdueCall(t, 2*time.Second)
 	must.EqOp(t, 2, q.Overdue(now, first))
-	must.EqOp(t, 0, q.Overdue(now, first), must.Sprint("they wait already"))
+	must.EqOp(t, 0, q.Overdue(now, first), must.Sprint("they are already waiting"))
 	second, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 2, second.Pieces)
@@ -51,7 +52,7 @@
 	must.Len(t, 2, unwanted)
 }
 
-// While a second call is under way, the end of the first in vain ends nothing and asks for nothing a third time.
+// While a duplicate call is running, the failure of the first neither ends the group nor requeues its pieces.
 func TestFailureOfCallWithDuplicate(t *testing.T) {
 	q, first, now := overdueCall(t, 2*time.Second)
 	q.Overdue(now, first)
@@ -64,13 +65,14 @@
 	must.Len(t, 1, ended)
 }
 
-// What is late whoever makes it stays where it is: a second call would take an endpoint from others.
+// A group that would be late on any worker is not requeued: a second call would take a worker from other groups.
 func TestLateWorkIsNotMadeTwice(t *testing.T) {
 	q, first, now := overdueCall(t, 500*time.Millisecond)
 	must.EqOp(t, 0, q.Overdue(now, first))
 }
 
-// An endpoint that turned slow gets what it makes in time and what is late anyway, and one piece a second else.
+// A slow worker gets the groups that it can make on time and those that are late anyway, otherwise one piece a
+// second.
 func TestSlowWorkerGetsWorkItMakesOnTime(t *testing.T) {
 	q, first, now := overdueCall(t, 2*time.Second)
 	q.Overdue(now, first)
@@ -91,19 +93,18 @@
 	must.Len(t, 1, probe.Pieces)
 	q.Done(now.Add(800*time.Millisecond), probe, madeAll(probe))
 	_, ok = q.Next(now.Add(810 * time.Millisecond))
-	must.False(t, ok, must.Sprint("one a second"))
+	must.False(t, ok, must.Sprint("one probe a second"))
 
 	q.Add(now, pieceGroup(4, 3, 8000, now.Add(5*time.Second)))
 	call, ok = q.Next(now.Add(820 * time.Millisecond))
 	must.True(t, ok)
-	must.EqOp(t, slow, call.Endpoint.Name, must.Sprint("in time all the same"))
+	must.EqOp(t, slow, call.Endpoint.Name, must.Sprint("it makes this group on time"))
 	must.EqOp(t, "request-4", call.Pieces[0].Request)
 }
 
-// Seen while a failed soak was traced: an endpoint that answered nothing counted as slower with each call, without
-// bound, and the slower it counted the longer its next call was waited for: at calls of some milliseconds 250 times
-// what is stated after four of them. How: a call that was overdue set the slowdown by how long it had taken, and the next
-// one was overdue later by as much. Only an answer tells a slowdown.
+// Only an answer may change the slowdown of a worker. If an overdue call raised it by the time waited so far,
+// each call to a worker that never answers would be waited for longer than the previous one, without bound: at
+// calls of some milliseconds, 250 times the stated duration after four calls.
 func TestExpectedDurationOfUnansweringWorkerStays(t *testing.T) {
 	q, call, now := overdueCall(t, 2*time.Second)
 	unanswering := call.Endpoint.Name
@@ -120,7 +121,7 @@
 		must.True(t, ok)
 		must.NotEq(t, unanswering, healthy.Endpoint.Name)
 		call, ok = q.Next(now)
-		must.True(t, ok, must.Sprint("round ", round, ": the endpoint is asked again"))
+		must.True(t, ok, must.Sprint("round ", round, ": the worker is probed"))
 		must.EqOp(t, unanswering, call.Endpoint.Name)
 		must.Len(t, 1, call.Pieces, must.Sprint("a single piece, until it has answered"))
 		expected = q.Expected(call)
--- a/kernel/batchstarved.go
+++ b/kernel/batchstarved.go
@@ -6,12 +6,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-// maxStarvedCalls is for how many full calls a group may wait on that can no longer be on time. Each worker has turned
-// to the queue as often meanwhile, and found work that could still be on time, or no room.
+// maxStarvedCalls is the time, in full calls, that a group may wait after it can no longer be on time. In this
+// time each worker has taken work from the queue once, and it was work that could still be on time, or the worker
+// had no room.
 const maxStarvedCalls = 1
 
-// endStarved ends the groups that starved for too long. They would wait on until they are useless, and
-// their callers with them, who are better told at once and come back when the queue has drained.
+// endStarved ends the late groups that have waited for too long. They would otherwise wait until their results
+// are useless, and so would their callers, who can retry once the queue has drained.
 func (q *BatchQueue) endStarved(now time.Time) []GroupOutcome {
 	if !q.policy.Uses(EndStarvedGroups) {
 		return nil
@@ -31,8 +32,8 @@
 	return ended
 }
 
-// lateSince is from when on a group waits that can no longer be on time: from its start where its request was late
-// before.
+// lateSince returns the time from which on a waiting group could not be on time. It is not before AskedAt, as a
+// request may have been late when it was sent.
 func (q *BatchQueue) lateSince(g *waitingGroup) time.Time {
 	late := g.Due.Add(-q.callTime(1))
 	if g.AskedAt.After(late) {
@@ -41,7 +42,7 @@
 	return late
 }
 
-// isLate tells whether a group can no longer be on time, whoever makes it.
+// isLate reports whether a group can no longer be on time, whichever worker makes it.
 func (q *BatchQueue) isLate(now time.Time, g *waitingGroup) bool {
 	return now.Add(q.callTime(1)).After(g.Due)
 }
--- a/kernel/batchsuspect_test.go
+++ b/kernel/batchsuspect_test.go
@@ -9,8 +9,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A piece may end the worker that begins to make it. What shared its call would go with it to the next worker, and be
-// under way at each end as it is: nothing could tell them apart, and all would fail.
+// A piece may crash the worker that begins to make it. Groups that shared its call must not share the next one
+// with it: they would crash together at each attempt, could not be told apart, and would all fail.
 func TestSuspectGroupsShareNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(3)
@@ -34,7 +34,7 @@
 		must.Len(t, 2, batch.Pieces)
 		must.Len(t, 1, batch.Digests())
 	}
-	// What comes later joins the last of them.
+	// Groups added later join the last of them.
 	ok, _ = q.Add(now, pieceGroup(7, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
 	ok, _ = q.Add(now, pieceGroup(8, 2, 8000, now.Add(2*time.Second)))
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// minConcurrency keeps the time that a queue needs finite where its workers take nearly nothing.
+// minConcurrency keeps wait estimates finite where the workers accept almost no calls.
 const minConcurrency = 0.01
 
-// EstimateWait estimates how long the pieces of a group that comes now wait until their call starts: the
-// work that goes before them, by the time of full batches and by room. One that only the wait makes late is a sign of
-// overload.
+// EstimateWait estimates how long the pieces of a group added now would wait for the start of their call, given
+// the work ahead of them and the free room. If the group is late only because of this wait, the queue counts as
+// overloaded.
 func (q *BatchQueue) EstimateWait(now time.Time, group PieceGroup) time.Duration {
 	wait := q.estimate(now, group)
 	finishAlone := now.Add(q.callTime(len(group.Pieces)))
@@ -28,24 +28,24 @@
 	ahead, aheadBytes := q.workAhead(now, group, free)
 	full := q.callTime(q.traits.Batch)
 	calls := q.concurrency()
-	// With all endpoints busy, one comes free after a call's share on average.
-	first := float64(full) / (2 * calls)
+	// When all endpoints are busy, the next one becomes free after half of the mean interval between calls.
+	firstWait := float64(full) / (2 * calls)
 	if q.freeWorkers(now) > 0 {
-		first = 0
+		firstWait = 0
 	}
-	bySlots := first + float64(ahead)/float64(max(1, q.traits.Batch))/calls*float64(full)
+	bySlots := firstWait + float64(ahead)/float64(max(1, q.traits.Batch))/calls*float64(full)
 	missing := float64(aheadBytes) - free
 	if q.traits.Room <= 0 || missing <= 0 || group.ResultBytes == 0 {
 		return time.Duration(bySlots)
 	}
-	// What is not free comes free as fast as results were held lately.
+	// Taken room becomes free at the rate at which results have recently been released.
 	byRoom := time.Duration(missing / total * float64(q.holdTime))
 	return max(time.Duration(bySlots), byRoom)
 }
 
-// workAhead returns how many pieces are made before those of a group, and how many bytes of results find
-// room before its last one has. Work that is late goes after all that is not. Results that are larger
-// wait for room while smaller ones pass them by, so they count as far as there is room for them.
+// workAhead returns how many pieces are made before those of a group, and how many bytes of results need room
+// before the group's last one has it. Late work comes after all work that is not late. Smaller results overtake
+// larger ones that wait for room, so larger results count only as far as there is room for them.
 func (q *BatchQueue) workAhead(now time.Time, group PieceGroup, free float64) (pieces int, bytes int64) {
 	bytes = int64(len(group.Pieces)) * group.ResultBytes
 	earliestFinish := now.Add(q.callTime(1))
@@ -74,7 +74,7 @@
 	return pieces, bytes
 }
 
-// backlog is how many full batches wait for each endpoint.
+// backlog returns the number of full batches that wait for each endpoint.
 func (q *BatchQueue) backlog() float64 {
 	waiting := 0
 	for _, g := range q.groups {
@@ -93,8 +93,8 @@
 	return n
 }
 
-// concurrency is how many concurrency the workers carry out at one time; one that takes only so many a second counts for as much of
-// its slots as those keep busy.
+// concurrency returns how many calls the workers run at a time. A worker with a rate cap counts only as many of
+// its slots as the cap keeps busy.
 func (q *BatchQueue) concurrency() float64 {
 	full := q.callTime(q.traits.Batch)
 	calls := 0.0
@@ -114,7 +114,7 @@
 	return min(all, float64(full)/float64(CapBatcherPause(w.rateCap)))
 }
 
-// atRateCap tells whether a worker takes no call now because of what it got lately.
+// atRateCap reports whether the rate cap of a worker allows no call now.
 func (w *worker) atRateCap(now time.Time) bool {
 	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherPause(w.rateCap)
 }
--- a/kernel/pieces.go
+++ b/kernel/pieces.go
@@ -8,81 +8,83 @@
 )
 
 type (
-	// PieceGroup is the pieces of one stage of one request. They are wanted together.
+	// PieceGroup holds the pieces of one stage of one request, which are needed together.
 	PieceGroup struct {
 		// ID is unique among the groups of one batch queue.
 		ID     uint64
 		Pieces []model.Piece
-		// ResultBytes is the approximate size of one result.
+		// ResultBytes is the approximate size of each result.
 		ResultBytes int64
-		// Inputs are the results that each of the pieces is made from. With FreeInputs nothing else
-		// needs them, and they may be freed once the calls have fetched them.
+		// Inputs are the results that each piece is made from. With FreeInputs nothing else needs them, and they
+		// may be freed once the calls have fetched them.
 		Inputs     []ResultRef
 		FreeInputs bool
-		// Domain is the failure domain where the inputs lie or the results are wanted; empty
-		// where it does not matter. After LocalityWait other domains are as good.
+		// Domain is the failure domain that holds the inputs or needs the results; empty if any domain will do. A
+		// group that has waited for LocalityWait may be made in any domain.
 		Domain       string
 		LocalityWait time.Duration
-		// Rank is the request's priority; 0 comes first.
+		// Rank is the request's priority; 0 is the highest.
 		Rank int
-		// AskedAt is when its sender first asked for it, of whatever batcher; zero means when it was added.
+		// AskedAt is when the sender first sent the group to any batcher; if zero, Add sets it to the present
+		// time.
 		AskedAt time.Time
-		// Due is when the results must be there for the request to be on time; Until is when
-		// they become useless.
+		// Due is when the results are needed for the request to be on time; Until is when they become useless.
 		Due   time.Time
 		Until time.Time
 	}
 
-	// PieceBatch is a call to be made.
+	// PieceBatch is a call to an endpoint that makes pieces of one or more groups.
 	PieceBatch struct {
 		ID       uint64
 		Endpoint model.Endpoint
 		Pieces   []model.Piece
-		// groups holds the group of each piece.
+		// groups holds the group of each piece, bytes the size of its result.
 		groups []uint64
 		bytes  []int64
-		// startedAt is when the call was handed out, stated what it should take, fetching until
-		// when its endpoint needs the inputs at most.
+		// startedAt is when the call was started, statedTime its duration by the pool's traits, fetchTime the
+		// time after its start by which its endpoint has fetched the inputs.
 		startedAt  time.Time
 		statedTime time.Duration
 		fetchTime  time.Duration
-		// probe is true for a call that finds out whether a slow endpoint still is.
+		// probe is true for a call that tests whether a slow endpoint has recovered.
 		probe bool
 	}
 
-	// ResultRef is a result with its place.
+	// ResultRef refers to a result that an endpoint holds.
 	ResultRef struct {
 		Number int
 		Handle string
-		// Worker is the incarnation of the endpoint that holds the result, of a pool and in a failure domain.
+		// Worker is the incarnation of the endpoint that holds the result, Pool and Domain are the endpoint's
+		// pool and failure domain.
 		Worker string
 		Pool   string
 		Domain string
-		// Bytes is its approximate size.
+		// Bytes is the approximate size of the result.
 		Bytes int64
 	}
 
-	// GroupOutcome says how a group ended: whole, with one result for each piece, or with a
-	// fault.
+	// GroupOutcome is how a group ended: complete, with one result for each piece, or with a fault and the
+	// results made until then.
 	GroupOutcome struct {
 		Group uint64
 		Made  []ResultRef
 		Fault model.PieceFault
 		// Waited is how long the last of its pieces waited for a call.
 		Waited time.Duration
-		// InputsFreed is true where its inputs were handed out to be freed.
+		// InputsFreed is true if TakeFetchedInputs returned its inputs.
 		InputsFreed bool
-		// Wait is how long its pieces would have waited on, where it was given up for others.
+		// Wait is the estimate of how much longer its pieces would have waited; set only for a group that
+		// starved.
 		Wait time.Duration
 	}
 )
 
-// StartedAt is when the call was handed out.
+// StartedAt returns when the call was started.
 func (b PieceBatch) StartedAt() time.Time {
 	return b.startedAt
 }
 
-// Digests returns the digests of the requests whose pieces a call is for, each once.
+// Digests returns the distinct digests of the requests that the pieces belong to.
 func (b PieceBatch) Digests() []model.Digest {
 	var out []model.Digest
 	for _, p := range b.Pieces {
--- a/kernel/policy.go
+++ b/kernel/policy.go
@@ -1,62 +1,62 @@
 package kernel
 
-// The mechanisms of decision that a policy can do without, each by itself. What each is worth is
-// listed in docs/design/decisions.md.
+// The scheduling mechanisms that a policy can turn off one by one. docs/design/decisions.md lists the effect of
+// each.
 const (
-	// SpacedCalls lets calls for pieces that are not full wait for an even share of the workers' time,
-	// so that more pieces join them.
+	// SpacedCalls delays calls that are not full to space their starts evenly, so that more pieces join them.
 	SpacedCalls Mechanism = iota
-	// LateLast orders work that can no longer be on time after all that can.
+	// LateLast orders work that can no longer be on time after all work that can.
 	LateLast
-	// InputLocality lets pieces wait for a worker in the failure domain where their inputs lie.
+	// InputLocality delays pieces for a worker in the failure domain that holds their inputs.
 	InputLocality
 	// FreeInputsOnceFetched frees the inputs of a call once it has fetched them.
 	FreeInputsOnceFetched
-	// FreeInputsAtFirstEvent frees the inputs of a stream that may be resumed at its first event, where
-	// their pool's room is scarce.
+	// FreeInputsAtFirstEvent frees the inputs of a stream that can be resumed at its first event if their pool's
+	// room is scarce.
 	FreeInputsAtFirstEvent
-	// LearnRoomFromRefusals takes what workers refuse for lack of room as a measure of what others left there.
+	// LearnRoomFromRefusals estimates the room taken by the results of other batchers from what workers refuse
+	// for lack of room.
 	LearnRoomFromRefusals
-	// SingleBatcher keeps a pool with the node that batches for it until that one leaves or is lost, and
-	// sends groups on to it that come elsewhere.
+	// SingleBatcher keeps a pool with its present batcher until that one leaves or is lost, and forwards to it
+	// groups that arrive at other nodes.
 	SingleBatcher
-	// ProbeSuccessors asks several nodes at once which of them is there when a batcher was lost.
+	// ProbeSuccessors asks several nodes at once whether they are available after a batcher was lost.
 	ProbeSuccessors
-	// WaitPerRequest tells each request the wait of its own pieces: by their size and by when they are due.
+	// WaitPerRequest estimates the wait of each request from its own pieces, by their size and due time.
 	WaitPerRequest
-	// ObjectiveFromFirstAttempt counts the objective of callers that come back from their first attempt.
+	// ObjectiveFromFirstAttempt measures the latency objective of a retrying caller from its first attempt.
 	ObjectiveFromFirstAttempt
-	// PrefixAffinity sends prompts that share their beginning to the same engine.
+	// PrefixAffinity sends prompts with the same prefix to the same engine.
 	PrefixAffinity
-	// HedgedReads sends a repeatable request without an answer to a second endpoint.
+	// HedgedReads sends a repeatable request that is unanswered to a second endpoint.
 	HedgedReads
-	// EndStarvedGroups ends work that can no longer be on time once others have passed it by for too long.
+	// EndStarvedGroups ends work that can no longer be on time and has been overtaken for too long.
 	EndStarvedGroups
-	// AvoidSlowWorkers gives workers that have turned slow only what they make in time, and has what they hold up made
-	// elsewhere.
+	// AvoidSlowWorkers gives slow workers only what they make in time, and has the pieces of their overdue calls
+	// made elsewhere.
 	AvoidSlowWorkers
-	// RankOnlyWhenOverloaded has priority count in the order of pieces only while not all can be on time.
+	// RankOnlyWhenOverloaded orders pieces by rank only while not all can be on time.
 	RankOnlyWhenOverloaded
 )
 
 type (
-	// Mechanism is one mechanism of decision.
+	// Mechanism is a scheduling mechanism that can be turned off.
 	Mechanism uint
 
-	// Policy says which mechanisms decide. The zero value uses all of them, as nodes do; tests and
-	// trials leave some out to see what they are worth. It is immutable.
+	// Policy selects the mechanisms in use. The zero value uses all of them, as nodes do; tests and simulations
+	// turn some off to measure their effect. It is immutable.
 	Policy struct {
-		// without has a bit set for each mechanism that is left out.
+		// without has a bit set for each mechanism that is turned off.
 		without uint64
 	}
 )
 
-// Uses tells whether a mechanism decides.
+// Uses reports whether a mechanism is in use.
 func (p Policy) Uses(m Mechanism) bool {
 	return p.without&(1<<m) == 0
 }
 
-// Without returns the policy less one mechanism.
+// Without returns the policy with one mechanism turned off.
 func (p Policy) Without(m Mechanism) Policy {
 	p.without |= 1 << m
 	return p
