--- a/kernel/routing.go
+++ b/kernel/routing.go
@@ -44,7 +44,7 @@
 			healthy = append(healthy, c)
 		}
 	}
-	if float64(len(healthy)) >= healthFloor*float64(len(staying)) && len(healthy) > 0 {
+	if float64(len(healthy)) >= minUsableShare*float64(len(staying)) && len(healthy) > 0 {
 		return healthy
 	}
 	return leastEjected(staying, healthy)
@@ -52,7 +52,7 @@
 
 // leastEjected fills the healthy ones up to the floor with those that fail least.
 func leastEjected(staying, healthy []Candidate) []Candidate {
-	floor := int(math.Ceil(healthFloor * float64(len(staying))))
+	floor := int(math.Ceil(minUsableShare * float64(len(staying))))
 	sorted := slices.Clone(staying)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		return a.Health.Ejections - b.Health.Ejections
--- a/peer/message.go
+++ b/peer/message.go
@@ -56,7 +56,7 @@
 
 	// Heartbeat goes to a few neighbours; the reply is one too.
 	Heartbeat struct {
-		News []kernel.News
+		News []kernel.GossipUpdate
 		// Revision is the head revision of the settings in force.
 		Revision uint64
 		// ClaimsNumber is the number of the claims row that the node has read.
