--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -224,7 +224,7 @@
 	cold.ColdUntil = start.Add(time.Minute)
 	g := kernel.NewBatchQueue(batchTraits)
 	share := kernel.ColdLimits{}.Share(4).ForSingleSender()
-	g.SetCold(share)
+	g.SetColdShare(share)
 	g.SetEndpoints([]model.Endpoint{warm, cold})
 	calls := map[string]int{}
 	id := uint64(0)
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -107,7 +107,7 @@
 
 // MostCommonDomain returns the failure domain that holds most of the results, or an empty string if there are no
 // results.
-func MostCommonDomain(made []MadePiece) string {
+func MostCommonDomain(made []ResultRef) string {
 	counts := map[string]int{}
 	best := ""
 	for _, m := range made {
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -83,7 +83,7 @@
 }
 
 func TestDomainOfIsWhereMostResultsLie(t *testing.T) {
-	made := []kernel.MadePiece{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
+	made := []kernel.ResultRef{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
 	must.Eq(t, "b", kernel.MostCommonDomain(made))
 	must.Eq(t, "", kernel.MostCommonDomain(nil))
 }
