--- a/follow/read.go
+++ b/follow/read.go
@@ -47,7 +47,7 @@
 	if f.knowsAll() {
 		f.settled.Do(func() {
 			plan := f.plan()
-			f.setReads(plan.Reads, plan.Why)
+			f.setReads(plan.ReadStore, plan.Reason)
 			f.decided.Store(true)
 			settled = true
 		})
