--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -52,7 +52,7 @@
 
 	// Job is one stage of one request.
 	Job struct {
-		Work   kernel.Work
+		Work   kernel.StageContext
 		Plugin kernel.Plugin
 		// Later estimates the stages that still follow.
 		Later []kernel.StageEstimate
@@ -167,7 +167,7 @@
 }
 
 func (d *Dispatcher) estimate(req model.Request, weight int, stage model.Stage) kernel.StageEstimate {
-	return d.pool(stage.Pool).estimate(kernel.TokensOf(req, stage), newWaiter(req, weight))
+	return d.pool(stage.Pool).estimate(kernel.MaxTokens(req, stage), newWaiter(req, weight))
 }
 
 func newWaiter(req model.Request, weight int) kernel.Waiter {
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -115,7 +115,7 @@
 			continue
 		}
 		t.mu.Lock()
-		_, known := t.replica.Known()
+		_, known := t.replica.Version()
 		t.mu.Unlock()
 		if !known {
 			return false
--- a/follow/source.go
+++ b/follow/source.go
@@ -114,7 +114,7 @@
 	question := peer.Feed{After: map[string]uint64{}, Unpacks: true, Node: f.options.Name, Hold: hold}
 	for _, t := range f.tables {
 		t.mu.Lock()
-		question.After[t.Name], _ = t.replica.Known()
+		question.After[t.Name], _ = t.replica.Version()
 		t.mu.Unlock()
 	}
 	if f.knowsAll() {
@@ -145,8 +145,8 @@
 			return kernel.SourceAnswer{}, err
 		}
 		t.mu.Lock()
-		if version, _ := t.replica.Known(); d.Version >= version {
-			news := t.replica.TakeDelta(asked, d)
+		if version, _ := t.replica.Version(); d.Version >= version {
+			news := t.replica.ApplyDelta(asked, d)
 			t.Apply(t.replica.ProvenAt(), news)
 		}
 		t.mu.Unlock()
--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -58,7 +58,7 @@
 		if !known {
 			return Admission{}, model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key is not known")
 		}
-		if !view.Proven(now, limit) {
+		if !view.Fresh(now, limit) {
 			return Admission{}, model.NewRefusal(model.NotRun, model.StaleRouting, unknownRetry, "the API keys known here are too old to trust")
 		}
 		a.Customer = holder.Name
@@ -87,7 +87,7 @@
 	if !known || holder.Name != a.Customer {
 		return model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key was taken away meanwhile")
 	}
-	if !view.Proven(now, limit) {
+	if !view.Fresh(now, limit) {
 		return model.NewRefusal(model.NotRun, model.StaleRouting, unknownRetry, "the API keys known here are too old to trust")
 	}
 	return nil
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -67,11 +67,11 @@
 	for _, r := range m.store {
 		rows = append(rows, r)
 	}
-	m.reader.Take(m.now, rows, m.version, true)
+	m.reader.Apply(m.now, rows, m.version, true)
 }
 
 func (m *evacuationMachine) readChanges() {
-	after, known := m.reader.Known()
+	after, known := m.reader.Version()
 	if !known {
 		m.readWhole()
 		return
@@ -82,17 +82,17 @@
 			rows = append(rows, r)
 		}
 	}
-	m.reader.Take(m.now, rows, m.version, false)
+	m.reader.Apply(m.now, rows, m.version, false)
 }
 
 func (m *evacuationMachine) ask() {
-	after, _ := m.follower.Known()
+	after, _ := m.follower.Version()
 	d, known := m.reader.Since(m.now, after)
 	if !known {
 		return
 	}
 	var change kernel.EvacuationChange
-	for _, r := range m.follower.TakeDelta(m.now, d) {
+	for _, r := range m.follower.ApplyDelta(m.now, d) {
 		if r.Removed {
 			change.TakenBack = append(change.TakenBack, r.Key)
 		} else {
--- a/kernel/limit.go
+++ b/kernel/limit.go
@@ -53,7 +53,7 @@
 func PoolLoadOf(now time.Time, reports []Candidate) PoolLoad {
 	var sum PoolLoad
 	for _, c := range reports {
-		if !c.Endpoint.TakesWork() || now.Sub(c.LoadAt) > loadMemory {
+		if !c.Endpoint.TakesWork() || now.Sub(c.LoadAt) > loadReportTTL {
 			continue
 		}
 		sum.Queued += c.Load.Queued
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -35,16 +35,16 @@
 func TestOnlyPoolsThatGetRequestsAndPiecesDivideWhatTheirEndpointsBear(t *testing.T) {
 	t.Parallel()
 	table := mixedTable()
-	must.Less(t, 1.0, table.Part("mixed"))
-	must.EqOp(t, 1.0, table.Part("stage"))
-	must.EqOp(t, 1.0, table.Part("engines"))
-	must.EqOp(t, 1.0, table.Part("unknown"))
+	must.Less(t, 1.0, table.Share("mixed"))
+	must.EqOp(t, 1.0, table.Share("stage"))
+	must.EqOp(t, 1.0, table.Share("engines"))
+	must.EqOp(t, 1.0, table.Share("unknown"))
 }
 
 // Requests and pieces together keep within the rate cap of an endpoint that gets both, also where a second batcher begins.
 func TestRequestsAndPiecesTogetherKeepWithinARateCap(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Part("mixed")
+	part := mixedTable().Share("mixed")
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			t.Parallel()
@@ -69,7 +69,7 @@
 // A cold endpoint that gets requests and pieces bears what both bring, also while two choices of senders are in force.
 func TestRequestsAndPiecesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Part("mixed")
+	part := mixedTable().Share("mixed")
 	for _, terms := range []kernel.ColdTerms{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{4, 9.4, 50, 1000} {
 			perView := 0
--- a/kernel/placement.go
+++ b/kernel/placement.go
@@ -103,12 +103,12 @@
 }
 
 func (e EngineChoice) burden(now time.Time) float64 {
-	return float64(e.Reading) + decodeTokens*loadOf(now, e.Candidate, e.Endpoint.FailureDomain)
+	return float64(e.Reading) + decodeTokens*estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain)
 }
 
 func (e EngineChoice) full(now time.Time) bool {
 	if e.Load.Slots == 0 {
 		return false
 	}
-	return loadOf(now, e.Candidate, e.Endpoint.FailureDomain) >= slotShare*float64(e.Load.Slots)
+	return estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain) >= slotShare*float64(e.Load.Slots)
 }
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -35,7 +35,7 @@
 // capPart returns which part of an endpoint's cap requests may use, and pieces as well.
 func (r *Relay) capPart(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
-	return r.View().Table.Part(e.Pool)
+	return r.View().Table.Share(e.Pool)
 }
 
 func (r *Relay) askCapPermit(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error) {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -161,7 +161,7 @@
 		return false, "no routing yet"
 	case r.Registry().Len() == 0:
 		return false, "no endpoints yet"
-	case r.options.KeyTrust > 0 && !view.Proven(r.now(), r.options.KeyTrust):
+	case r.options.KeyTrust > 0 && !view.Fresh(r.now(), r.options.KeyTrust):
 		return false, "the routing is too old"
 	default:
 		return true, ""
