--- a/kernel/doc.go
+++ b/kernel/doc.go
@@ -1,8 +1,7 @@
-// Package kernel holds every decision of a node as plain functions and values: who owns a
-// key, who is a member, which endpoint gets a call, what is admitted, repeated or refused.
-// It does no I/O, starts no goroutine and never asks for the time: each function that decides
-// takes the present time as an argument, so that tests drive it with made-up times.
+// Package kernel holds the decisions of a node as plain functions and values: which node owns a key, which nodes are
+// members, which endpoint gets a call, and which requests are admitted, repeated or refused. It does no I/O and starts
+// no goroutine. Functions that depend on the present time take it as an argument, so that tests can set it.
 //
-// Types whose name ends in a collection (Ledger, FairQueue, Membership) change in place and
-// are guarded by their owner; all other values are immutable and change through With methods.
+// Types that hold a collection, such as Ledger, FairQueue and Membership, change in place, and their owner guards them
+// against concurrent use. All other values are immutable and change through With methods.
 package kernel
--- a/kernel/plugin.go
+++ b/kernel/plugin.go
@@ -7,7 +7,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// defaultMaxTokens holds where neither the caller nor the stage says how many tokens.
+// defaultMaxTokens limits the generated tokens if neither the caller nor the stage sets a limit.
 const defaultMaxTokens = 256
 
 var (
@@ -16,31 +16,31 @@
 )
 
 type (
-	// StageContext is what a plug-in knows of the stage that it prepares.
+	// StageContext is what a plug-in gets of a request and its stage.
 	StageContext struct {
 		Request model.Request
 		Stage   model.Stage
 		Carry   model.Carry
 	}
 
-	// Plugin carries out one kind of stage. It does no I/O itself: it prepares the call and
-	// judges the reply; package dispatch makes the calls.
+	// Plugin implements one kind of stage. It does no I/O: it prepares the call and interprets the reply. Package
+	// dispatch makes the calls.
 	Plugin struct {
 		Kind model.StageKind
-		// Path is the endpoint's path that takes the call.
+		// Path is the path of the endpoint that the call is sent to.
 		Path string
-		// Streams is true where the endpoint answers with a stream of tokens.
+		// Streams is true if the endpoint replies with a stream of tokens.
 		Streams bool
-		// Prepare fills the call's fields beyond its identity and deadline.
+		// Prepare returns the call without its identity and deadline, which the dispatcher sets.
 		Prepare func(StageContext) model.StageCall
-		// Accept turns a whole reply into what the next stage gets.
+		// Accept turns a complete reply into the input of the next stage.
 		Accept func(StageContext, model.StageReply) (model.Carry, error)
-		// Check returns what is wrong with a stage's settings, or "".
+		// Check returns the reason why a stage's settings are invalid, or "" if they are valid.
 		Check func(model.Stage) string
 	}
 )
 
-// Register adds a plug-in; packages call it from init. A second plug-in of one kind panics.
+// Register registers a plug-in; packages call it from init. It panics if the kind already has one.
 func Register(p Plugin) {
 	pluginsMu.Lock()
 	defer pluginsMu.Unlock()
@@ -58,7 +58,7 @@
 	return p, ok
 }
 
-// PluginKinds returns the registered kinds in order.
+// PluginKinds returns the registered kinds in sorted order.
 func PluginKinds() []model.StageKind {
 	pluginsMu.Lock()
 	defer pluginsMu.Unlock()
@@ -70,18 +70,17 @@
 	return kinds
 }
 
-// MaxTokens returns how many tokens a stage may generate for a request; zero for a stage that
-// generates none.
+// MaxTokens returns how many tokens a stage may generate for a request; 0 for a stage of a kind that generates none.
 func MaxTokens(req model.Request, stage model.Stage) int {
 	if stage.Kind != model.Generate {
 		return 0
 	}
-	most := stage.MaxTokens
-	if most == 0 {
-		most = defaultMaxTokens
+	limit := stage.MaxTokens
+	if limit == 0 {
+		limit = defaultMaxTokens
 	}
 	if req.Input.MaxTokens > 0 {
-		return min(most, req.Input.MaxTokens)
+		return min(limit, req.Input.MaxTokens)
 	}
-	return most
+	return limit
 }
--- a/kernel/quantiles.go
+++ b/kernel/quantiles.go
@@ -9,13 +9,12 @@
 	quantileBuckets = 72
 	quantileFloor   = 100 * time.Microsecond
 	quantileGrowth  = 1.2
-	// quantileDecayCount is the count at which all buckets are halved, so that old
-	// observations lose weight.
+	// quantileDecayCount is the count at which all buckets are halved, so that old observations lose weight.
 	quantileDecayCount = 512
 )
 
-// Quantiles estimates quantiles of recent durations from 100 µs to about 50 s, within a
-// fifth, in fixed memory. It changes in place.
+// Quantiles estimates quantiles of recent durations from 100 µs to about 50 s in fixed memory, with an error of at most
+// a fifth. The methods change it in place and must not be called concurrently.
 type Quantiles struct {
 	counts [quantileBuckets]uint32
 	total  uint32
@@ -35,23 +34,23 @@
 	}
 }
 
-// Count returns the weight of what was observed.
+// Count returns the total weight of the observations.
 func (q *Quantiles) Count() int {
 	return int(q.total)
 }
 
-// Quantile returns the upper bound of the bucket that holds the quantile p, or the fallback
-// while too little was observed.
+// Quantile returns the upper bound of the bucket that holds the quantile p, or the fallback while there are too few
+// observations.
 func (q *Quantiles) Quantile(p float64, fallback time.Duration) time.Duration {
-	const enough = 8
-	if q.total < enough {
+	const minObservations = 8
+	if q.total < minObservations {
 		return fallback
 	}
 	rank := uint32(math.Ceil(p * float64(q.total)))
-	var seen uint32
+	var cumulative uint32
 	for i, n := range q.counts {
-		seen += n
-		if seen >= rank {
+		cumulative += n
+		if cumulative >= rank {
 			return quantileBound(i)
 		}
 	}
--- a/kernel/reading.go
+++ b/kernel/reading.go
@@ -6,95 +6,97 @@
 )
 
 const (
-	// maxReaders is how many nodes of a failure domain may be bound to ask a store that does not answer: one
-	// reads, and one more takes its place where the store turns away the first alone.
+	// maxReaders is how many nodes of a failure domain may be designated to read a store that does not answer: one
+	// reads, and one more takes its place where the store turns away only the first.
 	maxReaders = 2
-	// skipDuration is how long a node that knows no more than this one is passed over.
+	// skipDuration is how long a node that knows no more than this one is skipped.
 	skipDuration = time.Second
-	// fresherNodeTTL is how long a node counts that was heard to know more: some of its questions.
+	// fresherNodeTTL is how long a node that was found to know more counts as a source: several of its questions.
 	fresherNodeTTL = 1500 * time.Millisecond
 )
 
 type (
-	// SourceSelector decides for one node how it comes to know what the store holds: by asking the store itself, or
-	// another node. In each failure domain the first nodes by hash are bound to ask the store, the first one
-	// always and the next ones while the store does not answer those before; the others ask them, and where
-	// these know nothing those of other failure domains. So a store that is away is asked by few, however
-	// many nodes there are. A store that answers some nodes and not those that are to ask is found by tries
-	// of the others, one in each round of a failure domain. It changes in place.
+	// SourceSelector decides for one node where it gets the contents of the store from: the store itself or another
+	// node. In each failure domain the first nodes by hash are the designated readers. The first one always reads the
+	// store, and each further one does while the store does not answer those before it. All other nodes ask the
+	// readers of their failure domain and, where these know nothing newer, those of other failure domains. An
+	// unavailable store thus gets few calls, however many nodes there are. A store that answers some nodes but none
+	// of the designated readers is found by probes of the other nodes, on average one per round and failure domain.
+	// The methods change it in place and must not be called concurrently.
 	SourceSelector struct {
 		self, domain string
-		// maxAge is how old another node's proof may be to be worth having.
+		// maxAge is the age up to which another node's data is of use.
 		maxAge time.Duration
-		// skippedUntil holds until when nodes are passed over.
+		// skippedUntil holds the time until which each skipped node is not asked.
 		skippedUntil map[string]time.Time
-		// fresherNode was heard to know more than this node, which the store does not answer; it counts until
-		// helperUntil.
+		// fresherNode asked this node, which the store does not answer, and had newer data. It is a preferred source
+		// until fresherNodeUntil.
 		fresherNode      string
 		fresherNodeUntil time.Time
-		// readers holds the nodes of the failure domain that are to ask the store, the first one first.
+		// readers are the designated readers of the failure domain in the order of their hashes.
 		readers []string
-		// substitute is true for a node that found by a try that the store answers it, and not those that are to
-		// ask.
+		// substitute is true while a probe has shown that the store answers this node, but not the readers.
 		substitute bool
 	}
 
-	// SourcePlan is what a node is to do.
+	// SourcePlan says where a node gets the contents of the store from.
 	SourcePlan struct {
-		// ReadStore is true where it asks the store itself; Why says why or why not.
+		// ReadStore is true if the node reads the store itself; Reason is logged when this changes.
 		ReadStore bool
 		Reason    string
-		// Source is the node to ask; empty for none. Waits tells that all were asked lately, so that its answer
-		// may wait for news.
+		// Source is the node to ask; empty for none. LongPoll is true if all candidates were asked recently, so that
+		// the source may delay its answer until it has something new.
 		Source   string
 		LongPoll bool
 	}
 
-	// SourceAnswer is what came of a question to another node.
+	// SourceAnswer is the outcome of a question to another node.
 	SourceAnswer struct {
-		// Failed is true where no answer came, Slow where it did not come whole in time.
+		// Failed is true if no answer arrived, TimedOut if it did not arrive completely in time.
 		Failed   bool
 		TimedOut bool
-		// StoreLost is true where the store does not answer the other node. Age is the greatest of its proofs.
+		// StoreLost is true if the store does not answer the other node. Age is the greatest age of its tables: the
+		// time since each was last proven current.
 		StoreLost bool
 		Age       time.Duration
 	}
 )
 
-// NewSourceSelector returns the decisions of a node in a failure domain.
-func NewSourceSelector(self, domain string, mostAge time.Duration) *SourceSelector {
-	return &SourceSelector{self: self, domain: domain, maxAge: mostAge, skippedUntil: map[string]time.Time{}}
+// NewSourceSelector returns the selector of the node self in a failure domain. Data of other nodes that is older than
+// maxAge is of no use.
+func NewSourceSelector(self, domain string, maxAge time.Duration) *SourceSelector {
+	return &SourceSelector{self: self, domain: domain, maxAge: maxAge, skippedUntil: map[string]time.Time{}}
 }
 
-// Plan returns what to do next, by the nodes that are reachable, this one among them, and whether this node asks
-// the store in vain (lost).
-func (r *SourceSelector) Plan(now time.Time, nodes []Peer, lost bool) SourcePlan {
+// Plan returns where to get the contents of the store from. nodes are the reachable nodes, this one among them;
+// storeLost tells that this node reads the store and gets no answer.
+func (r *SourceSelector) Plan(now time.Time, nodes []Peer, storeLost bool) SourcePlan {
 	r.readers = designatedReaders(r.domain, nodes)
-	place := slices.Index(r.readers, r.self)
-	if lost {
+	rank := slices.Index(r.readers, r.self)
+	if storeLost {
 		r.substitute = false
 	}
 	others := slices.DeleteFunc(slices.Clone(r.readers), func(name string) bool { return name == r.self })
-	present := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return r.isSkipped(now, name) })
+	available := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return r.isSkipped(now, name) })
 	switch {
-	case place >= 0 && !slices.ContainsFunc(r.readers[:place], func(name string) bool { return !r.isSkipped(now, name) }):
+	case rank >= 0 && !slices.ContainsFunc(r.readers[:rank], func(name string) bool { return !r.isSkipped(now, name) }):
 		plan := SourcePlan{ReadStore: true, Reason: "this node reads for its failure domain"}
-		if lost {
-			plan.Source = firstOf(r.fresherNodes(now), present)
+		if storeLost {
+			plan.Source = firstOf(r.fresherNodes(now), available)
 			return r.withFallback(now, plan, nodes, others)
 		}
 		return plan
 	case r.substitute:
-		return SourcePlan{ReadStore: true, Reason: "the store does not answer the readers", Source: firstOf(present)}
+		return SourcePlan{ReadStore: true, Reason: "the store does not answer the readers", Source: firstOf(available)}
 	default:
-		plan := r.withFallback(now, SourcePlan{Source: firstOf(present)}, nodes, others)
+		plan := r.withFallback(now, SourcePlan{Source: firstOf(available)}, nodes, others)
 		plan.Reason = plan.Source + " reads for this node"
 		return plan
 	}
 }
 
-// withFallback gives a plan without a source one of another failure domain, or has it wait for the first of several
-// nodes.
+// withFallback returns the plan with a source: where it has none, a reader of another failure domain, or else the
+// first of others with a long poll.
 func (r *SourceSelector) withFallback(now time.Time, p SourcePlan, nodes []Peer, others []string) SourcePlan {
 	if p.Source == "" {
 		p.Source = firstOf(r.remoteReaders(now, nodes))
@@ -105,14 +107,15 @@
 	return p
 }
 
-// RecordAnswer takes in what came of a question, and tells whether that node's word is enough. The word of a node that the
-// store does not answer is, while it is young, but for one that is to ask the store in its place.
+// RecordAnswer records the outcome of a question to a node and reports whether its answer suffices. A recent answer
+// suffices even if the store does not answer that node, unless both nodes are designated readers: then this one has to
+// read the store in its place.
 func (r *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
 	if a.Failed {
 		return false
 	}
-	relieved := a.StoreLost && slices.Contains(r.readers, r.self) && slices.Contains(r.readers, source)
-	if a.TimedOut || a.Age > r.maxAge || relieved {
+	takesOver := a.StoreLost && slices.Contains(r.readers, r.self) && slices.Contains(r.readers, source)
+	if a.TimedOut || a.Age > r.maxAge || takesOver {
 		r.skippedUntil[source] = now.Add(skipDuration)
 		return false
 	}
@@ -122,25 +125,26 @@
 	return true
 }
 
-// RecordFresherNode takes in that a node that asks this one has a younger proof, which tells where to ask while the store
-// does not answer this node.
+// RecordFresherNode records that a node that asked this one has data that was proven current more recently. It is a
+// source while the store does not answer this node.
 func (r *SourceSelector) RecordFresherNode(now time.Time, node string) {
 	r.fresherNode, r.fresherNodeUntil = node, now.Add(fresherNodeTTL)
 }
 
-// ShouldProbeStore decides whether a node that none of its sources could tell anything asks the store once by itself. The
-// draw is between 0 and 1: of those of a failure domain that are not bound to ask, one does in each round.
+// ShouldProbeStore reports whether a node that got no sufficient answer from any source asks the store once by itself.
+// The draw is uniform in [0, 1): on average one node of a failure domain, of those that are not designated readers,
+// probes the store in each round.
 func (r *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
-	near := 0
+	domainNodes := 0
 	for _, n := range nodes {
 		if n.Domain == r.domain {
-			near++
+			domainNodes++
 		}
 	}
-	return draw*float64(max(1, near-maxReaders)) < 1
+	return draw*float64(max(1, domainNodes-maxReaders)) < 1
 }
 
-// RecordProbe takes in whether the store answered the try.
+// RecordProbe records whether the store answered the probe.
 func (r *SourceSelector) RecordProbe(answered bool) {
 	r.substitute = answered
 }
@@ -161,7 +165,7 @@
 	return []string{r.fresherNode}
 }
 
-// remoteReaders returns the nodes of other failure domains that are to ask the store and are not away.
+// remoteReaders returns the designated readers of other failure domains that are not skipped.
 func (r *SourceSelector) remoteReaders(now time.Time, nodes []Peer) []string {
 	byDomain := map[string][]Peer{}
 	for _, n := range nodes {
@@ -169,31 +173,31 @@
 			byDomain[n.Domain] = append(byDomain[n.Domain], n)
 		}
 	}
-	var far []Peer
+	var remote []Peer
 	for domain, peers := range byDomain {
 		for _, name := range designatedReaders(domain, peers) {
 			if !r.isSkipped(now, name) {
-				far = append(far, Peer{Name: name})
+				remote = append(remote, Peer{Name: name})
 			}
 		}
 	}
-	return NodesByHash("reader beyond "+r.domain, far)
+	return NodesByHash("reader beyond "+r.domain, remote)
 }
 
-// designatedReaders returns the nodes of a failure domain that are bound to ask the store, the first one first.
+// designatedReaders returns the nodes of a failure domain that are to read the store, in the order of their hashes.
 func designatedReaders(domain string, nodes []Peer) []string {
-	var near []Peer
+	var domainNodes []Peer
 	for _, n := range nodes {
 		if n.Domain == domain {
-			near = append(near, n)
+			domainNodes = append(domainNodes, n)
 		}
 	}
-	// A node that started again may be known twice.
-	order := slices.Compact(NodesByHash("reader of "+domain, near))
+	// A node that started again may be listed twice.
+	order := slices.Compact(NodesByHash("reader of "+domain, domainNodes))
 	return order[:min(maxReaders, len(order))]
 }
 
-// firstOf returns the firstOf name of several lists; empty for none.
+// firstOf returns the first name of the first list that is not empty, or "" if all are empty.
 func firstOf(lists ...[]string) string {
 	for _, list := range lists {
 		if len(list) > 0 {
@@ -203,13 +207,13 @@
 	return ""
 }
 
-// CallTimeout returns how long the next answer of a reader is waited for while it comes, after one that did or did not
-// come whole in time. The usual time is the greatest age of a useful proof: then another node is asked, since this one
-// may be cut off from all else. It doubles up to a most, so that an answer that outgrows its link comes whole
-// in the end.
-func CallTimeout(before, usual, most time.Duration, inTime bool) time.Duration {
-	if inTime || before <= 0 {
-		return usual
+// CallTimeout returns how long to wait for the next answer of a reader, given the previous timeout and whether the
+// previous answer arrived completely in time. The base is the greatest age at which data is of use: after it another
+// node is asked, since this one may be cut off from all others. The timeout doubles up to the limit, so that an answer
+// that is too large for its link at first arrives completely in the end.
+func CallTimeout(previous, base, limit time.Duration, inTime bool) time.Duration {
+	if inTime || previous <= 0 {
+		return base
 	}
-	return min(2*before, most)
+	return min(2*previous, limit)
 }
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// lapsedGrace is how long after the store's return an entry that lapsed while it was away
-	// may take to come back: the platform promises about two seconds.
+	// lapsedGrace is how long after the store answers again an entry that lapsed during the outage is kept, for its
+	// endpoint to be listed again: the platform promises about two seconds.
 	lapsedGrace = 2200 * time.Millisecond
-	// outageThreshold is how long nothing may have been proven of the list for entries to have lapsed
-	// meanwhile: an entry outlives three heartbeat intervals of more than a second, and the list
-	// is proven anew each second, or each two where an answer is lost.
+	// outageThreshold is the time for which the list was not proven current above which entries may have lapsed in between. An
+	// entry outlives three heartbeat intervals of more than a second, and the list is proven current every second,
+	// or every two where an answer is lost.
 	outageThreshold = 2400 * time.Millisecond
 )
 
 type (
-	// Registry is a node's view of the endpoints: what the store's list says of endpoints, and what it is taken to mean while the
-	// store is away. It is immutable.
+	// Registry is a node's view of the endpoints: the entries of the store's list, with those that lapsed while the
+	// store did not answer and may be listed again. It is immutable.
 	Registry struct {
 		entries map[string]registryEntry
-		// evacuations says which failure domains get no work.
+		// evacuations are the failure domains that get no work.
 		evacuations Evacuations
-		// byPool holds the endpoints of each pool in the order of their names, in the states that follow from
+		// byPool holds the endpoints of each pool in the order of their names, with the states that follow from
 		// entries and evacuations.
 		byPool map[string][]model.Endpoint
-		// provenAt is when the list was last proven current; returnedAt is when that was first so
-		// after an outage.
+		// provenAt is when the list was last proven current; returnedAt is when that first happened after the last
+		// outage of the store.
 		provenAt   time.Time
 		returnedAt time.Time
 	}
 
 	registryEntry struct {
 		endpoint model.Endpoint
-		// missing is true for an entry that is no longer listed and may come back.
+		// missing is true for an entry that lapsed during an outage of the store and may be listed again.
 		missing bool
 	}
 )
 
-// NewRegistry returns a registry that knows no endpoint.
+// NewRegistry returns a registry without endpoints.
 func NewRegistry() Registry {
 	return Registry{entries: map[string]registryEntry{}}
 }
 
-// WithChanges returns the registry after the list was proven current as of a time: with the entries that
-// were written, those that were removed, and those that were overwritten by what names no endpoint.
-// An older report of a process that has started again since changes nothing.
+// WithChanges returns the registry after a read of the list that proves it current as of provenAt. listed are the
+// entries that were written, removed the names of those that were removed, and unreadable the names of those that were
+// overwritten by a value that names no endpoint. An older entry of a process that has started again since is ignored.
 func (r Registry) WithChanges(now, provenAt time.Time, listed []model.Endpoint, removed, unreadable []string) Registry {
 	if !r.provenAt.IsZero() && provenAt.Sub(r.provenAt) > outageThreshold {
 		r.returnedAt = now
@@ -57,7 +57,7 @@
 	r.provenAt = provenAt
 	grace := !r.returnedAt.IsZero() && now.Sub(r.returnedAt) < lapsedGrace
 	if len(listed)+len(removed)+len(unreadable) == 0 && (grace || !r.anyMissing()) {
-		// Most answers tell no news, and a copy of a large list costs a small host's processor.
+		// Most answers contain no change, and copying a large list takes much processor time on a small host.
 		return r
 	}
 	entries := maps.Clone(r.entries)
@@ -78,7 +78,7 @@
 			continue
 		}
 		if e.ColdFor > 0 {
-			// The entry may have been under way, so this is late rather than early.
+			// The entry took an unknown time to arrive, so this end is too late rather than too early.
 			e.ColdUntil = now.Add(e.ColdFor)
 		}
 		entries[e.Name] = registryEntry{endpoint: e}
@@ -99,18 +99,18 @@
 	return false
 }
 
-// WithEvacuations returns the registry under other evacuations.
+// WithEvacuations returns the registry with the evacuations replaced.
 func (r Registry) WithEvacuations(e Evacuations) Registry {
 	r.evacuations = e
 	return r.indexed()
 }
 
-// Evacuations returns which failure domains get no work.
+// Evacuations returns the failure domains that get no work.
 func (r Registry) Evacuations() Evacuations {
 	return r.evacuations
 }
 
-// indexed returns the registry with byPool made from the rest.
+// indexed returns the registry with byPool rebuilt from entries and evacuations.
 func (r Registry) indexed() Registry {
 	r.byPool = map[string][]model.Endpoint{}
 	for _, entry := range r.entries {
@@ -129,13 +129,13 @@
 	return r
 }
 
-// Endpoints returns the endpoints of a pool in the order of their names, those that take no work included. The
-// slice is shared and must not be changed.
+// Endpoints returns the endpoints of a pool in the order of their names, including those that take no work. The slice
+// is shared and must not be changed.
 func (r Registry) Endpoints(pool string) []model.Endpoint {
 	return r.byPool[pool]
 }
 
-// TakesWork tells whether new work may still be sent to an endpoint that was chosen earlier.
+// TakesWork reports whether new work may still be sent to an endpoint that was chosen earlier.
 func (r Registry) TakesWork(e model.Endpoint) bool {
 	entry, listed := r.entries[e.Name]
 	return listed && entry.endpoint.Incarnation() == e.Incarnation() && entry.endpoint.State != model.Leaving && !r.evacuations.Holds(e.FailureDomain)
@@ -147,19 +147,19 @@
 	return e.endpoint, ok
 }
 
-// Superseded tells whether the process that had an incarnation has started again since: then nothing of that
-// incarnation is left, neither results nor calls under way.
+// Superseded reports whether the process of an incarnation has started again since: neither its results nor its calls
+// in flight exist any more.
 func (r Registry) Superseded(incarnation string) bool {
 	e, known := r.entries[model.NameOfIncarnation(incarnation)]
 	return known && e.endpoint.Incarnation() != incarnation
 }
 
-// Len returns how many endpoints are known.
+// Len returns the number of known endpoints.
 func (r Registry) Len() int {
 	return len(r.entries)
 }
 
-// Age returns how long ago the list was proven current.
+// Age returns the time since the list was last proven current.
 func (r Registry) Age(now time.Time) time.Duration {
 	return now.Sub(r.provenAt)
 }
@@ -167,12 +167,13 @@
 // RegistryChange is one difference between two registries.
 type RegistryChange struct {
 	Endpoint model.Endpoint
-	// Before is the former incarnation of a process that started again; empty for other changes.
-	Before  model.Endpoint
+	// Before is the previous incarnation of a process that started again; empty for other changes.
+	Before model.Endpoint
+	// Message is the text of the change's log line.
 	Message string
 }
 
-// Changes returns what changed since an earlier registry.
+// Changes returns the differences from an earlier registry, in no particular order.
 func (r Registry) Changes(before Registry) []RegistryChange {
 	var out []RegistryChange
 	for name, e := range r.entries {
--- a/kernel/replica.go
+++ b/kernel/replica.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// maxRememberedRemovals is how many removed rows a replica remembers; who is further behind gets the
-	// whole table.
+	// maxRememberedRemovals is how many removed rows a replica remembers. A node that is further behind gets the whole
+	// table.
 	maxRememberedRemovals = 256
 )
 
@@ -19,24 +19,24 @@
 		Removed bool
 	}
 
-	// Delta is what changed in a table since a version, as one node knows it.
+	// Delta holds the changes of a table after a version, as one node knows them.
 	Delta struct {
 		Rows []Row
-		// Version is the store's newest version that the table is known at.
+		// Version is the newest version of the store up to which the table is known.
 		Version uint64
-		// Whole tells that Rows are all rows of the table.
+		// Whole is true if Rows are all rows of the table.
 		Whole bool
-		// Age is how long ago the store call began that proved the table current.
+		// Age is the time since the start of the store call that proved the table current.
 		Age time.Duration
 	}
 
-	// Replica is one node's copy of a table, from the store or from another node's replica. Versions
-	// only grow. It changes in place.
+	// Replica is one node's copy of a table, read from the store or from another node's replica. Its version never
+	// decreases. The methods change it in place and must not be called concurrently.
 	Replica struct {
 		rows    map[string]Row
 		removed []Row
-		// known is true once the whole table was read; version is what it is known at; forgotten
-		// is up to which version removals are no longer remembered.
+		// known is true once the whole table was read. version is the version of the store up to which the table
+		// is known, and forgottenVersion that up to which removals are no longer remembered.
 		known            bool
 		version          uint64
 		forgottenVersion uint64
@@ -44,23 +44,23 @@
 	}
 )
 
-// NewReplica returns a replica that knows nothing.
+// NewReplica returns an empty replica of a table that was not read yet.
 func NewReplica() *Replica {
 	return &Replica{rows: map[string]Row{}}
 }
 
-// Version tells whether the table was ever read, and up to which version.
+// Version returns the version of the store up to which the table is known, and whether it was ever read.
 func (m *Replica) Version() (version uint64, known bool) {
 	return m.version, m.known
 }
 
-// ProvenAt is the start of the newest store call that is known to have shown what is known here.
+// ProvenAt returns the start of the newest store call whose answer proved the replica current.
 func (m *Replica) ProvenAt() time.Time {
 	return m.provenAt
 }
 
-// Apply takes in what the store answered to a call that began at a time. It returns the rows that
-// are news, removed ones among them, each key once.
+// Apply applies the store's answer to a call that began at a time. It returns the rows that changed, including the
+// removed ones, each key once.
 func (m *Replica) Apply(began time.Time, rows []Row, version uint64, whole bool) []Row {
 	if m.known && version < m.version {
 		return nil
@@ -68,35 +68,35 @@
 	if whole {
 		rows = append(rows, m.missing(rows, version)...)
 		m.known = true
-		// What was removed before is not known: others may still hold it.
+		// Which rows were removed before is not known, and other replicas may still hold them.
 		m.forgottenVersion = version
 		m.removed = nil
 	}
-	var news []Row
+	var changes []Row
 	for _, r := range newestOfEach(rows) {
 		if old, held := m.rows[r.Key]; held && old.Version >= r.Version {
 			continue
 		}
 		if !r.Removed {
 			m.rows[r.Key] = r
-			news = append(news, r)
+			changes = append(changes, r)
 			continue
 		}
 		m.rememberRemoval(r)
 		if _, held := m.rows[r.Key]; held {
 			delete(m.rows, r.Key)
-			news = append(news, r)
+			changes = append(changes, r)
 		}
 	}
 	m.version = max(m.version, version)
 	if began.After(m.provenAt) {
 		m.provenAt = began
 	}
-	return news
+	return changes
 }
 
-// newestOfEach returns the newest row of each key. An answer may hold several: a row that was written
-// and removed between two questions.
+// newestOfEach returns the newest row of each key. An answer holds several rows of a key that was written and removed
+// between two calls.
 func newestOfEach(rows []Row) []Row {
 	at := make(map[string]int, len(rows))
 	out := make([]Row, 0, len(rows))
@@ -113,7 +113,7 @@
 	return out
 }
 
-// missing returns the removals of the rows that a whole table no longer has.
+// missing returns the removals of the held rows that a whole table no longer contains.
 func (m *Replica) missing(rows []Row, version uint64) []Row {
 	listed := make(map[string]bool, len(rows))
 	for _, r := range rows {
@@ -136,7 +136,7 @@
 	}
 }
 
-// Since returns what changed after a version; false means that nothing is known here.
+// Since returns the changes after a version, or false if the table was not read yet.
 func (m *Replica) Since(now time.Time, after uint64) (Delta, bool) {
 	if !m.known {
 		return Delta{}, false
@@ -157,9 +157,9 @@
 	return d, true
 }
 
-// ApplyDelta takes in what another node answered to a question that was asked at a time. What it
-// proves is as old as the other node's proof was when it answered, counted from the question: the
-// answer may have been long under way.
+// ApplyDelta applies another node's answer to a question that was asked at a time. The table is proven current as of
+// the time of the question less the delta's age. The time of the answer does not count, since it may have been
+// in transit for long.
 func (m *Replica) ApplyDelta(asked time.Time, d Delta) []Row {
 	return m.Apply(asked.Add(-d.Age), d.Rows, d.Version, d.Whole)
 }
--- a/kernel/routes.go
+++ b/kernel/routes.go
@@ -10,13 +10,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-// mixedShare is the part of what an endpoint bears that requests may use, and pieces as well, where its pool gets both: nodes
-// that send requests and batchers that send pieces do not know of each other's sends.
+// mixedShare is the share of an endpoint's capacity that requests may use, and pieces as well, where its pool gets
+// both: nodes that send requests and batchers that send pieces do not know of each other's calls.
 const mixedShare = 0.5
 
 type (
-	// RouteTable answers which route a request takes and whose key it bears, by one version of
-	// the routing. It is immutable.
+	// RouteTable looks up the route of a request and the customer of an API key in one version of the routing. It is
+	// immutable.
 	RouteTable struct {
 		routing model.Routing
 		byHost  map[string]hostRoutes
@@ -33,7 +33,7 @@
 		longest int
 	}
 
-	// RoutingView is the newest routing known, and when it was proven to be the newest of all.
+	// RoutingView is the newest known routing and the time at which it was last proven to be the newest.
 	RoutingView struct {
 		Table *RouteTable
 		// ProvenAt is the start of the store call whose answer showed Table to be current.
@@ -41,7 +41,7 @@
 	}
 )
 
-// NewRouteTable returns the table of a routing.
+// NewRouteTable returns the route table of a routing.
 func NewRouteTable(routing model.Routing) *RouteTable {
 	t := &RouteTable{routing: routing, byHost: map[string]hostRoutes{}, holders: map[string]model.KeyHolder{}, mixed: map[string]bool{}}
 	for _, r := range routing.Routes {
@@ -60,7 +60,7 @@
 	return t
 }
 
-// with adds a route; of two with the same prefix the first one holds.
+// with adds a route. Of two routes with the same prefix the first one is kept.
 func (h hostRoutes) with(r model.Route) hostRoutes {
 	if h.byPrefix == nil {
 		h.byPrefix = map[string]model.Route{}
@@ -83,7 +83,7 @@
 	return model.Route{}, false
 }
 
-// Version returns the version of the routing; 0 for no table.
+// Version returns the version of the routing, or 0 for a nil table.
 func (t *RouteTable) Version() uint64 {
 	if t == nil {
 		return 0
@@ -91,7 +91,7 @@
 	return t.routing.Version
 }
 
-// Limits returns the bounds on what callers may send.
+// Limits returns the limits on the requests of callers.
 func (t *RouteTable) Limits() model.CallerLimits {
 	return t.routing.Limits
 }
@@ -107,8 +107,8 @@
 	return t.routing.Pools
 }
 
-// Share returns which part of what an endpoint of a pool bears requests may use, and pieces as well: all of it, but where the
-// pool gets both.
+// Share returns the share of the capacity of a pool's endpoints that requests may use, and pieces as well: 1, or
+// mixedShare if the pool gets both.
 func (t *RouteTable) Share(pool string) float64 {
 	if t == nil || !t.mixed[pool] {
 		return 1
@@ -116,12 +116,12 @@
 	return mixedShare
 }
 
-// HasCustomers tells whether callers must show keys on routes that are not public.
+// HasCustomers reports whether callers must present API keys on routes that are not public.
 func (t *RouteTable) HasCustomers() bool {
 	return len(t.routing.Customers) > 0
 }
 
-// Match returns the route with the longest prefix of a path on a host.
+// Match returns the route with the longest prefix of a path on a host. A port of the host is ignored.
 func (t *RouteTable) Match(host, path string) (model.Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -138,8 +138,8 @@
 	return h, ok
 }
 
-// PoolFor returns the pool that a request of a route goes to. One request always gets the same
-// pool of a split; over many requests the pools get their weights.
+// PoolFor returns the pool that a request of a route goes to. A request always gets the same pool of a split; over many
+// requests, each pool gets a share in proportion to its weight.
 func PoolFor(route model.Route, request string) string {
 	total := uint64(0)
 	for _, w := range route.Split {
@@ -159,8 +159,8 @@
 	return route.Split[len(route.Split)-1].Pool
 }
 
-// With returns the view after a store call that began at a time and showed a table, or, with
-// nil, that nothing newer exists. A version never gives way to an older one.
+// With returns the view after a store call that began at a time. The table is the one that the call returned, or nil if
+// it returned nothing newer. A version is never replaced by an older one.
 func (v RoutingView) With(began time.Time, table *RouteTable) RoutingView {
 	if table != nil && table.Version() > v.Table.Version() {
 		v.Table = table
@@ -171,8 +171,8 @@
 	return v
 }
 
-// Fresh tells whether the view is young enough to trust an API key by it: a key that was taken
-// away must stop working within the limit.
+// Fresh reports whether the routing was proven current within the limit, so that API keys may be checked by it: a
+// revoked key must stop working within that time.
 func (v RoutingView) Fresh(now time.Time, limit time.Duration) bool {
 	return v.Table != nil && now.Sub(v.ProvenAt) <= limit
 }
--- a/kernel/routing.go
+++ b/kernel/routing.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	// loadReportTTL is how long a reported load counts; its weight falls to zero over this time.
+	// loadReportTTL is how long a reported load counts; its weight falls linearly to zero over this time.
 	loadReportTTL = 2 * time.Second
-	// crossDomainPenalty is how many calls in flight a call to another failure domain is worth.
+	// crossDomainPenalty is the number of calls in flight that is added to the load of an endpoint in another failure
+	// domain.
 	crossDomainPenalty = 1.0
-	// prefixLoadFactor is how far above the pool's mean an endpoint's load may rise before a
-	// prefix moves on to its next endpoint (bounded-load rendezvous hashing), where the
-	// endpoint does not report its slots.
+	// prefixLoadFactor is how far above the pool's mean the load of an endpoint that does not report its slots may
+	// rise before a prefix moves on to the next endpoint (bounded-load rendezvous hashing).
 	prefixLoadFactor = 1.25
 )
 
-// Candidate is an endpoint as the routing sees it.
+// Candidate is an endpoint that a call may be routed to.
 type Candidate struct {
 	Endpoint model.Endpoint
-	// InFlight counts the node's own calls to it.
+	// InFlight is the number of the node's own calls to the endpoint.
 	InFlight int
-	// Load was reported at LoadAt on a reply.
+	// Load is the load that the endpoint reported with a reply at LoadAt.
 	Load   model.Load
 	LoadAt time.Time
 	Health Health
 }
 
-// Usable returns the candidates that may get a call: not leaving, not put aside, not among
-// the excluded incarnations. If health alone leaves less than the floor, health is disregarded.
+// Usable returns the candidates that may get a call: those that are not leaving, not ejected and not among the excluded
+// incarnations. If fewer than the share healthFloor of the others are healthy, those with the fewest ejections are
+// added up to that share.
 func Usable(now time.Time, candidates []Candidate, excluded []string) []Candidate {
-	staying := make([]Candidate, 0, len(candidates))
+	eligible := make([]Candidate, 0, len(candidates))
 	healthy := make([]Candidate, 0, len(candidates))
 	for _, c := range candidates {
 		if !c.Endpoint.TakesWork() || slices.Contains(excluded, c.Endpoint.Incarnation()) {
 			continue
 		}
-		staying = append(staying, c)
+		eligible = append(eligible, c)
 		if c.Health.Usable(now) {
 			healthy = append(healthy, c)
 		}
 	}
-	if float64(len(healthy)) >= healthFloor*float64(len(staying)) && len(healthy) > 0 {
+	if float64(len(healthy)) >= healthFloor*float64(len(eligible)) && len(healthy) > 0 {
 		return healthy
 	}
-	return leastEjected(staying, healthy)
+	return leastEjected(eligible, healthy)
 }
 
-// leastEjected fills the healthy ones up to the floor with those that fail least.
-func leastEjected(staying, healthy []Candidate) []Candidate {
-	floor := int(math.Ceil(healthFloor * float64(len(staying))))
-	sorted := slices.Clone(staying)
+// leastEjected adds to the healthy candidates those with the fewest ejections, up to the share healthFloor.
+func leastEjected(eligible, healthy []Candidate) []Candidate {
+	floor := int(math.Ceil(healthFloor * float64(len(eligible))))
+	sorted := slices.Clone(eligible)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		return a.Health.Ejections - b.Health.Ejections
 	})
@@ -68,8 +69,8 @@
 	return healthy
 }
 
-// PickTwoChoices returns the less loaded of two random candidates, the node's own failure
-// domain first. The two numbers are uniform in [0, 1). It returns -1 for no candidates.
+// PickTwoChoices returns the index of the less loaded of two random candidates. The first one is of the node's own
+// failure domain if there are any. The two numbers are uniform in [0, 1). It returns -1 if there are no candidates.
 func PickTwoChoices(now time.Time, candidates []Candidate, domain string, first, second float64) int {
 	if len(candidates) == 0 {
 		return -1
@@ -94,9 +95,9 @@
 	return a
 }
 
-// PickPrefix returns the candidate that a prompt's prefix hashes to, or the next in the
-// hash's order where that one has no free slot: a cached prefix saves less than a wait costs.
-// If none has one, it returns the least loaded. It returns -1 for no candidates.
+// PickPrefix returns the index of the candidate that a prompt's prefix hashes to, or the next one in the order of the
+// hashes if that one has no free slot: a cached prefix saves less time than waiting costs. If none has a free slot, it
+// returns the least loaded one. It returns -1 if there are no candidates.
 func PickPrefix(now time.Time, candidates []Candidate, prefix string) int {
 	if len(candidates) == 0 {
 		return -1
@@ -135,13 +136,13 @@
 	return load < prefixLoadFactor*mean+1
 }
 
-// loadPerSlot is the load for each slot.
+// loadPerSlot returns the load per reported slot.
 func loadPerSlot(c Candidate, load float64) float64 {
 	return load / float64(max(1, c.Load.Slots))
 }
 
-// estimatedLoad estimates how loaded an endpoint is: the node's own calls in flight, and what others
-// gave it, as far as the last report says and as long as it is fresh.
+// estimatedLoad estimates the load of an endpoint as seen from a failure domain: the node's own calls in flight, and
+// the calls of other nodes according to the last report, weighted by its freshness.
 func estimatedLoad(now time.Time, c Candidate, domain string) float64 {
 	load := float64(c.InFlight)
 	age := now.Sub(c.LoadAt)
--- a/kernel/settings.go
+++ b/kernel/settings.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// FleetPath is the path of the document that holds for the whole fleet.
+	// FleetPath is the path of the document that applies to the whole fleet.
 	FleetPath = "fleet"
-	// TeamsPath is the path below which each team has its subtree.
+	// TeamsPath is the prefix of the paths of the teams' documents.
 	TeamsPath = "teams/"
 
 	defaultHorizon            = 2 * time.Minute
@@ -21,18 +21,18 @@
 )
 
 type (
-	// Caller is who a token stands for.
+	// Caller is the team and customer that a token belongs to.
 	Caller struct {
 		Team     string
 		Customer model.Customer
 	}
 
-	// Settings is what is in force on a node. It is immutable and only moves forward.
+	// Settings are the settings in force on a node. They are immutable, and their revision never decreases.
 	Settings struct {
-		// Revision is the fleet's head revision that these settings stand for.
+		// Revision is the head revision of the fleet's settings that these settings were made from.
 		Revision uint64
 		Fleet    model.FleetSettings
-		// Documents are the accepted documents by path.
+		// Documents holds the accepted documents by path.
 		Documents map[string]model.Document
 
 		teams  map[string]model.TeamSettings
@@ -40,7 +40,7 @@
 	}
 )
 
-// NewSettings returns the settings of a fleet in which nothing was set yet.
+// NewSettings returns the default settings, of a fleet without documents.
 func NewSettings() Settings {
 	return Settings{
 		Fleet:     model.FleetSettings{Horizon: defaultHorizon, FirmHorizon: defaultFirm, Retention: defaultRetention, WeightLoadEvery: defaultWeightLoadInterval},
@@ -50,7 +50,7 @@
 	}
 }
 
-// Caller returns whom a token stands for.
+// Caller returns the caller that a token belongs to.
 func (s Settings) Caller(token string) (Caller, bool) {
 	c, ok := s.tokens[token]
 	return c, ok
@@ -76,7 +76,7 @@
 	return model.Customer{}, false
 }
 
-// Teams returns all teams' documents.
+// Teams returns the settings of all teams, in no particular order.
 func (s Settings) Teams() []model.TeamSettings {
 	out := make([]model.TeamSettings, 0, len(s.teams))
 	for _, t := range s.teams {
@@ -85,9 +85,9 @@
 	return out
 }
 
-// WithSnapshot returns the settings after a snapshot of the table was read, from wherever. A
-// snapshot that is not newer changes nothing: settings never revert. A document that cannot
-// be accepted is refused whole: what was in force at its path stays, and an error tells why.
+// WithSnapshot returns the settings after a snapshot of the documents was read, from the table or from a peer. A
+// snapshot that is not newer changes nothing: settings never revert. An invalid document is refused as a whole: the
+// one in force at its path is kept, and the returned errors say why.
 func (s Settings) WithSnapshot(snapshot model.Snapshot) (Settings, []error) {
 	if snapshot.Revision <= s.Revision {
 		return s, nil
@@ -96,14 +96,14 @@
 	next.Revision = snapshot.Revision
 	var refused []error
 	for _, doc := range snapshot.Documents {
-		old, had := s.Documents[doc.Path]
-		if had && old.Revision >= doc.Revision {
-			doc = old
+		current, exists := s.Documents[doc.Path]
+		if exists && current.Revision >= doc.Revision {
+			doc = current
 		}
 		if err := next.addDocument(doc); err != nil {
 			refused = append(refused, err)
-			if had {
-				_ = next.addDocument(old)
+			if exists {
+				_ = next.addDocument(current)
 			}
 		}
 	}
@@ -111,8 +111,8 @@
 	return next, refused
 }
 
-// Check returns what is wrong with a document that is to be set at a path, given all other
-// documents in force; nil if it is good.
+// Check returns the error of a document that is to be set at a path, given all other documents in force, or nil if it
+// is valid.
 func (s Settings) Check(path, text string) error {
 	next := NewSettings()
 	if err := next.addDocument(model.Document{Path: path, YAML: text}); err != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// addDocument decodes one document into fresh settings.
+// addDocument decodes and validates a document and adds it to the settings.
 func (s *Settings) addDocument(doc model.Document) error {
 	if doc.Path == FleetPath {
 		fleet := s.Fleet
@@ -155,17 +155,17 @@
 	return nil
 }
 
-// indexTokens gives a token that two teams claim to the document with the lower revision, so
-// that all nodes decide alike.
+// indexTokens maps the tokens to callers. A token that two teams claim belongs to the document with the lower revision,
+// so that all nodes decide alike.
 func (s *Settings) indexTokens() {
-	holders := map[string]uint64{}
+	revisions := map[string]uint64{}
 	for name, team := range s.teams {
 		revision := s.Documents[TeamsPath+name].Revision
 		for _, c := range team.Customers {
-			if held, taken := holders[c.Token]; taken && held < revision {
+			if earlier, taken := revisions[c.Token]; taken && earlier < revision {
 				continue
 			}
-			holders[c.Token] = revision
+			revisions[c.Token] = revision
 			s.tokens[c.Token] = Caller{Team: name, Customer: c}
 		}
 	}
