--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -124,16 +124,16 @@
 			bytes := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				bytes = second(g)
+				bytes = simulateSecond(g)
 			}
 			b.ReportMetric(float64(bytes), "sent-B/s")
 		})
 	}
 }
 
-// second lets the first node live through two rounds and returns the bytes that it sends. As
+// simulateSecond lets the first node live through two rounds and returns the bytes that it sends. As
 // many heartbeats come in as go out, and each is answered.
-func second(g *gossip) int {
+func simulateSecond(g *gossip) int {
 	node := g.nodes[0]
 	bytes := 0
 	for range 2 {
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -13,16 +13,16 @@
 
 const (
 	// readingStep is the resolution of a simulated fleet; the other times are those of package follow.
-	readingStep     = 10 * time.Millisecond
-	readingRound    = 500 * time.Millisecond
-	readingTrouble  = 100 * time.Millisecond
-	readingTries    = 3
-	readingHold     = 400 * time.Millisecond
-	readingSilence  = 400 * time.Millisecond
-	readingPause    = 900 * time.Millisecond
-	readingRetry    = 300 * time.Millisecond
-	readingMostAge  = 2 * time.Second
-	readingKeyTrust = 4500 * time.Millisecond
+	readingStep          = 10 * time.Millisecond
+	readingRound         = 500 * time.Millisecond
+	readingRetryInterval = 100 * time.Millisecond
+	readingMaxAttempts   = 3
+	readingHold          = 400 * time.Millisecond
+	readingSilence       = 400 * time.Millisecond
+	readingPause         = 900 * time.Millisecond
+	readingRetry         = 300 * time.Millisecond
+	readingMaxAge        = 2 * time.Second
+	readingKeyTrust      = 4500 * time.Millisecond
 )
 
 type (
@@ -48,10 +48,10 @@
 		down     bool
 		// round and call are when it next looks around and next asks the store. While it holds on to a source,
 		// until is when that one answers at the latest.
-		round, call time.Time
-		holds       string
-		until       time.Time
-		suspects    map[string]bool
+		round, call   time.Time
+		pendingSource string
+		until         time.Time
+		suspects      map[string]bool
 	}
 )
 
@@ -65,7 +65,7 @@
 			p := kernel.Peer{Name: fmt.Sprintf("node-%d-%d", d, n), Domain: fmt.Sprint("domain-", d), Capacity: 1}
 			f.peers = append(f.peers, p)
 			f.nodes[p.Name] = &readingNode{
-				Peer: p, reading: kernel.NewSourceSelector(p.Name, p.Domain, readingMostAge), provenAt: f.now, suspects: map[string]bool{},
+				Peer: p, reading: kernel.NewSourceSelector(p.Name, p.Domain, readingMaxAge), provenAt: f.now, suspects: map[string]bool{},
 				round: f.now.Add(time.Duration(f.random.Int64N(int64(readingRound)))),
 			}
 		}
@@ -89,12 +89,12 @@
 	if n.reads && !f.now.Before(n.call) {
 		f.askStore(n)
 	}
-	if n.holds != "" {
+	if n.pendingSource != "" {
 		f.wait(n)
 		return
 	}
 	if !f.now.Before(n.round) {
-		f.lookAround(n, 0)
+		f.pollSources(n, 0)
 	}
 }
 
@@ -121,19 +121,19 @@
 
 func (n *readingNode) lost() bool { return n.reads && n.down }
 
-// lookAround asks other nodes one after the other until one's word is enough, the last one with time to wait.
-func (f *readingFleet) lookAround(n *readingNode, tried int) {
+// pollSources asks other nodes one after the other until one's word is enough, the last one with time to wait.
+func (f *readingFleet) pollSources(n *readingNode, tried int) {
 	plan := f.plan(n)
-	for ; tried < readingTries && plan.Source != ""; tried++ {
+	for ; tried < readingMaxAttempts && plan.Source != ""; tried++ {
 		source := f.nodes[plan.Source]
 		if f.frozen(source.Name) {
 			n.suspects[source.Name] = true
 			n.round = f.now.Add(readingSilence)
 			return
 		}
-		f.hear(source, n)
-		if (plan.LongPoll || tried == readingTries-1) && f.knowsLittle(source) {
-			n.holds, n.until = source.Name, f.now.Add(readingHold)
+		f.recordQuestion(source, n)
+		if (plan.LongPoll || tried == readingMaxAttempts-1) && f.isStale(source) {
+			n.pendingSource, n.until = source.Name, f.now.Add(readingHold)
 			return
 		}
 		if f.take(n, source) {
@@ -142,14 +142,14 @@
 		}
 		plan = f.plan(n)
 	}
-	f.endInVain(n, plan)
+	f.endUnsuccessful(n, plan)
 }
 
-// endInVain ends a look around in which no node's word was enough.
-func (f *readingFleet) endInVain(n *readingNode, plan kernel.SourcePlan) {
+// endUnsuccessful ends a look around in which no node's word was enough.
+func (f *readingFleet) endUnsuccessful(n *readingNode, plan kernel.SourcePlan) {
 	pause := readingRound
 	if plan.Source != "" {
-		pause = readingTrouble
+		pause = readingRetryInterval
 	}
 	f.end(n, plan, pause)
 	if !plan.ReadStore && n.reading.ShouldProbeStore(f.peers, f.random.Float64()) {
@@ -159,28 +159,28 @@
 	}
 }
 
-func (f *readingFleet) knowsLittle(n *readingNode) bool {
-	return n.lost() && f.now.Sub(n.provenAt) > readingMostAge
+func (f *readingFleet) isStale(n *readingNode) bool {
+	return n.lost() && f.now.Sub(n.provenAt) > readingMaxAge
 }
 
-// hear tells a node that is asked who asks it.
-func (f *readingFleet) hear(asked, by *readingNode) {
+// recordQuestion tells a node that is asked who asks it.
+func (f *readingFleet) recordQuestion(asked, by *readingNode) {
 	if asked.lost() && by.provenAt.After(asked.provenAt) {
 		asked.reading.RecordFresherNode(f.now, by.Name)
 	}
 }
 
 func (f *readingFleet) wait(n *readingNode) {
-	source := f.nodes[n.holds]
-	if f.knowsLittle(source) && f.now.Before(n.until) && !f.frozen(source.Name) {
+	source := f.nodes[n.pendingSource]
+	if f.isStale(source) && f.now.Before(n.until) && !f.frozen(source.Name) {
 		return
 	}
-	n.holds = ""
+	n.pendingSource = ""
 	if f.take(n, source) {
 		f.end(n, f.plan(n), readingRound)
 		return
 	}
-	f.endInVain(n, f.plan(n))
+	f.endUnsuccessful(n, f.plan(n))
 }
 
 func (f *readingFleet) take(n, source *readingNode) bool {
@@ -242,7 +242,7 @@
 // reader's word old and asked the store itself, again and again, and so did those that took the reader's place
 // one after the other. Proved by the lines "reading of the store changed": 149 nodes within two seconds.
 // A calm fleet asks once per failure domain and pause; an outage must not cost more for more nodes.
-func TestAStoreThatIsAwayIsAskedByFew(t *testing.T) {
+func TestUnavailableStoreIsAskedByFewNodes(t *testing.T) {
 	const outage = 6 * time.Second
 	for _, each := range []int{8, 39} {
 		f := newReadingFleet(uint64(each), 5, each)
@@ -294,7 +294,7 @@
 }
 
 // A node that the store alone turns away, and one that reaches no other node, go on.
-func TestANodeAloneIsNotLeftWithoutNews(t *testing.T) {
+func TestIsolatedNodeStaysCurrent(t *testing.T) {
 	for _, alone := range []string{"node-0-0", "node-0-1", "node-0-2", "node-0-3"} {
 		f := newReadingFleet(1, 3, 4)
 		f.answers = func(node string) bool { return node != alone }
@@ -313,7 +313,7 @@
 }
 
 // Nodes that stand still, those that are to ask the store among them, cost no other node its proof.
-func TestFrozenReadersCostNoProof(t *testing.T) {
+func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
 	f := newReadingFleet(3, 3, 8)
 	f.run(5*time.Second, nothing)
 	bound := f.bound()
--- a/kernel/registry_test.go
+++ b/kernel/registry_test.go
@@ -47,7 +47,7 @@
 }
 
 // A removed entry has no grace just because the store is asked seldom, or once did not answer.
-func TestRegistryTakesASlowPaceForNoOutage(t *testing.T) {
+func TestRegistrySlowPollIsNoOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
 	now = now.Add(1350 * time.Millisecond)
@@ -59,7 +59,7 @@
 }
 
 // What another node tells late proves no more than it did: the gap counts from proof to proof.
-func TestRegistrySeesAnOutageByItsProofs(t *testing.T) {
+func TestRegistryMeasuresOutagesBetweenProvenTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live)}, nil, nil)
 	for i := range 4 {
@@ -91,8 +91,8 @@
 	must.SliceEmpty(t, after.Changes(after))
 }
 
-// born returns an entry of a process that started at a second.
-func born(name string, second int64) model.Endpoint {
+// startedEndpoint returns an entry of a process that started at a second.
+func startedEndpoint(name string, second int64) model.Endpoint {
 	e := listed(name, model.Live)
 	e.Started = time.Unix(second, 0)
 	return e
@@ -100,19 +100,19 @@
 
 func TestRegistryTellsIncarnationsApart(t *testing.T) {
 	now := time.Unix(1000, 0)
-	first := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{born("a", 900)}, nil, nil)
-	must.False(t, first.Superseded(born("a", 900).Incarnation()))
-	again := first.WithChanges(now, now, []model.Endpoint{born("a", 990)}, nil, nil)
-	must.True(t, again.Superseded(born("a", 900).Incarnation()))
-	must.False(t, again.Superseded(born("a", 990).Incarnation()))
-	must.False(t, again.Superseded(born("b", 900).Incarnation()), must.Sprint("not listed is not superseded: it may serve on"))
+	first := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
+	must.False(t, first.Superseded(startedEndpoint("a", 900).Incarnation()))
+	again := first.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 990)}, nil, nil)
+	must.True(t, again.Superseded(startedEndpoint("a", 900).Incarnation()))
+	must.False(t, again.Superseded(startedEndpoint("a", 990).Incarnation()))
+	must.False(t, again.Superseded(startedEndpoint("b", 900).Incarnation()), must.Sprint("not listed is not superseded: it may serve on"))
 	changes := again.Changes(first)
 	must.SliceLen(t, 1, changes)
-	must.EqOp(t, born("a", 900).Incarnation(), changes[0].Before.Incarnation())
-	must.EqOp(t, born("a", 990).Incarnation(), changes[0].Endpoint.Incarnation())
-	late := again.WithChanges(now, now, []model.Endpoint{born("a", 900)}, nil, nil)
+	must.EqOp(t, startedEndpoint("a", 900).Incarnation(), changes[0].Before.Incarnation())
+	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), changes[0].Endpoint.Incarnation())
+	late := again.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
 	e, _ := late.Find("a")
-	must.EqOp(t, born("a", 990).Incarnation(), e.Incarnation(), must.Sprint("an older report came late"))
+	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), e.Incarnation(), must.Sprint("an older report came late"))
 }
 
 // An entry that was overwritten by what names no endpoint is gone at once, also in the grace after an
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -24,7 +24,7 @@
 
 // A row that came and went between two questions is no news: an endpoint that was listed and removed
 // in one answer stayed in use for good, since removals are applied before listings.
-func TestARowThatCameAndWentIsNoNews(t *testing.T) {
+func TestRowAddedAndRemovedInOneAnswerIsNoChange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
 	m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
@@ -37,7 +37,7 @@
 	must.Len(t, 2, d.Rows, must.Sprint("both removals are passed on"))
 }
 
-func TestAProofThroughAnotherNodeIsAsOldAsItsOwn(t *testing.T) {
+func TestDeltaKeepsTheAgeOfItsSource(t *testing.T) {
 	now := time.Unix(1000, 0)
 	source, copied := kernel.NewReplica(), kernel.NewReplica()
 	source.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
@@ -60,21 +60,21 @@
 	log     []kernel.Row
 	sources [2]*kernel.Replica
 	copied  *kernel.Replica
-	// told is what one who hears only the copy's news takes the table to be.
-	told map[string]kernel.Row
+	// observed is what one who hears only the copy's news takes the table to be.
+	observed map[string]kernel.Row
 }
 
-// hear takes news in whatever order: each tells of a row once.
-func (m *replicaMachine) hear(t *rapid.T, news []kernel.Row) {
+// observe takes news in whatever order: each tells of a row once.
+func (m *replicaMachine) observe(t *rapid.T, news []kernel.Row) {
 	seen := map[string]bool{}
 	for _, r := range news {
 		if seen[r.Key] {
 			t.Fatalf("two news of row %s: %v", r.Key, news)
 		}
 		seen[r.Key] = true
-		delete(m.told, r.Key)
+		delete(m.observed, r.Key)
 		if !r.Removed {
-			m.told[r.Key] = r
+			m.observed[r.Key] = r
 		}
 	}
 }
@@ -84,11 +84,11 @@
 func TestReplicasOfReplicasAgreeWithTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &replicaMachine{
-			now:     time.Unix(1000, 0),
-			store:   map[string]kernel.Row{},
-			sources: [2]*kernel.Replica{kernel.NewReplica(), kernel.NewReplica()},
-			copied:  kernel.NewReplica(),
-			told:    map[string]kernel.Row{},
+			now:      time.Unix(1000, 0),
+			store:    map[string]kernel.Row{},
+			sources:  [2]*kernel.Replica{kernel.NewReplica(), kernel.NewReplica()},
+			copied:   kernel.NewReplica(),
+			observed: map[string]kernel.Row{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": m.write,
@@ -139,13 +139,13 @@
 			rows = append(rows, r)
 		}
 	}
-	m.hear(t, m.copied.Apply(m.now, rows, m.version, false))
+	m.observe(t, m.copied.Apply(m.now, rows, m.version, false))
 }
 
 func (m *replicaMachine) ask(t *rapid.T, source int) {
 	before, _ := m.copied.Version()
 	if d, ok := m.sources[source].Since(m.now, before); ok {
-		m.hear(t, m.copied.ApplyDelta(m.now, d))
+		m.observe(t, m.copied.ApplyDelta(m.now, d))
 	}
 	if after, _ := m.copied.Version(); after < before || after > m.version {
 		t.Fatalf("version went from %d to %d, the store is at %d", before, after, m.version)
@@ -157,12 +157,12 @@
 	m.read(0)
 	m.ask(t, 0)
 	all, _ := m.copied.Since(m.now, 0)
-	if len(all.Rows) != len(m.store) || len(m.told) != len(m.store) {
-		t.Fatalf("%d rows, %d by the news, the store has %d", len(all.Rows), len(m.told), len(m.store))
+	if len(all.Rows) != len(m.store) || len(m.observed) != len(m.store) {
+		t.Fatalf("%d rows, %d by the news, the store has %d", len(all.Rows), len(m.observed), len(m.store))
 	}
 	for _, r := range all.Rows {
-		if m.store[r.Key] != r || m.told[r.Key] != r {
-			t.Fatalf("row %s is %v, in the store %v, by the news %v", r.Key, r, m.store[r.Key], m.told[r.Key])
+		if m.store[r.Key] != r || m.observed[r.Key] != r {
+			t.Fatalf("row %s is %v, in the store %v, by the news %v", r.Key, r, m.store[r.Key], m.observed[r.Key])
 		}
 	}
 }
