--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -112,8 +112,8 @@
 	benchSink = l
 }
 
-// BenchmarkHeartbeats is one node's part of a second: two rounds, each with its neighbours'
-// answers; it reports the bytes sent.
+// BenchmarkHeartbeats measures the heartbeats of one node in a second: two rounds, with the answers of its neighbours.
+// It reports the bytes sent.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{9, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// simulateSecond lets the first node live through two rounds and returns the bytes that it sends. As
-// many heartbeats come in as go out, and each is answered.
+// simulateSecond runs two rounds of the first node and returns the bytes that it sends. It receives as many heartbeats
+// as it sends, and each is answered.
 func simulateSecond(g *gossip) int {
 	node := g.nodes[0]
 	bytes := 0
@@ -150,7 +150,8 @@
 	return bytes
 }
 
-// BenchmarkSettings applies a whole snapshot; it reports its size and what it keeps in memory.
+// BenchmarkSettings applies a whole snapshot. It reports the size of the documents and the memory that the settings
+// keep.
 func BenchmarkSettings(b *testing.B) {
 	for _, n := range []int{5, 740, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -179,7 +180,7 @@
 	return m.HeapAlloc
 }
 
-// customersSnapshot has 16 pipelines and the customers spread over as many teams.
+// customersSnapshot returns a snapshot with 16 teams of one pipeline each, over which the customers are spread.
 func customersSnapshot(customers int) model.Snapshot {
 	const teams = 16
 	s := model.Snapshot{Revision: teams}
@@ -196,7 +197,7 @@
 	return s
 }
 
-// Whoever looks for a pool's batcher, or for who reads the store, orders the nodes by hash.
+// BenchmarkNodesByHash orders the nodes by hash, as each look-up of a pool's batcher or of the store's readers does.
 func BenchmarkNodesByHash(b *testing.B) {
 	for _, n := range []int{9, 400, 4000} {
 		nodes := make([]kernel.Peer, n)
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// readingStep is the resolution of a simulated fleet; the other times are those of package follow.
+	// readingStep is the resolution of the simulated time; the other times are those of package follow.
 	readingStep          = 10 * time.Millisecond
 	readingRound         = 500 * time.Millisecond
 	readingRetryInterval = 100 * time.Millisecond
@@ -32,11 +32,10 @@
 		random *rand.Rand
 		peers  []kernel.Peer
 		nodes  map[string]*readingNode
-		// answers tells whether the store answers a node, frozen whether a node stands still, cut whether two
-		// nodes reach each other.
+		// answers tells whether the store answers a node, and frozen whether a node is suspended.
 		answers func(node string) bool
 		frozen  func(node string) bool
-		// calls counts the questions to the store, by the failure domain of who asks.
+		// calls counts the calls to the store by the failure domain of the node that made them.
 		calls map[string]int
 	}
 
@@ -46,8 +45,8 @@
 		provenAt time.Time
 		reads    bool
 		down     bool
-		// round and call are when it next looks around and next asks the store. While it holds on to a source,
-		// until is when that one answers at the latest.
+		// round and call are the times at which it next asks other nodes and next reads the store. While it
+		// waits for the answer of pendingSource to a long poll, until is when that answer comes at the latest.
 		round, call   time.Time
 		pendingSource string
 		until         time.Time
@@ -73,7 +72,7 @@
 	return f
 }
 
-// run lets time pass; after each step it looks at the fleet.
+// run advances the time and calls look after each step.
 func (f *readingFleet) run(length time.Duration, look func()) {
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(readingStep) {
 		for _, p := range f.peers {
@@ -121,10 +120,10 @@
 
 func (n *readingNode) lost() bool { return n.reads && n.down }
 
-// pollSources asks other nodes one after the other until one's word is enough, the last one with time to wait.
-func (f *readingFleet) pollSources(n *readingNode, tried int) {
+// pollSources asks other nodes one after the other until an answer suffices; the last one may delay its answer.
+func (f *readingFleet) pollSources(n *readingNode, attempts int) {
 	plan := f.plan(n)
-	for ; tried < readingMaxAttempts && plan.Source != ""; tried++ {
+	for ; attempts < readingMaxAttempts && plan.Source != ""; attempts++ {
 		source := f.nodes[plan.Source]
 		if f.frozen(source.Name) {
 			n.suspects[source.Name] = true
@@ -132,7 +131,7 @@
 			return
 		}
 		f.recordQuestion(source, n)
-		if (plan.LongPoll || tried == readingMaxAttempts-1) && f.isStale(source) {
+		if (plan.LongPoll || attempts == readingMaxAttempts-1) && f.isStale(source) {
 			n.pendingSource, n.until = source.Name, f.now.Add(readingHold)
 			return
 		}
@@ -145,7 +144,7 @@
 	f.endUnsuccessful(n, plan)
 }
 
-// endUnsuccessful ends a look around in which no node's word was enough.
+// endUnsuccessful ends a poll in which no answer sufficed.
 func (f *readingFleet) endUnsuccessful(n *readingNode, plan kernel.SourcePlan) {
 	pause := readingRound
 	if plan.Source != "" {
@@ -163,7 +162,7 @@
 	return n.lost() && f.now.Sub(n.provenAt) > readingMaxAge
 }
 
-// recordQuestion tells a node that is asked who asks it.
+// recordQuestion tells the node that is asked about the one that asks it.
 func (f *readingFleet) recordQuestion(asked, by *readingNode) {
 	if asked.lost() && by.provenAt.After(asked.provenAt) {
 		asked.reading.RecordFresherNode(f.now, by.Name)
@@ -201,7 +200,7 @@
 	n.round = f.now.Add(pause)
 }
 
-// oldest is the greatest age of a proof among the nodes that run.
+// oldest returns the greatest age of the data of the nodes that are not frozen.
 func (f *readingFleet) oldest() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
@@ -220,11 +219,11 @@
 	return all
 }
 
-// bound returns the nodes that are to ask the store, as any node sees it, by failure domain.
+// bound returns the nodes that are designated to read the store, as any node sees it.
 func (f *readingFleet) bound() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range f.peers {
-		// A node that knows no more than itself and one other follows it, or reads.
+		// A node that reaches only one other node reads the store or follows that one.
 		rank := 0
 		for _, other := range f.peers {
 			if other.Domain == p.Domain && kernel.NodesByHash("reader of "+p.Domain, []kernel.Peer{p, other})[0] != p.Name {
@@ -238,10 +237,10 @@
 
 func nothing() {}
 
-// Seen: a store that was silent for 6 s got 5,096 calls on a day of 20 s with 195 nodes: each node found its
-// reader's word old and asked the store itself, again and again, and so did those that took the reader's place
-// one after the other. Proved by the lines "reading of the store changed": 149 nodes within two seconds.
-// A calm fleet asks once per failure domain and pause; an outage must not cost more for more nodes.
+// Guards against a rush on an unavailable store. When each node that found its reader's data too old read the store
+// itself, repeatedly, and so did each node that took the place of a failing reader, a store that was silent for 6 s got
+// 5,096 calls from 195 nodes within 20 s, and 149 of them became readers within two seconds. A fleet reads once per
+// failure domain and interval while the store answers; an outage must not cost more calls with more nodes.
 func TestUnavailableStoreIsAskedByFewNodes(t *testing.T) {
 	const outage = 6 * time.Second
 	for _, each := range []int{8, 39} {
@@ -265,8 +264,8 @@
 	}
 }
 
-// A store that answers some nodes only is found by one that it answers, and all others learn from that one: also
-// where it turns away just those that are to ask it.
+// A store that answers only some nodes is found by a probe of one that it answers, and all others follow that one, even
+// if it refuses exactly the designated readers.
 func TestAStoreThatAnswersSomeNodesIsFound(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, each := range []int{3, 8} {
@@ -276,43 +275,43 @@
 			f.answers = func(node string) bool { return !bound[node] }
 			oldest := time.Duration(0)
 			f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-			must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: those bound to ask turned away"))
+			must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: the designated readers refused"))
 		}
 	}
 	for seed := range uint64(2) {
 		f := newReadingFleet(seed, 5, 39)
 		f.run(5*time.Second, nothing)
-		turned := map[string]bool{}
+		refused := map[string]bool{}
 		for _, p := range f.peers {
-			turned[p.Name] = f.random.Float64() < 0.35
+			refused[p.Name] = f.random.Float64() < 0.35
 		}
-		f.answers = func(node string) bool { return !turned[node] }
+		f.answers = func(node string) bool { return !refused[node] }
 		oldest := time.Duration(0)
 		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ": a third turned away"))
+		must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ": a third refused"))
 	}
 }
 
-// A node that the store alone turns away, and one that reaches no other node, go on.
+// A node that is the only one that the store refuses, and a node that reaches no other node, stay current.
 func TestIsolatedNodeStaysCurrent(t *testing.T) {
-	for _, alone := range []string{"node-0-0", "node-0-1", "node-0-2", "node-0-3"} {
+	for _, isolated := range []string{"node-0-0", "node-0-1", "node-0-2", "node-0-3"} {
 		f := newReadingFleet(1, 3, 4)
-		f.answers = func(node string) bool { return node != alone }
+		f.answers = func(node string) bool { return node != isolated }
 		oldest := time.Duration(0)
 		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint(alone, " is turned away"))
+		must.Less(t, readingKeyTrust, oldest, must.Sprint("the store refuses ", isolated))
 
 		f = newReadingFleet(1, 3, 4)
 		for _, p := range f.peers {
-			f.nodes[alone].suspects[p.Name] = p.Name != alone
+			f.nodes[isolated].suspects[p.Name] = p.Name != isolated
 		}
 		oldest = 0
 		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint(alone, " reaches nobody"))
+		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " reaches no other node"))
 	}
 }
 
-// Nodes that stand still, those that are to ask the store among them, cost no other node its proof.
+// Suspended nodes, the designated readers among them, make no other node's data stale.
 func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
 	f := newReadingFleet(3, 3, 8)
 	f.run(5*time.Second, nothing)
@@ -324,14 +323,14 @@
 }
 
 func TestTheCallTimeoutGrowsUntilAnAnswerComesWhole(t *testing.T) {
-	const usual, most = 2 * time.Second, 7 * time.Second
-	patience := kernel.CallTimeout(0, usual, most, false)
-	must.EqOp(t, usual, patience)
+	const base, limit = 2 * time.Second, 7 * time.Second
+	timeout := kernel.CallTimeout(0, base, limit, false)
+	must.EqOp(t, base, timeout)
 	for _, step := range []struct {
 		inTime bool
 		want   time.Duration
-	}{{false, 4 * time.Second}, {false, most}, {false, most}, {true, usual}, {true, usual}, {false, 4 * time.Second}} {
-		patience = kernel.CallTimeout(patience, usual, most, step.inTime)
-		must.EqOp(t, step.want, patience)
+	}{{false, 4 * time.Second}, {false, limit}, {false, limit}, {true, base}, {true, base}, {false, 4 * time.Second}} {
+		timeout = kernel.CallTimeout(timeout, base, limit, step.inTime)
+		must.EqOp(t, step.want, timeout)
 	}
 }
--- a/kernel/registry_test.go
+++ b/kernel/registry_test.go
@@ -38,15 +38,16 @@
 	}, nil, nil)
 	returned := now.Add(5 * time.Second)
 	r = r.WithChanges(returned, returned, nil, []string{"back", "gone", "leaving"}, nil)
-	must.Eq(t, []string{"back", "gone"}, names(r), must.Sprint("an endpoint that was leaving is gone"))
+	must.Eq(t, []string{"back", "gone"}, names(r), must.Sprint("an endpoint that was leaving is removed at once"))
 	r = r.WithChanges(returned.Add(time.Second), returned.Add(time.Second), []model.Endpoint{listed("back", model.Live)}, nil, nil)
 	must.Eq(t, []string{"back", "gone"}, names(r))
 	r = r.WithChanges(returned.Add(1600*time.Millisecond), returned.Add(1600*time.Millisecond), nil, nil, nil)
 	r = r.WithChanges(returned.Add(2300*time.Millisecond), returned.Add(2300*time.Millisecond), nil, nil, nil)
-	must.Eq(t, []string{"back"}, names(r), must.Sprint("still missing after the grace: gone"))
+	must.Eq(t, []string{"back"}, names(r), must.Sprint("an entry that is still missing after the grace period is removed"))
 }
 
-// A removed entry has no grace just because the store is asked seldom, or once did not answer.
+// A long interval between reads of the store, or one lost answer, is not an outage: a removed entry then gets no grace
+// period.
 func TestRegistrySlowPollIsNoOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
@@ -58,7 +59,8 @@
 	must.SliceEmpty(t, names(r))
 }
 
-// What another node tells late proves no more than it did: the gap counts from proof to proof.
+// An answer of another node proves the list current only as of that node's own read of the store. The duration of an
+// outage is therefore measured between the proven times and not between the arrivals of answers.
 func TestRegistryMeasuresOutagesBetweenProvenTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live)}, nil, nil)
@@ -76,7 +78,7 @@
 	r = r.WithChanges(now.Add(4*time.Second), now.Add(4*time.Second), []model.Endpoint{listed("a", model.Live)}, []string{"b"}, nil)
 	must.Eq(t, []string{"a", "b"}, names(r))
 	r = r.WithChanges(now.Add(7*time.Second), now.Add(7*time.Second), []model.Endpoint{listed("a", model.Live)}, nil, nil)
-	must.Eq(t, []string{"a", "b"}, names(r), must.Sprint("each outage has its own grace"))
+	must.Eq(t, []string{"a", "b"}, names(r), must.Sprint("each outage has its own grace period"))
 	r = r.WithChanges(now.Add(7*time.Second+600*time.Millisecond), now.Add(7*time.Second+600*time.Millisecond), nil, nil, nil)
 	r = r.WithChanges(now.Add(8*time.Second+200*time.Millisecond), now.Add(8*time.Second+200*time.Millisecond), nil, nil, nil)
 	r = r.WithChanges(now.Add(9*time.Second+300*time.Millisecond), now.Add(9*time.Second+300*time.Millisecond), nil, nil, nil)
@@ -91,7 +93,7 @@
 	must.SliceEmpty(t, after.Changes(after))
 }
 
-// startedEndpoint returns an entry of a process that started at a second.
+// startedEndpoint returns a live endpoint whose process started at a Unix time in seconds.
 func startedEndpoint(name string, second int64) model.Endpoint {
 	e := listed(name, model.Live)
 	e.Started = time.Unix(second, 0)
@@ -102,21 +104,21 @@
 	now := time.Unix(1000, 0)
 	first := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
 	must.False(t, first.Superseded(startedEndpoint("a", 900).Incarnation()))
-	again := first.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 990)}, nil, nil)
-	must.True(t, again.Superseded(startedEndpoint("a", 900).Incarnation()))
-	must.False(t, again.Superseded(startedEndpoint("a", 990).Incarnation()))
-	must.False(t, again.Superseded(startedEndpoint("b", 900).Incarnation()), must.Sprint("not listed is not superseded: it may serve on"))
-	changes := again.Changes(first)
+	restarted := first.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 990)}, nil, nil)
+	must.True(t, restarted.Superseded(startedEndpoint("a", 900).Incarnation()))
+	must.False(t, restarted.Superseded(startedEndpoint("a", 990).Incarnation()))
+	must.False(t, restarted.Superseded(startedEndpoint("b", 900).Incarnation()), must.Sprint("an endpoint that is not listed may still be running"))
+	changes := restarted.Changes(first)
 	must.SliceLen(t, 1, changes)
 	must.EqOp(t, startedEndpoint("a", 900).Incarnation(), changes[0].Before.Incarnation())
 	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), changes[0].Endpoint.Incarnation())
-	late := again.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
+	late := restarted.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
 	e, _ := late.Find("a")
-	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), e.Incarnation(), must.Sprint("an older report came late"))
+	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), e.Incarnation(), must.Sprint("an older entry that arrives late is ignored"))
 }
 
-// An entry that was overwritten by what names no endpoint is gone at once, also in the grace after an
-// outage of the store; the others hold.
+// An entry that was overwritten by a value that names no endpoint is removed at once, also in the grace period after an
+// outage of the store; all other entries are kept.
 func TestRegistryDropsWhatCannotBeRead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -17,24 +17,24 @@
 	must.Len(t, 2, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
 	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
 	must.Len(t, 1, m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
-	news := m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
-	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, news, must.Sprint("a whole table tells what is gone"))
-	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer changes nothing"))
+	changes := m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
+	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, changes, must.Sprint("rows that a whole table lacks are removed"))
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer is ignored"))
 }
 
-// A row that came and went between two questions is no news: an endpoint that was listed and removed
-// in one answer stayed in use for good, since removals are applied before listings.
+// A row that was written and removed between two calls must not be reported as a change. Removals are applied before
+// additions, so that an endpoint that was listed and removed in one answer stayed in use for good.
 func TestRowAddedAndRemovedInOneAnswerIsNoChange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
 	m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
 	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
-	news := m.Apply(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
-	must.Eq(t, []kernel.Row{{Key: "a", Version: 5}}, news)
-	news = m.Apply(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
-	must.Eq(t, []kernel.Row{{Key: "a", Version: 7, Removed: true}}, news)
+	changes := m.Apply(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
+	must.Eq(t, []kernel.Row{{Key: "a", Version: 5}}, changes)
+	changes = m.Apply(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
+	must.Eq(t, []kernel.Row{{Key: "a", Version: 7, Removed: true}}, changes)
 	d, _ := m.Since(now, 1)
-	must.Len(t, 2, d.Rows, must.Sprint("both removals are passed on"))
+	must.Len(t, 2, d.Rows, must.Sprint("a delta holds both removals"))
 }
 
 func TestDeltaKeepsTheAgeOfItsSource(t *testing.T) {
@@ -46,13 +46,13 @@
 	d, ok := source.Since(answered, 0)
 	must.True(t, ok)
 	copied.ApplyDelta(asked, d)
-	must.False(t, copied.ProvenAt().After(now), must.Sprint("never younger than the store's own answer"))
+	must.False(t, copied.ProvenAt().After(now), must.Sprint("not proven later than by the store's own answer"))
 	must.Eq(t, now.Add(-700*time.Millisecond), copied.ProvenAt())
 	_, ok = kernel.NewReplica().Since(now, 0)
 	must.False(t, ok)
 }
 
-// replicaMachine drives a store, two replicas that read it, and one that asks them.
+// replicaMachine drives a store, two replicas that read it, and a third that copies either of them or reads the store.
 type replicaMachine struct {
 	now     time.Time
 	version uint64
@@ -60,16 +60,16 @@
 	log     []kernel.Row
 	sources [2]*kernel.Replica
 	copied  *kernel.Replica
-	// observed is what one who hears only the copy's news takes the table to be.
+	// observed is the table as it follows from the changes that the copy reported.
 	observed map[string]kernel.Row
 }
 
-// observe takes news in whatever order: each tells of a row once.
-func (m *replicaMachine) observe(t *rapid.T, news []kernel.Row) {
+// observe applies reported changes in any order; each row may be reported once.
+func (m *replicaMachine) observe(t *rapid.T, changes []kernel.Row) {
 	seen := map[string]bool{}
-	for _, r := range news {
+	for _, r := range changes {
 		if seen[r.Key] {
-			t.Fatalf("two news of row %s: %v", r.Key, news)
+			t.Fatalf("two changes of row %s: %v", r.Key, changes)
 		}
 		seen[r.Key] = true
 		delete(m.observed, r.Key)
@@ -79,8 +79,8 @@
 	}
 }
 
-// A copy that asks now and then, of two sources at different versions, is never ahead of the store,
-// never goes back, and is the store's table once it has caught up.
+// A replica that copies two replicas at different versions is never ahead of the store, never goes back, and equals the
+// store's table once it has caught up.
 func TestReplicasOfReplicasAgreeWithTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &replicaMachine{
@@ -127,7 +127,7 @@
 	m.sources[source].Apply(m.now, rows, m.version, !known)
 }
 
-// copyFromStore lets the copy read the store itself.
+// copyFromStore lets the copy read the changes from the store itself.
 func (m *replicaMachine) copyFromStore(t *rapid.T) {
 	after, known := m.copied.Version()
 	if !known {
@@ -152,17 +152,17 @@
 	}
 }
 
-// agree lets the copy catch up and compares.
+// agree brings the copy up to date and compares it, and the reported changes, with the store.
 func (m *replicaMachine) agree(t *rapid.T) {
 	m.read(0)
 	m.ask(t, 0)
 	all, _ := m.copied.Since(m.now, 0)
 	if len(all.Rows) != len(m.store) || len(m.observed) != len(m.store) {
-		t.Fatalf("%d rows, %d by the news, the store has %d", len(all.Rows), len(m.observed), len(m.store))
+		t.Fatalf("the copy has %d rows, the reported changes give %d, the store has %d", len(all.Rows), len(m.observed), len(m.store))
 	}
 	for _, r := range all.Rows {
 		if m.store[r.Key] != r || m.observed[r.Key] != r {
-			t.Fatalf("row %s is %v, in the store %v, by the news %v", r.Key, r, m.store[r.Key], m.observed[r.Key])
+			t.Fatalf("row %s is %v, in the store %v, by the reported changes %v", r.Key, r, m.store[r.Key], m.observed[r.Key])
 		}
 	}
 }
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// The longest prefix is what asking every route in turn finds, whatever the slashes.
+// Match finds the same route as a linear search for the longest prefix, whatever the slashes.
 func TestMatchAgreesWithAskingEveryRoute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"", "a", "b", "ab"})
@@ -95,8 +95,8 @@
 	must.Eq(t, uint64(7), view.Table.Version())
 	must.Eq(t, now.Add(time.Second), view.ProvenAt)
 	view = view.With(now, nil)
-	must.Eq(t, now.Add(time.Second), view.ProvenAt, must.Sprint("an older call's proof must not set the age back"))
-	must.False(t, kernel.RoutingView{}.With(now, nil).Fresh(now, time.Hour), must.Sprint("no routing proves nothing"))
+	must.Eq(t, now.Add(time.Second), view.ProvenAt, must.Sprint("an older call must not move ProvenAt back"))
+	must.False(t, kernel.RoutingView{}.With(now, nil).Fresh(now, time.Hour), must.Sprint("a view without routing is never fresh"))
 }
 
 func TestAdmit(t *testing.T) {
--- a/kernel/routing_test.go
+++ b/kernel/routing_test.go
@@ -40,8 +40,8 @@
 	must.EqOp(t, "23", names(kernel.Usable(now, cs, nil)))
 	must.EqOp(t, "3", names(kernel.Usable(now, cs, []string{"runner-2"})))
 	cs[2].Health, cs[3].Health = ejected, ejected
-	must.EqOp(t, "12", names(kernel.Usable(now, cs, nil)), must.Sprint("all of the pool fails: half of it is used all the same"))
-	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("each is tried again"))
+	must.EqOp(t, "12", names(kernel.Usable(now, cs, nil)), must.Sprint("half of the pool is used even if all of it fails"))
+	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("ejected endpoints get a call again"))
 }
 
 func TestEjectionsLastLongerEachTimeAndOneProbeAtATime(t *testing.T) {
@@ -110,7 +110,7 @@
 	must.EqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"))
 	cs[home].InFlight = 4
 	must.NotEqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"), must.Sprint("no free slot"))
-	// Without one endpoint only its own prefixes move.
+	// Without one endpoint only the prefixes that hash to it move.
 	fresh := candidates(12)
 	moved := 0
 	for i := range 200 {
--- a/kernel/settings_test.go
+++ b/kernel/settings_test.go
@@ -88,8 +88,8 @@
 	must.ErrorContains(t, s.Check("teams/moravia", other), "taken by another team")
 }
 
-// TestSettingsNeverRevert: whatever snapshots arrive in whatever order, from the table, stale,
-// or from peers, the revision in force and that of each document only grow.
+// The revision in force and that of each document never decrease, whatever snapshots arrive in whatever order: from the
+// table, outdated, or from peers.
 func TestSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := kernel.NewSettings()
