--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -14,13 +14,13 @@
 const (
 	// readingStep is the resolution of the simulated time; the other times are those of package follow.
 	readingStep          = 10 * time.Millisecond
-	readingRound         = 500 * time.Millisecond
+	readingPollInterval  = 500 * time.Millisecond
 	readingRetryInterval = 100 * time.Millisecond
 	readingMaxAttempts   = 3
-	readingHold          = 400 * time.Millisecond
+	readingLongPoll      = 400 * time.Millisecond
 	readingSilence       = 400 * time.Millisecond
-	readingPause         = 900 * time.Millisecond
-	readingRetry         = 300 * time.Millisecond
+	readingStoreInterval = 900 * time.Millisecond
+	readingStoreRetry    = 300 * time.Millisecond
 	readingMaxAge        = 2 * time.Second
 	readingKeyTrust      = 4500 * time.Millisecond
 )
@@ -41,16 +41,16 @@
 
 	readingNode struct {
 		kernel.Peer
-		reading  *kernel.SourceSelector
+		selector *kernel.SourceSelector
 		provenAt time.Time
 		reads    bool
 		down     bool
-		// round and call are the times at which it next asks other nodes and next reads the store. While it
+		// nextPoll and nextStoreCall are the times at which it next asks other nodes and next reads the store. While it
 		// waits for the answer of pendingSource to a long poll, until is when that answer comes at the latest.
-		round, call   time.Time
-		pendingSource string
-		until         time.Time
-		suspects      map[string]bool
+		nextPoll, nextStoreCall time.Time
+		pendingSource           string
+		until                   time.Time
+		suspects                map[string]bool
 	}
 )
 
@@ -64,8 +64,8 @@
 			p := kernel.Peer{Name: fmt.Sprintf("node-%d-%d", d, n), Domain: fmt.Sprint("domain-", d), Capacity: 1}
 			f.peers = append(f.peers, p)
 			f.nodes[p.Name] = &readingNode{
-				Peer: p, reading: kernel.NewSourceSelector(p.Name, p.Domain, readingMaxAge), provenAt: f.now, suspects: map[string]bool{},
-				round: f.now.Add(time.Duration(f.random.Int64N(int64(readingRound)))),
+				Peer: p, selector: kernel.NewSourceSelector(p.Name, p.Domain, readingMaxAge), provenAt: f.now, suspects: map[string]bool{},
+				nextPoll: f.now.Add(time.Duration(f.random.Int64N(int64(readingPollInterval)))),
 			}
 		}
 	}
@@ -85,14 +85,14 @@
 }
 
 func (f *readingFleet) step(n *readingNode) {
-	if n.reads && !f.now.Before(n.call) {
+	if n.reads && !f.now.Before(n.nextStoreCall) {
 		f.askStore(n)
 	}
 	if n.pendingSource != "" {
 		f.wait(n)
 		return
 	}
-	if !f.now.Before(n.round) {
+	if !f.now.Before(n.nextPoll) {
 		f.pollSources(n, 0)
 	}
 }
@@ -101,11 +101,11 @@
 	f.calls[n.Domain]++
 	n.down = !f.answers(n.Name)
 	if n.down {
-		n.call = f.now.Add(time.Duration(float64(readingRetry) * (0.75 + f.random.Float64()/2)))
+		n.nextStoreCall = f.now.Add(time.Duration(float64(readingStoreRetry) * (0.75 + f.random.Float64()/2)))
 		return
 	}
 	n.provenAt = f.now
-	n.call = f.now.Add(readingPause)
+	n.nextStoreCall = f.now.Add(readingStoreInterval)
 }
 
 func (f *readingFleet) plan(n *readingNode) kernel.SourcePlan {
@@ -115,7 +115,7 @@
 			reachable = append(reachable, p)
 		}
 	}
-	return n.reading.Plan(f.now, reachable, n.lost())
+	return n.selector.Plan(f.now, reachable, n.lost())
 }
 
 func (n *readingNode) lost() bool { return n.reads && n.down }
@@ -127,16 +127,16 @@
 		source := f.nodes[plan.Source]
 		if f.frozen(source.Name) {
 			n.suspects[source.Name] = true
-			n.round = f.now.Add(readingSilence)
+			n.nextPoll = f.now.Add(readingSilence)
 			return
 		}
 		f.recordQuestion(source, n)
 		if (plan.LongPoll || attempts == readingMaxAttempts-1) && f.isStale(source) {
-			n.pendingSource, n.until = source.Name, f.now.Add(readingHold)
+			n.pendingSource, n.until = source.Name, f.now.Add(readingLongPoll)
 			return
 		}
 		if f.take(n, source) {
-			f.end(n, f.plan(n), readingRound)
+			f.end(n, f.plan(n), readingPollInterval)
 			return
 		}
 		plan = f.plan(n)
@@ -146,14 +146,14 @@
 
 // endUnsuccessful ends a poll in which no answer sufficed.
 func (f *readingFleet) endUnsuccessful(n *readingNode, plan kernel.SourcePlan) {
-	pause := readingRound
+	pause := readingPollInterval
 	if plan.Source != "" {
 		pause = readingRetryInterval
 	}
 	f.end(n, plan, pause)
-	if !plan.ReadStore && n.reading.ShouldProbeStore(f.peers, f.random.Float64()) {
+	if !plan.ReadStore && n.selector.ShouldProbeStore(f.peers, f.random.Float64()) {
 		f.askStore(n)
-		n.reading.RecordProbe(!n.down)
+		n.selector.RecordProbe(!n.down)
 		f.end(n, f.plan(n), pause)
 	}
 }
@@ -165,7 +165,7 @@
 // recordQuestion tells the node that is asked about the one that asks it.
 func (f *readingFleet) recordQuestion(asked, by *readingNode) {
 	if asked.lost() && by.provenAt.After(asked.provenAt) {
-		asked.reading.RecordFresherNode(f.now, by.Name)
+		asked.selector.RecordFresherNode(f.now, by.Name)
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	n.pendingSource = ""
 	if f.take(n, source) {
-		f.end(n, f.plan(n), readingRound)
+		f.end(n, f.plan(n), readingPollInterval)
 		return
 	}
 	f.endUnsuccessful(n, f.plan(n))
@@ -186,22 +186,22 @@
 	if source.provenAt.After(n.provenAt) {
 		n.provenAt = source.provenAt
 	}
-	return n.reading.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.lost(), Age: f.now.Sub(source.provenAt)})
+	return n.selector.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.lost(), Age: f.now.Sub(source.provenAt)})
 }
 
 func (f *readingFleet) end(n *readingNode, plan kernel.SourcePlan, pause time.Duration) {
 	if plan.ReadStore && !n.reads {
-		n.call = f.now
+		n.nextStoreCall = f.now
 	}
 	if !plan.ReadStore {
 		n.down = false
 	}
 	n.reads = plan.ReadStore
-	n.round = f.now.Add(pause)
+	n.nextPoll = f.now.Add(pause)
 }
 
-// oldest returns the greatest age of the data of the nodes that are not frozen.
-func (f *readingFleet) oldest() time.Duration {
+// maxAge returns the greatest age of the data of the nodes that are not frozen.
+func (f *readingFleet) maxAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
 		if !f.frozen(n.Name) {
@@ -219,8 +219,8 @@
 	return all
 }
 
-// bound returns the nodes that are designated to read the store, as any node sees it.
-func (f *readingFleet) bound() map[string]bool {
+// designatedReaders returns the nodes that are designated to read the store, as any node sees it.
+func (f *readingFleet) designatedReaders() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range f.peers {
 		// A node that reaches only one other node reads the store or follows that one.
@@ -255,7 +255,7 @@
 		must.LessEq(t, 600, f.allCalls(), must.Sprint(each, " nodes a domain"))
 		f.answers = func(string) bool { return true }
 		f.run(500*time.Millisecond, nothing)
-		must.LessEq(t, time.Second, f.oldest(), must.Sprint(each, " nodes a domain: half a second after the store's return"))
+		must.LessEq(t, time.Second, f.maxAge(), must.Sprint(each, " nodes a domain: half a second after the store's return"))
 		f.calls = map[string]int{}
 		f.run(5*time.Second, nothing)
 		f.calls = map[string]int{}
@@ -271,10 +271,10 @@
 		for _, each := range []int{3, 8} {
 			f := newReadingFleet(seed, 3, each)
 			f.run(5*time.Second, nothing)
-			bound := f.bound()
+			bound := f.designatedReaders()
 			f.answers = func(node string) bool { return !bound[node] }
 			oldest := time.Duration(0)
-			f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
+			f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 			must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: the designated readers refused"))
 		}
 	}
@@ -287,7 +287,7 @@
 		}
 		f.answers = func(node string) bool { return !refused[node] }
 		oldest := time.Duration(0)
-		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
+		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 		must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ": a third refused"))
 	}
 }
@@ -298,7 +298,7 @@
 		f := newReadingFleet(1, 3, 4)
 		f.answers = func(node string) bool { return node != isolated }
 		oldest := time.Duration(0)
-		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
+		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 		must.Less(t, readingKeyTrust, oldest, must.Sprint("the store refuses ", isolated))
 
 		f = newReadingFleet(1, 3, 4)
@@ -306,7 +306,7 @@
 			f.nodes[isolated].suspects[p.Name] = p.Name != isolated
 		}
 		oldest = 0
-		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
+		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " reaches no other node"))
 	}
 }
@@ -315,10 +315,10 @@
 func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
 	f := newReadingFleet(3, 3, 8)
 	f.run(5*time.Second, nothing)
-	bound := f.bound()
+	bound := f.designatedReaders()
 	f.frozen = func(node string) bool { return bound[node] }
 	oldest := time.Duration(0)
-	f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
+	f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 	must.Less(t, readingKeyTrust, oldest)
 }
 
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestAReplicaTellsOnlyNews(t *testing.T) {
+func TestReplicaReportsOnlyChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
 	must.Len(t, 2, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -13,7 +13,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-const trust = 4 * time.Second
+const trustLimit = 4 * time.Second
 
 func routing(version uint64) model.Routing {
 	return model.Routing{
@@ -52,7 +52,7 @@
 }
 
 // Match finds the same route as a linear search for the longest prefix, whatever the slashes.
-func TestMatchAgreesWithAskingEveryRoute(t *testing.T) {
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"", "a", "b", "ab"})
 		var routes []model.Route
@@ -113,15 +113,15 @@
 		{"unknown key", view, forward("a.example", "/x/1", "key-z", now), 0, model.Unauthorized},
 		{"no key", view, forward("a.example", "/x/1", "", now), 0, model.Unauthorized},
 		{"public route", view, forward("b.example", "/1", "", now), 0, ""},
-		{"public route, old routing", view, forward("b.example", "/1", "", now), trust + time.Second, ""},
+		{"public route, old routing", view, forward("b.example", "/1", "", now), trustLimit + time.Second, ""},
 		{"no route", view, forward("a.example", "/z", "key-a", now), 0, model.UnknownPipeline},
 		{"no routing: never a false 404", kernel.RoutingView{}, forward("a.example", "/z", "key-a", now), 0, model.NotReady},
-		{"old routing", view, forward("a.example", "/x/1", "key-a", now.Add(trust)), trust + time.Millisecond, model.StaleRouting},
+		{"old routing", view, forward("a.example", "/x/1", "key-a", now.Add(trustLimit)), trustLimit + time.Millisecond, model.StaleRouting},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := now.Add(tc.age)
 			tc.f.ReceivedAt = at
-			a, refusal := kernel.Admit(at, tc.view, trust, tc.f)
+			a, refusal := kernel.Admit(at, tc.view, trustLimit, tc.f)
 			if tc.reason == "" {
 				must.Nil(t, refusal)
 				must.Eq(t, uint64(3), a.Version)
@@ -138,30 +138,30 @@
 	now := time.Unix(1000, 0)
 	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(routing(3)))
 	f := forward("a.example", "/x/1", "key-a", now)
-	a, _ := kernel.Admit(now, view, trust, f)
+	a, _ := kernel.Admit(now, view, trustLimit, f)
 	must.Eq(t, now.Add(time.Second), a.Until)
 	f.Deadline = now.Add(300 * time.Millisecond)
-	a, _ = kernel.Admit(now, view, trust, f)
+	a, _ = kernel.Admit(now, view, trustLimit, f)
 	must.Eq(t, f.Deadline, a.Until)
-	_, refusal := kernel.Admit(f.Deadline, view, trust, f)
+	_, refusal := kernel.Admit(f.Deadline, view, trustLimit, f)
 	must.Eq(t, model.DeadlinePassed, refusal.Reason)
 }
 
-func TestStillAdmittedSeesATakenKeyAndAFreeze(t *testing.T) {
+func TestStillAdmittedRefusesRevokedKeysAndStaleRouting(t *testing.T) {
 	now := time.Unix(1000, 0)
 	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(routing(3)))
 	f := forward("a.example", "/x/1", "key-b", now)
 	f.Deadline = time.Time{}
-	a, _ := kernel.Admit(now, view, trust, f)
-	must.Nil(t, kernel.StillAdmitted(now, view, trust, f, a))
+	a, _ := kernel.Admit(now, view, trustLimit, f)
+	must.Nil(t, kernel.StillAdmitted(now, view, trustLimit, f, a))
 
 	revoked := routing(4)
 	revoked.Customers[0].Keys = []string{"key-a"}
 	later := view.With(now, kernel.NewRouteTable(revoked))
-	must.Eq(t, model.Unauthorized, kernel.StillAdmitted(now, later, trust, f, a).Reason)
+	must.Eq(t, model.Unauthorized, kernel.StillAdmitted(now, later, trustLimit, f, a).Reason)
 
 	a.Until = now.Add(time.Hour)
-	frozen := now.Add(trust + time.Second)
-	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(frozen, view, trust, f, a).Reason)
-	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Until, view, trust, f, a).Reason)
+	frozen := now.Add(trustLimit + time.Second)
+	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(frozen, view, trustLimit, f, a).Reason)
+	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Until, view, trustLimit, f, a).Reason)
 }
--- a/kernel/settings_test.go
+++ b/kernel/settings_test.go
@@ -15,7 +15,7 @@
 	_ "basilstall.example/basilstall/service"
 )
 
-const goodTeam = `Team: bilbao
+const validTeam = `Team: bilbao
 Customers:
   - {Name: bar, Token: token-of-bar}
 Pipelines:
@@ -26,25 +26,25 @@
 `
 
 func TestADocumentIsCheckedWhole(t *testing.T) {
-	replaced := func(old, text string) string { return strings.Replace(goodTeam, old, text, 1) }
+	replaced := func(old, text string) string { return strings.Replace(validTeam, old, text, 1) }
 	cases := []struct {
 		name string
 		path string
 		text string
 		says string
 	}{
-		{"good", "teams/bilbao", goodTeam, ""},
+		{"good", "teams/bilbao", validTeam, ""},
 		{"good fleet", "fleet", "Horizon: 30s\n", ""},
-		{"another team's path", "teams/moravia", goodTeam, "the path says"},
-		{"no such path", "nowhere", goodTeam, "a path is"},
+		{"another team's path", "teams/moravia", validTeam, "the path says"},
+		{"no such path", "nowhere", validTeam, "a path is"},
 		{"unknown key", "teams/bilbao", replaced("Deadline: 5s", "Dedline: 5s"), "teams/bilbao:6: "},
 		{"wrong unit", "teams/bilbao", replaced("5s", "5 parsecs"), "teams/bilbao:6: "},
 		{"unknown kind", "teams/bilbao", replaced("Kind: Encode", "Kind: Encipher"), `unknown Kind "Encipher"`},
 		{"short token", "teams/bilbao", replaced("token-of-bar", "short"), "Token"},
-		{"two non-idempotent stages", "teams/bilbao", goodTeam +
+		{"two non-idempotent stages", "teams/bilbao", validTeam +
 			"      - {Name: a, Kind: Call, Pool: p, Operation: o, NonIdempotent: true}\n" +
 			"      - {Name: b, Kind: Call, Pool: p, Operation: o, NonIdempotent: true}\n", "at most one"},
-		{"stage twice", "teams/bilbao", goodTeam + "      - {Name: encode, Kind: Encode, Pool: encoders}\n", "two stages"},
+		{"stage twice", "teams/bilbao", validTeam + "      - {Name: encode, Kind: Encode, Pool: encoders}\n", "two stages"},
 		{"horizon out of range", "fleet", "Horizon: 1ms\n", "Horizon"},
 	}
 	for _, c := range cases {
@@ -60,7 +60,7 @@
 }
 
 func TestABadDocumentLeavesWhatWasInForce(t *testing.T) {
-	good := model.Document{Path: "teams/bilbao", Revision: 1, YAML: goodTeam}
+	good := model.Document{Path: "teams/bilbao", Revision: 1, YAML: validTeam}
 	s, refused := kernel.NewSettings().WithSnapshot(model.Snapshot{Revision: 1, Documents: []model.Document{good}})
 	must.SliceEmpty(t, refused)
 	bad := model.Document{Path: "teams/bilbao", Revision: 2, YAML: "Team: bilbao\n"}
@@ -74,10 +74,10 @@
 }
 
 func TestATokenOfTwoTeamsBelongsToTheEarlierDocumentOnAllNodes(t *testing.T) {
-	other := strings.Replace(goodTeam, "Team: bilbao", "Team: moravia", 1)
+	other := strings.Replace(validTeam, "Team: bilbao", "Team: moravia", 1)
 	documents := []model.Document{
 		{Path: "teams/moravia", Revision: 2, YAML: other},
-		{Path: "teams/bilbao", Revision: 1, YAML: goodTeam},
+		{Path: "teams/bilbao", Revision: 1, YAML: validTeam},
 	}
 	for range 10 {
 		s, _ := kernel.NewSettings().WithSnapshot(model.Snapshot{Revision: 2, Documents: documents})
