--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -299,7 +299,7 @@
 		f.answers = func(node string) bool { return node != isolated }
 		oldest := time.Duration(0)
 		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint("the store refuses ", isolated))
+		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " is refused by the store"))
 
 		f = newReadingFleet(1, 3, 4)
 		for _, p := range f.peers {
