--- a/kernel/routing.go
+++ b/kernel/routing.go
@@ -48,11 +48,11 @@
 	if float64(len(healthy)) >= healthFloor*float64(len(eligible)) && len(healthy) > 0 {
 		return healthy
 	}
-	return leastEjected(eligible, healthy)
+	return withLeastEjected(eligible, healthy)
 }
 
-// leastEjected adds to the healthy candidates those with the fewest ejections, up to the share healthFloor.
-func leastEjected(eligible, healthy []Candidate) []Candidate {
+// withLeastEjected adds to the healthy candidates those with the fewest ejections, up to the share healthFloor.
+func withLeastEjected(eligible, healthy []Candidate) []Candidate {
 	floor := int(math.Ceil(healthFloor * float64(len(eligible))))
 	sorted := slices.Clone(eligible)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
--- a/kernel/settings.go
+++ b/kernel/settings.go
@@ -15,7 +15,7 @@
 	TeamsPath = "teams/"
 
 	defaultHorizon            = 2 * time.Minute
-	defaultFirm               = 6 * time.Second
+	defaultFirmHorizon        = 6 * time.Second
 	defaultRetention          = 10 * time.Minute
 	defaultWeightLoadInterval = 500 * time.Millisecond
 )
@@ -43,7 +43,7 @@
 // NewSettings returns the default settings, of a fleet without documents.
 func NewSettings() Settings {
 	return Settings{
-		Fleet:     model.FleetSettings{Horizon: defaultHorizon, FirmHorizon: defaultFirm, Retention: defaultRetention, WeightLoadEvery: defaultWeightLoadInterval},
+		Fleet:     model.FleetSettings{Horizon: defaultHorizon, FirmHorizon: defaultFirmHorizon, Retention: defaultRetention, WeightLoadEvery: defaultWeightLoadInterval},
 		Documents: map[string]model.Document{},
 		teams:     map[string]model.TeamSettings{},
 		tokens:    map[string]Caller{},
