--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -13,9 +13,9 @@
 	// lapsedGrace is how long after the store answers again an entry that lapsed during the outage is kept, for its
 	// endpoint to be listed again: the platform promises about two seconds.
 	lapsedGrace = 2200 * time.Millisecond
-	// outageThreshold is the time for which the list was not proven current above which entries may have lapsed in between. An
-	// entry outlives three heartbeat intervals of more than a second, and the list is proven current every second,
-	// or every two where an answer is lost.
+	// outageThreshold is how long the list may go without being proven current before entries count as lapsed
+	// during an outage. An entry outlives three heartbeat intervals of more than a second, and the list is proven
+	// current every second, or every two where an answer is lost.
 	outageThreshold = 2400 * time.Millisecond
 )
 
