--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -132,7 +132,7 @@
 	change := kernel.EvacuationChange{Evacuated: domains}
 	for _, domain := range d.evacuations.Domains() {
 		if !slices.Contains(domains, domain) {
-			change.TakenBack = append(change.TakenBack, domain)
+			change.Restored = append(change.Restored, domain)
 		}
 	}
 	evacuations, news := d.evacuations.With(now, change)
@@ -208,7 +208,7 @@
 	estimate := d.estimate(req, job.Weight, job.Work.Stage)
 	waiter := newWaiter(req, job.Weight)
 	waiter.Cost = estimate.Cost()
-	waiter.Latest = estimate.Latest(kernel.StageDeadline(req.Deadline, job.Later))
+	waiter.LatestStart = estimate.LatestStart(kernel.StageDeadline(req.Deadline, job.Later))
 	if refusal := d.refuses(p); refusal != nil {
 		return Result{}, refusal
 	}
@@ -246,7 +246,7 @@
 	if ctx.Err() == context.Canceled {
 		return model.NewRefusal(model.NotRun, model.CallerGone, 0, "the caller went away")
 	}
-	return model.NewRefusal(model.NotRun, model.Overloaded, kernel.RetryAfter(e.Expected()),
+	return model.NewRefusal(model.NotRun, model.Overloaded, kernel.ClampRetryAfter(e.Expected()),
 		"pool "+p.name+" had no place in time")
 }
 
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -35,7 +35,7 @@
 			must.NoError(t, run(t, d))
 			must.EqOp(t, needsPermit, !target.ConnectBy.IsZero())
 			if needsPermit {
-				must.Between(t, before.Add(kernel.PermitLasts).UnixNano(), target.ConnectBy.UnixNano(), time.Now().Add(kernel.PermitLasts).UnixNano())
+				must.Between(t, before.Add(kernel.PermitLifetime).UnixNano(), target.ConnectBy.UnixNano(), time.Now().Add(kernel.PermitLifetime).UnixNano())
 			}
 		})
 	}
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -41,7 +41,7 @@
 		admits func(now time.Time, e model.Endpoint, calledAt time.Time) bool
 		// mayAsk tells whether another node is worth asking for a permit to call an endpoint.
 		mayAsk   func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		limit    kernel.Limit
+		limit    kernel.ConcurrencyLimit
 		queue    *kernel.FairQueue
 		budget   kernel.RetryBudget
 		inFlight int
@@ -96,7 +96,7 @@
 		domain:   domain,
 		plain:    plain,
 		unlisted: map[string]unlistedEndpoint{},
-		limit:    kernel.NewLimit(limitStartPerEndpoint, 1, limitMostPerEndpoint),
+		limit:    kernel.NewConcurrencyLimit(limitStartPerEndpoint, 1, limitMostPerEndpoint),
 		queue:    kernel.NewFairQueue(),
 		budget:   kernel.NewRetryBudget(),
 	}
@@ -131,7 +131,7 @@
 	p.noteUnlisted(now, known)
 	n := float64(max(1, len(listed)))
 	if first {
-		p.limit = kernel.NewLimit(limitStartPerEndpoint*n, 1, limitMostPerEndpoint*n)
+		p.limit = kernel.NewConcurrencyLimit(limitStartPerEndpoint*n, 1, limitMostPerEndpoint*n)
 	}
 	p.limit.Max = limitMostPerEndpoint * n
 }
@@ -228,7 +228,7 @@
 		e.candidate.Load = *load
 		e.candidate.LoadAt = now
 	}
-	reported := kernel.PoolLoadOf(now, p.candidates())
+	reported := kernel.SumPoolLoad(now, p.candidates())
 	median := p.service.Quantile(medianQuantile, fallbackLatency)
 	p.limit = p.limit.WithSlots(p.slots()).WithReply(now, elapsed, median, reported, p.inFlight)
 	p.service.Observe(elapsed)
--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -45,7 +45,7 @@
 	push("burst", 1, 500, 5)
 	push("other", 2, 1, 5)
 	at := func(customer string, weight, seconds int) float64 {
-		return q.Ahead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
+		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
 	}
 	must.EqOp(t, 501, at("burst", 1, 9), must.Sprint("behind all of its own, and what the other has"))
 	must.EqOp(t, 1, at("burst", 1, 3), must.Sprint("its earliest deadline: before its own"))
@@ -126,7 +126,7 @@
 
 func TestCanFinishRefusesAtTheDoorWithATimeToComeBack(t *testing.T) {
 	stage := func(median time.Duration, queued, places float64) kernel.StageEstimate {
-		return kernel.StageEstimate{Median: median, QueuedCost: queued, Places: places}
+		return kernel.StageEstimate{Median: median, QueuedCost: queued, MaxInFlight: places}
 	}
 	cases := []struct {
 		name   string
@@ -151,7 +151,7 @@
 
 func TestLimitGrowsWhileUsedAndIsCutOnceForEachCongestion(t *testing.T) {
 	const median = 50 * time.Millisecond
-	l := kernel.NewLimit(10, 1, 100)
+	l := kernel.NewConcurrencyLimit(10, 1, 100)
 	free := kernel.PoolLoad{Slots: 48}
 	full := kernel.PoolLoad{Queued: 49, Slots: 48}
 	grown := l
@@ -164,10 +164,10 @@
 	must.EqOp(t, 8.5, cut.Value)
 	must.EqOp(t, 8.5, cut.WithReply(ledgerStart.Add(time.Millisecond), median, median, full, 9).Value)
 	for i := range 200 {
-		cut = cut.WithCut(ledgerStart.Add(time.Duration(i)*time.Second), median)
+		cut = cut.WithDecrease(ledgerStart.Add(time.Duration(i)*time.Second), median)
 	}
 	must.EqOp(t, 1, cut.Value)
-	must.EqOp(t, 60, kernel.NewLimit(100, 1, 200).WithSlots(48).Value)
+	must.EqOp(t, 60, kernel.NewConcurrencyLimit(100, 1, 200).WithSlots(48).Value)
 }
 
 func TestRetriesAreAShareOfSuccesses(t *testing.T) {
@@ -191,19 +191,19 @@
 }
 
 func TestRateShareHoldsTheFleetsRateAndForgetsTheIdle(t *testing.T) {
-	var share kernel.RateShare
+	var share kernel.RateBucket
 	taken := 0
 	now := ledgerStart
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		var ok bool
-		if share, ok, _ = share.WithRequest(now, 90, 9); ok {
+		if share, ok, _ = share.Take(now, 90, 9); ok {
 			taken++
 		}
 	}
 	must.Between(t, 100, taken, 111)
-	must.False(t, share.Idle(now))
-	must.True(t, share.Idle(now.Add(2*time.Second)))
+	must.False(t, share.Full(now))
+	must.True(t, share.Full(now.Add(2*time.Second)))
 }
 
 func TestQuantilesFollowWhatIsRecent(t *testing.T) {
--- a/kernel/answered.go
+++ b/kernel/answered.go
@@ -6,9 +6,9 @@
 	"basilstall.example/basilstall/model"
 )
 
-// mostAnswered bounds the answered requests that are remembered, twice over, some 100 bytes each: minutes of a
+// maxAnswered bounds the answered requests that are remembered, twice over, some 100 bytes each: minutes of a
 // node's share of a fleet's requests.
-const mostAnswered = 2048
+const maxAnswered = 2048
 
 // answeredRequests remembers which requests were answered whole, and when last, in two generations: when the younger
 // one is full, the older one is forgotten.
@@ -17,13 +17,13 @@
 }
 
 func (a *answeredRequests) add(now time.Time, digest model.Digest) {
-	if a.young == nil || len(a.young) >= mostAnswered {
+	if a.young == nil || len(a.young) >= maxAnswered {
 		a.young, a.old = make(map[model.Digest]time.Time), a.young
 	}
 	a.young[digest] = now
 }
 
 // since tells whether a request was answered after a time.
-func (a *answeredRequests) since(t time.Time, digest model.Digest) bool {
+func (a *answeredRequests) answeredAfter(t time.Time, digest model.Digest) bool {
 	return a.young[digest].After(t) || a.old[digest].After(t)
 }
--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -69,7 +69,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				benchSink = q.Ahead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
+				benchSink = q.CostAhead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 }
 
 func BenchmarkLimitAndBudget(b *testing.B) {
-	l := kernel.NewLimit(10, 1, 100)
+	l := kernel.NewConcurrencyLimit(10, 1, 100)
 	budget := kernel.NewRetryBudget()
 	load := kernel.PoolLoad{Slots: 48}
 	b.ReportAllocs()
@@ -117,7 +117,7 @@
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{9, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := newGossip(n)
+			g := newGossipSim(n)
 			for range 60 {
 				g.round()
 			}
@@ -133,17 +133,17 @@
 
 // simulateSecond runs two rounds of the first node and returns the bytes that it sends. It receives as many heartbeats
 // as it sends, and each is answered.
-func simulateSecond(g *gossip) int {
+func simulateSecond(g *gossipSim) int {
 	node := g.nodes[0]
 	bytes := 0
 	for range 2 {
 		g.now = g.now.Add(500 * time.Millisecond)
 		for _, info := range node.Members()[1:] {
-			node.Heard(g.now, kernel.News{Member: info.Member, Beat: info.Beat, FailureDomain: "d"})
+			node.RecordHeartbeat(g.now, kernel.GossipUpdate{Member: info.Member, Beat: info.Beat, FailureDomain: "d"})
 		}
 		node.Tick(g.now)
 		for range 2 * len(node.Neighbours()) {
-			data, _ := msgpack.Marshal(node.Outgoing())
+			data, _ := msgpack.Marshal(node.PendingUpdates())
 			bytes += len(data)
 		}
 	}
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -119,7 +119,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			k := kernel.Coordinator{Self: all[c.self], Firm: firm, Horizon: time.Hour, Settle: 2 * time.Second}
+			k := kernel.Coordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
 			now := ledgerStart.Add(c.after)
 			must.EqOp(t, c.want, k.Decide(now, c.row, c.alive, ledgerStart))
 		})
@@ -165,7 +165,7 @@
 	give := func(i, until int) bool {
 		granted, ok := grants[i].Grant(row, 1, at(until))
 		if ok {
-			grants[0].Take(all[i].ID(), 1, granted)
+			grants[0].Record(all[i].ID(), 1, granted)
 		}
 		return ok
 	}
--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// firstFirm keeps the first era, which has few members, short, and gives a new era some
+	// initialFirmHorizon keeps the first era, which has few members, short, and gives a new era some
 	// key time at once.
-	firstFirm = 2 * time.Second
+	initialFirmHorizon = 2 * time.Second
 	// rankDelay is how long each further node waits for those before it to write.
 	rankDelay = 700 * time.Millisecond
 )
@@ -29,11 +29,11 @@
 type Coordinator struct {
 	Self Member
 	// Firm is how far ahead of the present the owners of keys are made final.
-	Firm time.Duration
+	FirmHorizon time.Duration
 	// Horizon is how far ahead of the present key time is given out.
 	Horizon time.Duration
 	// Settle is how long the set of live members must have stood before an era starts.
-	Settle time.Duration
+	StabilityTime time.Duration
 }
 
 // Decide returns what to do, given the row as last read, the members seen alive and since
@@ -46,23 +46,23 @@
 	}
 	waited := now.Sub(stoodSince) - time.Duration(rank)*rankDelay
 	if row.Number == 0 {
-		if waited < k.Settle {
+		if waited < k.StabilityTime {
 			return KeepClaims
 		}
 		return CreateClaims
 	}
-	if !sameMembers(row.Newest().Members, alive) {
-		if waited >= k.Settle && !row.Newest().From.After(now.Add(k.Horizon)) {
+	if !sameMembers(row.NewestEra().Members, alive) {
+		if waited >= k.StabilityTime && !row.NewestEra().From.After(now.Add(k.Horizon)) {
 			return StartEra
 		}
 		// Members that keep coming and going must not let the key time run out.
-		if row.Firm.Sub(now)+time.Duration(rank)*rankDelay < k.Firm/2 {
+		if row.Firm.Sub(now)+time.Duration(rank)*rankDelay < k.FirmHorizon/2 {
 			return ExtendHorizon
 		}
 		return KeepClaims
 	}
 	left := row.Firm.Sub(now) + time.Duration(rank)*rankDelay
-	if left < k.Firm*2/3 {
+	if left < k.FirmHorizon*2/3 {
 		return ExtendHorizon
 	}
 	return KeepClaims
@@ -72,12 +72,12 @@
 // to StartEra.
 func (k Coordinator) Next(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
 	now = now.Truncate(time.Millisecond)
-	firm, horizon := now.Add(k.Firm), now.Add(k.Horizon)
+	firm, horizon := now.Add(k.FirmHorizon), now.Add(k.Horizon)
 	switch action {
 	case CreateClaims:
-		return NewClaims(now, now.Add(min(k.Firm, firstFirm)), horizon, alive, writer)
+		return NewClaims(now, now.Add(min(k.FirmHorizon, initialFirmHorizon)), horizon, alive, writer)
 	case StartEra:
-		return row.WithEra(alive, from, later(firm, later(from, row.Firm).Add(firstFirm)), horizon, writer)
+		return row.WithEra(alive, from, later(firm, later(from, row.Firm).Add(initialFirmHorizon)), horizon, writer)
 	case ExtendHorizon:
 		return row.WithHorizon(firm, horizon, writer)
 	default:
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -94,7 +94,7 @@
 	var change kernel.EvacuationChange
 	for _, r := range m.follower.ApplyDelta(m.now, d) {
 		if r.Removed {
-			change.TakenBack = append(change.TakenBack, r.Key)
+			change.Restored = append(change.Restored, r.Key)
 		} else {
 			change.Evacuated = append(change.Evacuated, r.Key)
 		}
@@ -206,14 +206,14 @@
 	registry := domainsRegistry(now, "engines", "a", "b", "c")
 	for i := range 50 {
 		key := fmt.Sprint("part-", i)
-		home := kernel.HomeDomain(key, registry.Endpoints("engines"))
+		home := kernel.AffinityDomain(key, registry.Endpoints("engines"))
 		away := registry.WithEvacuations(evacuated(now, home))
-		must.NotEq(t, home, kernel.HomeDomain(key, away.Endpoints("engines")))
-		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{TakenBack: []string{home}})
-		must.EqOp(t, home, kernel.HomeDomain(key, away.WithEvacuations(back).Endpoints("engines")))
+		must.NotEq(t, home, kernel.AffinityDomain(key, away.Endpoints("engines")))
+		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
+		must.EqOp(t, home, kernel.AffinityDomain(key, away.WithEvacuations(back).Endpoints("engines")))
 		for _, other := range []string{"a", "b", "c"} {
 			if other != home {
-				must.EqOp(t, home, kernel.HomeDomain(key, registry.WithEvacuations(evacuated(now, other)).Endpoints("engines")))
+				must.EqOp(t, home, kernel.AffinityDomain(key, registry.WithEvacuations(evacuated(now, other)).Endpoints("engines")))
 			}
 		}
 	}
--- a/kernel/fairqueue.go
+++ b/kernel/fairqueue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// finishedSlack is how many tags of idle customers are kept before the old ones are dropped.
-const finishedSlack = 16
+// idleTagSlack is how many tags of idle customers are kept before the old ones are dropped.
+const idleTagSlack = 16
 
 type (
 	// Waiter is a stage call that waits for a place at a pool.
@@ -19,7 +19,7 @@
 		// Deadline orders the waiters of one customer.
 		Deadline time.Time
 		// Latest is when starting becomes useless.
-		Latest time.Time
+		LatestStart time.Time
 		// Ready is called once, when the waiter is taken from the queue.
 		Ready func()
 
@@ -34,18 +34,18 @@
 		customers map[string]*customerQueue
 		// finished keeps the tags of customers that ran out of waiters while ahead of the
 		// virtual time; an older tag says nothing and is dropped.
-		finished map[string]float64
+		idleTags map[string]float64
 		// virtual is the start tag of the customer last served; it never falls.
-		virtual float64
-		length  int
-		cost    float64
+		virtualTime float64
+		length      int
+		cost        float64
 	}
 
 	customerQueue struct {
 		name    string
 		waiters waiterHeap
 		// start is the virtual time at which the customer's next waiter may start.
-		start float64
+		startTag float64
 		// cost is the expected work of its waiters.
 		cost float64
 		// weight is that of the last waiter pushed; at least 1.
@@ -57,7 +57,7 @@
 
 // NewFairQueue returns an empty queue.
 func NewFairQueue() *FairQueue {
-	return &FairQueue{customers: map[string]*customerQueue{}, finished: map[string]float64{}}
+	return &FairQueue{customers: map[string]*customerQueue{}, idleTags: map[string]float64{}}
 }
 
 // Len returns how many wait.
@@ -74,12 +74,12 @@
 func (q *FairQueue) Push(w *Waiter) {
 	c := q.customers[w.Customer]
 	if c == nil {
-		c = &customerQueue{name: w.Customer, start: max(q.virtual, q.finished[w.Customer])}
+		c = &customerQueue{name: w.Customer, startTag: max(q.virtualTime, q.idleTags[w.Customer])}
 		q.customers[w.Customer] = c
-		delete(q.finished, w.Customer)
+		delete(q.idleTags, w.Customer)
 	}
 	w.queue = c
-	c.weight = w.share()
+	c.weight = w.effectiveWeight()
 	c.cost += w.Cost
 	heap.Push(&c.waiters, w)
 	q.length++
@@ -89,7 +89,7 @@
 // Ahead returns the expected work that would be done before a waiter that came now: its own
 // customer's with earlier deadlines, and of each other customer's as much as its share allows
 // in the same time.
-func (q *FairQueue) Ahead(w Waiter) float64 {
+func (q *FairQueue) CostAhead(w Waiter) float64 {
 	own := 0.0
 	if c := q.customers[w.Customer]; c != nil {
 		for _, other := range c.waiters {
@@ -101,13 +101,13 @@
 	ahead := own
 	for name, c := range q.customers {
 		if name != w.Customer {
-			ahead += min(c.cost, (own+w.Cost)*c.weight/w.share())
+			ahead += min(c.cost, (own+w.Cost)*c.weight/w.effectiveWeight())
 		}
 	}
 	return ahead
 }
 
-func (w Waiter) share() float64 {
+func (w Waiter) effectiveWeight() float64 {
 	return float64(max(1, w.Weight))
 }
 
@@ -118,7 +118,7 @@
 		return false
 	}
 	heap.Remove(&c.waiters, w.index)
-	q.forget(c, w)
+	q.accountRemoval(c, w)
 	return true
 }
 
@@ -127,7 +127,7 @@
 func (q *FairQueue) Pop() *Waiter {
 	var next *customerQueue
 	for _, c := range q.customers {
-		if next == nil || c.before(next) {
+		if next == nil || c.servedBefore(next) {
 			next = c
 		}
 	}
@@ -135,41 +135,41 @@
 		return nil
 	}
 	w := heap.Pop(&next.waiters).(*Waiter)
-	q.virtual = max(q.virtual, next.start)
-	next.start = max(next.start, q.virtual) + w.Cost/w.share()
-	q.forget(next, w)
+	q.virtualTime = max(q.virtualTime, next.startTag)
+	next.startTag = max(next.startTag, q.virtualTime) + w.Cost/w.effectiveWeight()
+	q.accountRemoval(next, w)
 	return w
 }
 
 // forget keeps the sums right and drops what idle customers would cost.
-func (q *FairQueue) forget(c *customerQueue, w *Waiter) {
+func (q *FairQueue) accountRemoval(c *customerQueue, w *Waiter) {
 	w.queue = nil
 	q.length--
 	q.cost = max(0, q.cost-w.Cost)
 	c.cost = max(0, c.cost-w.Cost)
 	if len(c.waiters) == 0 {
 		delete(q.customers, c.name)
-		q.finished[c.name] = c.start
+		q.idleTags[c.name] = c.startTag
 	}
-	if len(q.finished) > 2*len(q.customers)+finishedSlack {
-		q.dropOldTags()
+	if len(q.idleTags) > 2*len(q.customers)+idleTagSlack {
+		q.dropExpiredTags()
 	}
 	if q.length == 0 {
 		q.cost = 0
 	}
 }
 
-func (q *FairQueue) dropOldTags() {
-	for name, tag := range q.finished {
-		if tag <= q.virtual || q.length == 0 {
-			delete(q.finished, name)
+func (q *FairQueue) dropExpiredTags() {
+	for name, tag := range q.idleTags {
+		if tag <= q.virtualTime || q.length == 0 {
+			delete(q.idleTags, name)
 		}
 	}
 }
 
-func (c *customerQueue) before(other *customerQueue) bool {
-	if c.start != other.start {
-		return c.start < other.start
+func (c *customerQueue) servedBefore(other *customerQueue) bool {
+	if c.startTag != other.startTag {
+		return c.startTag < other.startTag
 	}
 	return c.waiters[0].Deadline.Before(other.waiters[0].Deadline)
 }
--- a/kernel/health.go
+++ b/kernel/health.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// failuresToEject is how many failures in a row put an endpoint aside.
-	failuresToEject = 3
-	firstEjection   = time.Second
-	longestEjection = 30 * time.Second
-	// healthFloor is the share of a pool that is used however bad its health looks: when
+	// ejectionThreshold is how many failures in a row put an endpoint aside.
+	ejectionThreshold = 3
+	minEjection       = time.Second
+	maxEjection       = 30 * time.Second
+	// minUsableShare is the share of a pool that is used however bad its health looks: when
 	// most of a pool fails, the fault is likely ours or the network's.
-	healthFloor = 0.5
+	minUsableShare = 0.5
 )
 
 // Health is what a node's own calls tell of an endpoint.
@@ -27,12 +27,12 @@
 // WithFailure returns the health after a failed call.
 func (h Health) WithFailure(now time.Time) Health {
 	h.Failures++
-	if h.Failures < failuresToEject && !h.Probing {
+	if h.Failures < ejectionThreshold && !h.Probing {
 		return h
 	}
 	h.Probing = false
-	d := firstEjection << min(h.Ejections, 10)
-	h.EjectedUntil = now.Add(min(d, longestEjection))
+	d := minEjection << min(h.Ejections, 10)
+	h.EjectedUntil = now.Add(min(d, maxEjection))
 	h.Ejections++
 	return h
 }
@@ -40,7 +40,7 @@
 // WithUnreachable returns the health after a connection could not be opened: whatever the reason,
 // the next call would only wait as long for its failure, so the endpoint is put aside at once.
 func (h Health) WithUnreachable(now time.Time) Health {
-	h.Failures = max(h.Failures, failuresToEject-1)
+	h.Failures = max(h.Failures, ejectionThreshold-1)
 	return h.WithFailure(now)
 }
 
--- a/kernel/leaving_test.go
+++ b/kernel/leaving_test.go
@@ -26,7 +26,7 @@
 		{"a unary request at the end", unary, time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			refusal := kernel.TakeWhileLeaving(now, now.Add(tc.left), tc.route)
+			refusal := kernel.AdmitWhileLeaving(now, now.Add(tc.left), tc.route)
 			must.Eq(t, tc.taken, refusal == nil)
 			if refusal != nil {
 				must.Eq(t, model.NotRun, refusal.Verdict)
--- a/kernel/limit.go
+++ b/kernel/limit.go
@@ -5,35 +5,35 @@
 )
 
 const (
-	limitCut = 0.85
-	// limitGrowth is how much a limit grows with each reply while it is in use: a tenth in
+	limitDecreaseFactor = 0.85
+	// limitIncrease is how much a limit grows with each reply while it is in use: a tenth in
 	// each round of calls.
-	limitGrowth = 0.1
-	// limitCutSoonest is the least time between two cuts.
-	limitCutSoonest = 100 * time.Millisecond
-	// limitQueueShare is how much queue at the endpoints, as a share of their slots, is
+	limitIncrease = 0.1
+	// minDecreaseInterval is the least time between two cuts.
+	minDecreaseInterval = 100 * time.Millisecond
+	// congestedQueueShare is how much queue at the endpoints, as a share of their slots, is
 	// taken for congestion. Some queue keeps them busy although the nodes' views lag and
 	// their choices clash; docs/design/limits.md has the measurement.
-	limitQueueShare = 1.0
+	congestedQueueShare = 1.0
 	// limitSlotsFactor bounds a limit by the pool's slots: a node may use the whole pool while
 	// the others idle.
 	limitSlotsFactor = 1.25
-	// limitSlowFactor is how far above the median the latency may rise before it is taken
+	// congestedLatencyFactor is how far above the median the latency may rise before it is taken
 	// for congestion, where endpoints do not report their load.
-	limitSlowFactor = 4
+	congestedLatencyFactor = 4
 )
 
 type (
 	// Limit is one node's limit on calls in flight to a pool. It grows while it is used
 	// without congestion and is cut by a share on congestion, at most once in the time in
 	// which a cut can show its effect.
-	Limit struct {
+	ConcurrencyLimit struct {
 		// Value is between Min and Max.
 		Value float64
 		Min   float64
 		Max   float64
-		// LastCut is when Value was last cut.
-		LastCut time.Time
+		// LastDecrease is when Value was last cut.
+		LastDecrease time.Time
 	}
 
 	// PoolLoad sums up what the endpoints of a pool last reported.
@@ -44,13 +44,13 @@
 	}
 )
 
-// NewLimit returns a limit that starts at a value.
-func NewLimit(start, least, most float64) Limit {
-	return Limit{Value: start, Min: least, Max: most}
+// NewConcurrencyLimit returns a limit that starts at a value.
+func NewConcurrencyLimit(start, least, most float64) ConcurrencyLimit {
+	return ConcurrencyLimit{Value: start, Min: least, Max: most}
 }
 
-// PoolLoadOf sums up the fresh reports of a pool's endpoints.
-func PoolLoadOf(now time.Time, reports []Candidate) PoolLoad {
+// SumPoolLoad sums up the fresh reports of a pool's endpoints.
+func SumPoolLoad(now time.Time, reports []Candidate) PoolLoad {
 	var sum PoolLoad
 	for _, c := range reports {
 		if !c.Endpoint.TakesWork() || now.Sub(c.LoadAt) > loadReportTTL {
@@ -63,29 +63,29 @@
 }
 
 // WithReply returns the limit after a reply. The median is the pool's service time.
-func (l Limit) WithReply(now time.Time, latency, median time.Duration, load PoolLoad, inFlight int) Limit {
+func (l ConcurrencyLimit) WithReply(now time.Time, latency, median time.Duration, load PoolLoad, inFlight int) ConcurrencyLimit {
 	if load.congested(latency, median) {
-		return l.WithCut(now, median)
+		return l.WithDecrease(now, median)
 	}
 	if float64(inFlight) < l.Value/2 {
 		return l
 	}
-	l.Value = min(l.Max, l.Value+limitGrowth)
+	l.Value = min(l.Max, l.Value+limitIncrease)
 	return l
 }
 
-// WithCut returns the limit after a sign of congestion.
-func (l Limit) WithCut(now time.Time, median time.Duration) Limit {
-	if now.Sub(l.LastCut) < max(limitCutSoonest, median) {
+// WithDecrease returns the limit after a sign of congestion.
+func (l ConcurrencyLimit) WithDecrease(now time.Time, median time.Duration) ConcurrencyLimit {
+	if now.Sub(l.LastDecrease) < max(minDecreaseInterval, median) {
 		return l
 	}
-	l.LastCut = now
-	l.Value = max(l.Min, l.Value*limitCut)
+	l.LastDecrease = now
+	l.Value = max(l.Min, l.Value*limitDecreaseFactor)
 	return l
 }
 
 // WithSlots returns the limit bounded by the pool's slots, as far as they are known.
-func (l Limit) WithSlots(slots int) Limit {
+func (l ConcurrencyLimit) WithSlots(slots int) ConcurrencyLimit {
 	if slots == 0 {
 		return l
 	}
@@ -95,13 +95,13 @@
 }
 
 // Allows tells whether one more call may start.
-func (l Limit) Allows(inFlight int) bool {
+func (l ConcurrencyLimit) Allows(inFlight int) bool {
 	return float64(inFlight) < l.Value
 }
 
 func (p PoolLoad) congested(latency, median time.Duration) bool {
 	if p.Slots > 0 {
-		return float64(p.Queued) > limitQueueShare*float64(p.Slots)
+		return float64(p.Queued) > congestedQueueShare*float64(p.Slots)
 	}
-	return median > 0 && latency > limitSlowFactor*median
+	return median > 0 && latency > congestedLatencyFactor*median
 }
--- a/kernel/membership.go
+++ b/kernel/membership.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// SilentAfter is how long a neighbour may say nothing before it is accused.
-	SilentAfter = 2500 * time.Millisecond
-	// accusersNeeded is how many nodes must accuse a member before it counts as dead: one
+	// HeartbeatTimeout is how long a neighbour may say nothing before it is accused.
+	HeartbeatTimeout = 2500 * time.Millisecond
+	// suspicionQuorum is how many nodes must accuse a member before it counts as dead: one
 	// cut connection accuses both its ends, wrongly.
-	accusersNeeded = 2
-	// accusationLasts is how long an accusation counts.
-	accusationLasts = 10 * time.Second
-	// newsMost bounds the news on one heartbeat.
-	newsMost = 16
-	// newsRounds times the logarithm of the fleet's size is for how many rounds a piece of
+	suspicionQuorum = 2
+	// suspicionTTL is how long an accusation counts.
+	suspicionTTL = 10 * time.Second
+	// maxHeartbeatUpdates bounds the news on one heartbeat.
+	maxHeartbeatUpdates = 16
+	// retransmitMultiplier times the logarithm of the fleet's size is for how many rounds a piece of
 	// news is sent.
-	newsRounds = 2
-	// forgetAfter is how long a dead member is remembered, so that the lagging list does not
+	retransmitMultiplier = 2
+	// deadRetention is how long a dead member is remembered, so that the lagging list does not
 	// bring it back.
-	forgetAfter = 2 * time.Minute
+	deadRetention = 2 * time.Minute
 )
 
 // MemberState is what the fleet holds of a member.
@@ -37,7 +37,7 @@
 type (
 	// News is something that nodes pass on to each other. Exactly one of the three kinds:
 	// a member's state, an accusation, or an endpoint that is leaving.
-	News struct {
+	GossipUpdate struct {
 		Member Member
 		// Beat orders the news of one incarnation; only the member itself raises it.
 		Beat          uint64
@@ -57,11 +57,11 @@
 		State         MemberState
 		Beat          uint64
 		// Heard is when the member itself last spoke to this node.
-		Heard time.Time
+		LastHeard time.Time
 		// Changed is when State last changed.
-		Changed time.Time
+		StateChangedAt time.Time
 
-		accusers map[string]time.Time
+		suspectedBy map[string]time.Time
 	}
 
 	// Membership is a node's view of the fleet, from the platform's list, from heartbeats to
@@ -69,31 +69,31 @@
 	Membership struct {
 		self    MemberInfo
 		members map[string]*MemberInfo
-		news    []outgoing
-		// stoodSince is when the set of live members last changed.
-		stoodSince time.Time
+		queue   []queuedUpdate
+		// stableSince is when the set of live members last changed.
+		stableSince time.Time
 		// turn picks the dead member that is tried next.
-		turn int
-		// watchedSince holds the members that the node should hear of.
-		watchedSince map[string]time.Time
+		deadIndex int
+		// monitoredSince holds the members that the node should hear of.
+		monitoredSince map[string]time.Time
 		// order is the ring, nil after a change.
-		order []string
-		// longTurn picks the far member that is heartbeaten next.
-		longTurn int
+		sortedNames []string
+		// farIndex picks the far member that is heartbeaten next.
+		farIndex int
 	}
 
-	outgoing struct {
-		news News
+	queuedUpdate struct {
+		update GossipUpdate
 		// left counts the rounds in which it is still sent.
-		left int
+		roundsLeft int
 	}
 )
 
 // NewMembership returns the view of a node that knows only itself.
 func NewMembership(now time.Time, self Member, domain string) *Membership {
-	info := MemberInfo{Member: self, FailureDomain: domain, State: MemberAlive, Beat: 1, Heard: now, Changed: now}
-	m := &Membership{self: info, members: map[string]*MemberInfo{}, stoodSince: now}
-	m.tell(m.selfNews())
+	info := MemberInfo{Member: self, FailureDomain: domain, State: MemberAlive, Beat: 1, LastHeard: now, StateChangedAt: now}
+	m := &Membership{self: info, members: map[string]*MemberInfo{}, stableSince: now}
+	m.enqueue(m.selfUpdate())
 	return m
 }
 
@@ -106,8 +106,8 @@
 func (m *Membership) Leave(now time.Time) {
 	m.self.State = MemberLeaving
 	m.self.Beat++
-	m.stoodSince = now
-	m.tell(m.selfNews())
+	m.stableSince = now
+	m.enqueue(m.selfUpdate())
 }
 
 // Alive returns the live members, the node itself among them unless it leaves, in order.
@@ -124,9 +124,9 @@
 	return sortedMembers(out)
 }
 
-// StoodSince returns since when the set of live members has not changed.
-func (m *Membership) StoodSince() time.Time {
-	return m.stoodSince
+// StableSince returns since when the set of live members has not changed.
+func (m *Membership) StableSince() time.Time {
+	return m.stableSince
 }
 
 // Members returns what is known of all members, the node itself first.
@@ -140,72 +140,72 @@
 }
 
 // Heard notes that a member itself spoke.
-func (m *Membership) Heard(now time.Time, news News) {
-	m.Take(now, news)
+func (m *Membership) RecordHeartbeat(now time.Time, news GossipUpdate) {
+	m.Apply(now, news)
 	info := m.members[news.Member.Node]
 	if info == nil || info.Member.ID() != news.Member.ID() {
 		return
 	}
-	info.Heard = now
-	clear(info.accusers)
+	info.LastHeard = now
+	clear(info.suspectedBy)
 	if info.State == MemberDead {
 		// It does not know that it is held dead: the news makes it raise its beat.
-		m.tell(info.news())
+		m.enqueue(info.update())
 	}
 }
 
 // Listed notes that the platform's list names a member. The list lags: it introduces members
 // that are not known, and says nothing of those that are.
-func (m *Membership) Listed(now time.Time, member Member, domain string) {
+func (m *Membership) AddListed(now time.Time, member Member, domain string) {
 	if _, known := m.members[member.Node]; known || member.Node == m.self.Member.Node {
 		return
 	}
-	m.Take(now, News{Member: member, FailureDomain: domain, State: MemberAlive})
+	m.Apply(now, GossipUpdate{Member: member, FailureDomain: domain, State: MemberAlive})
 }
 
 // Take takes a piece of news in and passes it on if it is new. It reports whether it was.
-func (m *Membership) Take(now time.Time, news News) bool {
+func (m *Membership) Apply(now time.Time, news GossipUpdate) bool {
 	if news.Member.Node == m.self.Member.Node {
 		m.refute(news)
 		return false
 	}
 	if news.Accuser != "" {
-		return m.accuse(now, news)
+		return m.recordSuspicion(now, news)
 	}
 	info := m.members[news.Member.Node]
 	if info != nil && !supersedes(news, info) {
 		return false
 	}
-	m.put(now, news)
-	m.tell(news)
+	m.setMember(now, news)
+	m.enqueue(news)
 	return true
 }
 
-// PassOn queues the news that an endpoint is leaving.
-func (m *Membership) PassOn(pool, endpoint string) {
-	m.tell(News{Pool: pool, Endpoint: endpoint})
+// AnnounceLeaving queues the news that an endpoint is leaving.
+func (m *Membership) AnnounceLeaving(pool, endpoint string) {
+	m.enqueue(GossipUpdate{Pool: pool, Endpoint: endpoint})
 }
 
 // Tick begins a round of heartbeats: it accuses members that went silent, forgets those long
 // dead, and drops news that was sent for enough rounds.
 func (m *Membership) Tick(now time.Time) {
-	for i := range m.news {
-		m.news[i].left--
+	for i := range m.queue {
+		m.queue[i].roundsLeft--
 	}
-	m.news = slices.DeleteFunc(m.news, func(o outgoing) bool { return o.left <= 0 })
-	for _, name := range m.watch(now) {
+	m.queue = slices.DeleteFunc(m.queue, func(o queuedUpdate) bool { return o.roundsLeft <= 0 })
+	for _, name := range m.updateMonitored(now) {
 		info := m.members[name]
-		if info == nil || now.Sub(info.Heard) < SilentAfter || now.Sub(m.watchedSince[name]) < SilentAfter {
+		if info == nil || now.Sub(info.LastHeard) < HeartbeatTimeout || now.Sub(m.monitoredSince[name]) < HeartbeatTimeout {
 			continue
 		}
-		m.Take(now, News{Member: info.Member, Beat: info.Beat, Accuser: m.self.Member.Node})
+		m.Apply(now, GossipUpdate{Member: info.Member, Beat: info.Beat, Accuser: m.self.Member.Node})
 	}
 	for name, info := range m.members {
-		if info.State == MemberDead && now.Sub(info.Changed) > forgetAfter {
+		if info.State == MemberDead && now.Sub(info.StateChangedAt) > deadRetention {
 			delete(m.members, name)
 		}
-		if info.State == MemberLeaving && now.Sub(info.Heard) > SilentAfter && now.Sub(info.Changed) > SilentAfter {
-			m.put(now, News{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
+		if info.State == MemberLeaving && now.Sub(info.LastHeard) > HeartbeatTimeout && now.Sub(info.StateChangedAt) > HeartbeatTimeout {
+			m.setMember(now, GossipUpdate{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
 		}
 	}
 }
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -11,7 +11,7 @@
 
 // gossip drives the memberships of a fleet with made-up time: each round, every node that is
 // up heartbeats its neighbours over links that are not cut.
-type gossip struct {
+type gossipSim struct {
 	now   time.Time
 	nodes []*kernel.Membership
 	names map[string]int
@@ -19,13 +19,13 @@
 	cut   func(a, b int) bool
 }
 
-func newGossip(n int) *gossip {
-	g := &gossip{now: ledgerStart, names: map[string]int{}, down: map[int]bool{}, cut: func(int, int) bool { return false }}
+func newGossipSim(n int) *gossipSim {
+	g := &gossipSim{now: ledgerStart, names: map[string]int{}, down: map[int]bool{}, cut: func(int, int) bool { return false }}
 	all := members(n)
 	for i, m := range all {
 		node := kernel.NewMembership(g.now, m, "d")
 		for _, other := range all {
-			node.Listed(g.now, other, "d")
+			node.AddListed(g.now, other, "d")
 		}
 		g.nodes = append(g.nodes, node)
 		g.names[m.Node] = i
@@ -35,7 +35,7 @@
 
 // round lets all heartbeats of one period pass at the same moment, then all their answers: in
 // a round news gets two steps further at most.
-func (g *gossip) round() {
+func (g *gossipSim) round() {
 	g.now = g.now.Add(500 * time.Millisecond)
 	var pairs [][2]int
 	for a, node := range g.nodes {
@@ -54,22 +54,22 @@
 	g.exchange(pairs, 1, 0)
 }
 
-func (g *gossip) exchange(pairs [][2]int, from, to int) {
-	all := make([][]kernel.News, len(pairs))
+func (g *gossipSim) exchange(pairs [][2]int, from, to int) {
+	all := make([][]kernel.GossipUpdate, len(pairs))
 	for i, pair := range pairs {
-		all[i] = g.nodes[pair[from]].Outgoing()
+		all[i] = g.nodes[pair[from]].PendingUpdates()
 	}
 	for i, pair := range pairs {
 		node := g.nodes[pair[to]]
-		node.Heard(g.now, all[i][0])
+		node.RecordHeartbeat(g.now, all[i][0])
 		for _, n := range all[i][1:] {
-			node.Take(g.now, n)
+			node.Apply(g.now, n)
 		}
 	}
 }
 
 // agreed counts the nodes that are up and see just so many alive.
-func (g *gossip) agreed(alive int) int {
+func (g *gossipSim) countSeeing(alive int) int {
 	n := 0
 	for i, node := range g.nodes {
 		if !g.down[i] && len(node.Alive()) == alive {
@@ -79,70 +79,70 @@
 	return n
 }
 
-func (g *gossip) until(t *testing.T, alive int) time.Duration {
+func (g *gossipSim) runUntil(t *testing.T, alive int) time.Duration {
 	t.Helper()
 	began := g.now
 	for range 200 {
 		g.round()
-		if g.agreed(alive) == len(g.nodes)-len(g.down) {
+		if g.countSeeing(alive) == len(g.nodes)-len(g.down) {
 			return g.now.Sub(began)
 		}
 	}
-	t.Fatalf("%d of %d nodes see %d alive", g.agreed(alive), len(g.nodes)-len(g.down), alive)
+	t.Fatalf("%d of %d nodes see %d alive", g.countSeeing(alive), len(g.nodes)-len(g.down), alive)
 	return 0
 }
 
 func TestADeadMemberIsKnownEverywhereWithinSeconds(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 100, 400} {
-		g := newGossip(n)
+		g := newGossipSim(n)
 		for range 60 {
 			g.round()
 		}
 		g.down[n/2] = true
-		took := g.until(t, n-1)
+		took := g.runUntil(t, n-1)
 		t.Logf("%d nodes: %s", n, took)
 		must.LessEq(t, 8*time.Second, took)
 		delete(g.down, n/2)
-		must.LessEq(t, 8*time.Second, g.until(t, n))
+		must.LessEq(t, 8*time.Second, g.runUntil(t, n))
 	}
 }
 
 func TestACutLinkKillsNobody(t *testing.T) {
-	g := newGossip(9)
+	g := newGossipSim(9)
 	g.cut = func(a, b int) bool { return a+b == 1 }
 	for range 60 {
 		g.round()
-		must.EqOp(t, 9, g.agreed(9))
+		must.EqOp(t, 9, g.countSeeing(9))
 	}
 }
 
 func TestARegionThatIsCutOffComesBack(t *testing.T) {
-	g := newGossip(9)
+	g := newGossipSim(9)
 	g.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
 	for range 40 {
 		g.round()
 	}
-	must.EqOp(t, 3, g.agreed(3))
-	must.EqOp(t, 6, g.agreed(6))
+	must.EqOp(t, 3, g.countSeeing(3))
+	must.EqOp(t, 6, g.countSeeing(6))
 	g.cut = func(int, int) bool { return false }
-	t.Logf("together again after %s", g.until(t, 9))
+	t.Logf("together again after %s", g.runUntil(t, 9))
 }
 
 func TestALeavingMemberIsNotAliveAndSoonForgotten(t *testing.T) {
-	g := newGossip(9)
+	g := newGossipSim(9)
 	g.round()
 	g.nodes[4].Leave(g.now)
-	g.until(t, 8)
+	g.runUntil(t, 8)
 	g.down[4] = true
-	g.until(t, 8)
+	g.runUntil(t, 8)
 }
 
 func TestARestartedProcessReplacesTheOldOne(t *testing.T) {
 	m := kernel.NewMembership(ledgerStart, members(1)[0], "d")
 	old := kernel.Member{Node: "x", Incarnation: "1"}
 	fresh := kernel.Member{Node: "x", Incarnation: "2"}
-	m.Take(ledgerStart, kernel.News{Member: fresh, Beat: 1})
-	must.False(t, m.Take(ledgerStart, kernel.News{Member: old, Beat: 99}))
-	must.False(t, m.Take(ledgerStart, kernel.News{Member: old, Beat: 100, State: kernel.MemberDead}))
+	m.Apply(ledgerStart, kernel.GossipUpdate{Member: fresh, Beat: 1})
+	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 99}))
+	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 100, State: kernel.MemberDead}))
 	must.Len(t, 2, m.Alive())
 }
--- a/kernel/membershipnews.go
+++ b/kernel/membershipnews.go
@@ -8,24 +8,24 @@
 
 // Outgoing returns the news for one heartbeat: the node's own state first, then what it
 // learned last.
-func (m *Membership) Outgoing() []News {
-	out := []News{m.selfNews()}
-	for i := len(m.news) - 1; i >= 0 && len(out) < newsMost; i-- {
-		out = append(out, m.news[i].news)
+func (m *Membership) PendingUpdates() []GossipUpdate {
+	out := []GossipUpdate{m.selfUpdate()}
+	for i := len(m.queue) - 1; i >= 0 && len(out) < maxHeartbeatUpdates; i-- {
+		out = append(out, m.queue[i].update)
 	}
 	return out
 }
 
-func (m *Membership) selfNews() News {
-	return m.self.news()
+func (m *Membership) selfUpdate() GossipUpdate {
+	return m.self.update()
 }
 
-func (i MemberInfo) news() News {
-	return News{Member: i.Member, Beat: i.Beat, State: i.State, FailureDomain: i.FailureDomain}
+func (i MemberInfo) update() GossipUpdate {
+	return GossipUpdate{Member: i.Member, Beat: i.Beat, State: i.State, FailureDomain: i.FailureDomain}
 }
 
 // refute answers news that the node itself is dead or accused: it raises its beat.
-func (m *Membership) refute(news News) {
+func (m *Membership) refute(news GossipUpdate) {
 	if news.Member.ID() != m.self.Member.ID() || news.Beat < m.self.Beat {
 		return
 	}
@@ -33,33 +33,33 @@
 		return
 	}
 	m.self.Beat = news.Beat + 1
-	m.tell(m.selfNews())
+	m.enqueue(m.selfUpdate())
 }
 
-func (m *Membership) accuse(now time.Time, news News) bool {
+func (m *Membership) recordSuspicion(now time.Time, news GossipUpdate) bool {
 	info := m.members[news.Member.Node]
 	if info == nil || info.State == MemberDead || info.Member.ID() != news.Member.ID() || news.Beat < info.Beat {
 		return false
 	}
-	if at, known := info.accusers[news.Accuser]; known && now.Sub(at) < accusationLasts {
+	if at, known := info.suspectedBy[news.Accuser]; known && now.Sub(at) < suspicionTTL {
 		return false
 	}
-	if info.accusers == nil {
-		info.accusers = map[string]time.Time{}
+	if info.suspectedBy == nil {
+		info.suspectedBy = map[string]time.Time{}
 	}
-	info.accusers[news.Accuser] = now
-	m.tell(news)
-	if m.accusersOf(now, info) >= m.needed() {
-		m.Take(now, News{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
+	info.suspectedBy[news.Accuser] = now
+	m.enqueue(news)
+	if m.countSuspicions(now, info) >= m.requiredSuspicions() {
+		m.Apply(now, GossipUpdate{Member: info.Member, Beat: info.Beat, State: MemberDead, FailureDomain: info.FailureDomain})
 	}
 	return true
 }
 
-func (m *Membership) accusersOf(now time.Time, info *MemberInfo) int {
+func (m *Membership) countSuspicions(now time.Time, info *MemberInfo) int {
 	n := 0
-	for accuser, at := range info.accusers {
-		if now.Sub(at) > accusationLasts {
-			delete(info.accusers, accuser)
+	for accuser, at := range info.suspectedBy {
+		if now.Sub(at) > suspicionTTL {
+			delete(info.suspectedBy, accuser)
 			continue
 		}
 		n++
@@ -68,30 +68,30 @@
 }
 
 // needed is lower in a fleet so small that there are no two accusers.
-func (m *Membership) needed() int {
+func (m *Membership) requiredSuspicions() int {
 	others := 0
 	for _, info := range m.members {
 		if info.State != MemberDead {
 			others++
 		}
 	}
-	return max(1, min(accusersNeeded, others))
+	return max(1, min(suspicionQuorum, others))
 }
 
-func (m *Membership) put(now time.Time, news News) {
+func (m *Membership) setMember(now time.Time, news GossipUpdate) {
 	info := m.members[news.Member.Node]
-	m.order = nil
+	m.sortedNames = nil
 	if info == nil || info.Member.ID() != news.Member.ID() {
-		info = &MemberInfo{Heard: now, Changed: now}
+		info = &MemberInfo{LastHeard: now, StateChangedAt: now}
 		m.members[news.Member.Node] = info
-		m.stoodSince = now
+		m.stableSince = now
 	}
 	if info.State != news.State {
-		info.Changed = now
-		m.stoodSince = now
+		info.StateChangedAt = now
+		m.stableSince = now
 	}
 	if news.State == MemberAlive && info.State == MemberDead {
-		info.Heard = now
+		info.LastHeard = now
 	}
 	info.Member = news.Member
 	info.State = news.State
@@ -99,22 +99,22 @@
 	if news.FailureDomain != "" {
 		info.FailureDomain = news.FailureDomain
 	}
-	clear(info.accusers)
+	clear(info.suspectedBy)
 }
 
-func (m *Membership) tell(news News) {
-	m.news = slices.DeleteFunc(m.news, func(o outgoing) bool { return sameSubject(o.news, news) })
-	rounds := newsRounds * bits.Len(uint(len(m.members)+1))
-	m.news = append(m.news, outgoing{news: news, left: rounds})
+func (m *Membership) enqueue(news GossipUpdate) {
+	m.queue = slices.DeleteFunc(m.queue, func(o queuedUpdate) bool { return sameSubject(o.update, news) })
+	rounds := retransmitMultiplier * bits.Len(uint(len(m.members)+1))
+	m.queue = append(m.queue, queuedUpdate{update: news, roundsLeft: rounds})
 }
 
-func sameSubject(a, b News) bool {
+func sameSubject(a, b GossipUpdate) bool {
 	return a.Member.Node == b.Member.Node && a.Accuser == b.Accuser && a.Pool == b.Pool && a.Endpoint == b.Endpoint
 }
 
 // supersedes tells whether news is newer than what is known. Incarnations are UUIDv7, so a
 // later start sorts higher.
-func supersedes(news News, info *MemberInfo) bool {
+func supersedes(news GossipUpdate, info *MemberInfo) bool {
 	if news.Member.Incarnation != info.Member.Incarnation {
 		return news.Member.Incarnation > info.Member.Incarnation
 	}
--- a/kernel/membershipring.go
+++ b/kernel/membershipring.go
@@ -16,26 +16,26 @@
 	ring := m.ring()
 	at := slices.Index(ring, m.self.Member.Node)
 	var out []MemberInfo
-	for _, step := range append([]int{1, 2, 4}, m.longStep(len(ring))...) {
+	for _, step := range append([]int{1, 2, 4}, m.farStep(len(ring))...) {
 		if step < len(ring) {
 			out = append(out, *m.members[ring[(at+step)%len(ring)]])
 		}
 	}
 	if dead, ok := m.nextDead(); ok {
-		m.tell(dead.news())
+		m.enqueue(dead.update())
 		out = append(out, dead)
 	}
 	return out
 }
 
-func (m *Membership) longStep(ringSize int) []int {
+func (m *Membership) farStep(ringSize int) []int {
 	const shortest = 8
 	if ringSize <= shortest {
 		return nil
 	}
-	m.longTurn++
+	m.farIndex++
 	steps := bits.Len(uint(ringSize-1)) - bits.Len(shortest) + 1
-	return []int{shortest << (m.longTurn % steps)}
+	return []int{shortest << (m.farIndex % steps)}
 }
 
 func (m *Membership) nextDead() (MemberInfo, bool) {
@@ -49,27 +49,27 @@
 		return MemberInfo{}, false
 	}
 	slices.SortFunc(dead, func(a, b MemberInfo) int { return strings.Compare(a.Member.Node, b.Member.Node) })
-	m.turn++
-	return dead[m.turn%len(dead)], true
+	m.deadIndex++
+	return dead[m.deadIndex%len(dead)], true
 }
 
 // watch returns whom the node should hear of, and notes since when: a member that was not a
 // neighbour before had no reason to speak.
-func (m *Membership) watch(now time.Time) []string {
-	names := m.watched()
+func (m *Membership) updateMonitored(now time.Time) []string {
+	names := m.monitored()
 	since := make(map[string]time.Time, len(names))
 	for _, name := range names {
 		since[name] = now
-		if before, was := m.watchedSince[name]; was {
+		if before, was := m.monitoredSince[name]; was {
 			since[name] = before
 		}
 	}
-	m.watchedSince = since
+	m.monitoredSince = since
 	return names
 }
 
 // watched returns whom the node should hear of: its neighbours and those it is one to.
-func (m *Membership) watched() []string {
+func (m *Membership) monitored() []string {
 	ring := m.ring()
 	at := slices.Index(ring, m.self.Member.Node)
 	var out []string
@@ -83,15 +83,15 @@
 
 // ring returns the names of all members that are not dead, in order.
 func (m *Membership) ring() []string {
-	if m.order != nil {
-		return m.order
+	if m.sortedNames != nil {
+		return m.sortedNames
 	}
-	m.order = []string{m.self.Member.Node}
+	m.sortedNames = []string{m.self.Member.Node}
 	for name, info := range m.members {
 		if info.State != MemberDead {
-			m.order = append(m.order, name)
+			m.sortedNames = append(m.sortedNames, name)
 		}
 	}
-	slices.Sort(m.order)
-	return m.order
+	slices.Sort(m.sortedNames)
+	return m.sortedNames
 }
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -70,11 +70,11 @@
 func TestRequestsAndPiecesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
 	t.Parallel()
 	part := mixedTable().Share("mixed")
-	for _, terms := range []kernel.ColdTerms{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{4, 9.4, 50, 1000} {
 			perView := 0
-			for _, share := range []kernel.ColdShare{terms.PartShare(part, rate), terms.PartShare(part, rate).Single()} {
-				perView += share.Senders * int((1800*time.Millisecond+share.Pause-1)/share.Pause)
+			for _, share := range []kernel.ColdShare{terms.FractionalShare(part, rate), terms.FractionalShare(part, rate).ForSingleSender()} {
+				perView += share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
 			}
 			must.LessEq(t, int(max(rate, rate*terms.Excess+terms.Slack)), 2*perView, must.Sprint(terms, rate))
 		}
--- a/kernel/placement.go
+++ b/kernel/placement.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// prefillSpread is how many tokens more than the least loaded engine of its choice an engine
+	// maxExtraPrefillTokens is how many tokens more than the least loaded engine of its choice an engine
 	// may have to read before a prompt moves on to its next one: reading them takes about as long
 	// as reading a long shared prefix again.
-	prefillSpread = 6000
-	// decodeTokens is what a request that generates counts for beside the tokens to be read: its
+	maxExtraPrefillTokens = 6000
+	// decodeLoadTokens is what a request that generates counts for beside the tokens to be read: its
 	// share of the step time of the others, in tokens.
-	decodeTokens = 150
-	// smallMove is how many bytes are moved between failure domains without waiting for an endpoint
+	decodeLoadTokens = 150
+	// smallTransferBytes is how many bytes are moved between failure domains without waiting for an endpoint
 	// where they lie: less than a millisecond of a usual link.
-	smallMove = 100_000
+	smallTransferBytes = 100_000
 	// localityWaitShare is the part of a group's slack that it may wait for a worker near its inputs: with three stages
 	// on the way half of it is left for queues.
 	localityWaitShare = 1.0 / 6
-	// slotShare is the share of an engine's slots that may be taken before others are preferred.
-	slotShare = 0.9
+	// maxSlotShare is the share of an engine's slots that may be taken before others are preferred.
+	maxSlotShare = 0.9
 )
 
-// EngineChoice is an engine that may get a prompt.
-type EngineChoice struct {
+// EngineCandidate is an engine that may get a prompt.
+type EngineCandidate struct {
 	Candidate
 	// Reading is how many prompt tokens this node's requests there have still to be read.
-	Reading int
+	PendingPrefillTokens int
 }
 
 // AffinityKey returns the part of a prompt that decides where it goes: the last one that other
@@ -44,9 +44,9 @@
 	}
 }
 
-// HomeDomain returns the failure domain of the engine where all nodes place the prompts of a key,
+// AffinityDomain returns the failure domain of the engine where all nodes place the prompts of a key,
 // so that stages can make their results near it. Empty for no engines.
-func HomeDomain(key string, engines []model.Endpoint) string {
+func AffinityDomain(key string, engines []model.Endpoint) string {
 	best, domain := uint64(0), ""
 	for _, e := range engines {
 		if !e.TakesWork() {
@@ -63,7 +63,7 @@
 // how many bytes they would else move: for its next call, whose full length is given, as far as that leaves them on
 // time.
 func LocalityWait(bytes int64, full, slack time.Duration) time.Duration {
-	if bytes < smallMove {
+	if bytes < smallTransferBytes {
 		return 0
 	}
 	return max(0, min(full, time.Duration(localityWaitShare*float64(slack))))
@@ -73,23 +73,23 @@
 // the next one by hash where an engine has much more to read than the least loaded. The failure
 // domain where the prompt's inputs lie does not count: moving them takes a few milliseconds,
 // reading a long prefix again takes a hundred.
-func PickEngine(now time.Time, engines []EngineChoice, key string) int {
+func PickEngine(now time.Time, engines []EngineCandidate, key string) int {
 	if len(engines) == 0 {
 		return -1
 	}
 	leastLoaded := 0
 	for i, e := range engines {
-		if e.burden(now) < engines[leastLoaded].burden(now) {
+		if e.loadTokens(now) < engines[leastLoaded].loadTokens(now) {
 			leastLoaded = i
 		}
 	}
 	if key == "" {
 		return leastLoaded
 	}
-	most := engines[leastLoaded].burden(now) + prefillSpread
+	most := engines[leastLoaded].loadTokens(now) + maxExtraPrefillTokens
 	best, bestScore := -1, uint64(0)
 	for i, e := range engines {
-		if e.burden(now) > most || e.full(now) {
+		if e.loadTokens(now) > most || e.nearlyFull(now) {
 			continue
 		}
 		if score := rendezvousScore(key, e.Endpoint.Name); best < 0 || score > bestScore {
@@ -102,13 +102,13 @@
 	return best
 }
 
-func (e EngineChoice) burden(now time.Time) float64 {
-	return float64(e.Reading) + decodeTokens*estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain)
+func (e EngineCandidate) loadTokens(now time.Time) float64 {
+	return float64(e.PendingPrefillTokens) + decodeLoadTokens*estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain)
 }
 
-func (e EngineChoice) full(now time.Time) bool {
+func (e EngineCandidate) nearlyFull(now time.Time) bool {
 	if e.Load.Slots == 0 {
 		return false
 	}
-	return estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain) >= slotShare*float64(e.Load.Slots)
+	return estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain) >= maxSlotShare*float64(e.Load.Slots)
 }
--- a/kernel/placement_test.go
+++ b/kernel/placement_test.go
@@ -11,10 +11,10 @@
 	"basilstall.example/basilstall/model"
 )
 
-func engines(n int) []kernel.EngineChoice {
-	var out []kernel.EngineChoice
+func engines(n int) []kernel.EngineCandidate {
+	var out []kernel.EngineCandidate
 	for i := range n {
-		out = append(out, kernel.EngineChoice{Candidate: kernel.Candidate{Endpoint: model.Endpoint{
+		out = append(out, kernel.EngineCandidate{Candidate: kernel.Candidate{Endpoint: model.Endpoint{
 			Name: fmt.Sprint("engine-", i), FailureDomain: fmt.Sprint("domain-", i%3), State: model.Live,
 		}}})
 	}
@@ -40,7 +40,7 @@
 		key := fmt.Sprint("key-", k)
 		i := kernel.PickEngine(now, all, key)
 		must.Eq(t, i, kernel.PickEngine(now, all, key))
-		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.HomeDomain(key, endpoints), must.Sprint("results are made near the engine"))
+		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("results are made near the engine"))
 		used[i]++
 	}
 	must.MapLen(t, 12, used)
@@ -53,16 +53,16 @@
 	now := time.Unix(1000, 0)
 	all := engines(12)
 	i := kernel.PickEngine(now, all, "key")
-	all[i].Reading = 5000
+	all[i].PendingPrefillTokens = 5000
 	must.Eq(t, i, kernel.PickEngine(now, all, "key"), must.Sprint("a short queue is cheaper than a prefix read again"))
-	all[i].Reading = 20000
+	all[i].PendingPrefillTokens = 20000
 	must.NotEq(t, i, kernel.PickEngine(now, all, "key"))
 }
 
 func TestAPromptWithoutPartsGoesToTheLeastLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(3)
-	all[0].Reading, all[2].Reading = 100, 200
+	all[0].PendingPrefillTokens, all[2].PendingPrefillTokens = 100, 200
 	must.Eq(t, 1, kernel.PickEngine(now, all, ""))
 	must.Eq(t, -1, kernel.PickEngine(now, nil, "key"))
 }
--- a/kernel/quarantinejudge.go
+++ b/kernel/quarantinejudge.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// JudgeAfter is how long after the newest report on a request its case is judged: the others that were under
+	// EvaluationDelay is how long after the newest report on a request its case is judged: the others that were under
 	// way at the same end are reported by then, so that what merely ran beside is told from the cause.
-	JudgeAfter = 300 * time.Millisecond
-	// judgeLatest is after which time a case is judged although reports on others of its pool still come.
-	judgeLatest = 3 * JudgeAfter
+	EvaluationDelay = 300 * time.Millisecond
+	// maxEvaluationDelay is after which time a case is judged although reports on others of its pool still come.
+	maxEvaluationDelay = 3 * EvaluationDelay
 )
 
 // QuarantineChange is what all nodes are to be told.
@@ -28,11 +28,11 @@
 		return slices.Contains(c.Lift, h.Digest) || slices.ContainsFunc(c.Hold, func(by HeldRequest) bool { return by.Digest == h.Digest })
 	})
 	out = append(out, c.Hold...)
-	return out[max(0, len(out)-mostHeld):]
+	return out[max(0, len(out)-maxHeld):]
 }
 
 // Same tells whether two words on a request say the same.
-func (h HeldRequest) Same(other HeldRequest) bool {
+func (h HeldRequest) Equal(other HeldRequest) bool {
 	return h.Digest == other.Digest && h.Pool == other.Pool && h.Firm == other.Firm && h.Since == other.Since && slices.Equal(h.Incarnations, other.Incarnations)
 }
 
@@ -40,25 +40,25 @@
 // It is the cause where at one of its ends at least no other such request was under way, and that takes its ends off
 // those that have fewer than it takes: they merely ran beside. Where others were under way at all of its ends, a trial
 // tells whether it is a cause as well.
-func (q *Quarantine) Judge(now time.Time, keeps func(pool string) bool) QuarantineChange {
+func (q *Quarantine) Evaluate(now time.Time, keeps func(pool string) bool) QuarantineChange {
 	q.expire(now)
 	var change QuarantineChange
-	for _, digest := range q.ripe(now, keeps) {
-		c := q.cases[digest]
-		c.ripensAt = time.Time{}
-		h := q.holdOf(now, digest, c)
+	for _, digest := range q.dueForEvaluation(now, keeps) {
+		c := q.suspects[digest]
+		c.evaluateBy = time.Time{}
+		h := q.newHeldRequest(now, digest, c)
 		if before := q.held[digest]; before != nil && before.Firm == h.Firm && len(before.Incarnations) >= len(h.Incarnations) {
 			continue
 		}
 		change.Hold = append(change.Hold, h)
 		if h.Firm {
 			for _, incarnation := range h.Incarnations {
-				q.explain(now, digest, incarnation)
+				q.attribute(now, digest, incarnation)
 			}
 		}
 	}
 	for digest, h := range q.held {
-		if keeps(h.Pool) && q.unfounded(now, digest, h) {
+		if keeps(h.Pool) && q.shouldLift(now, digest, h) {
 			change.Lift = append(change.Lift, digest)
 		}
 	}
@@ -67,29 +67,29 @@
 }
 
 // ripe returns the requests whose cases are ready to be judged, in the order in which they are.
-func (q *Quarantine) ripe(now time.Time, keeps func(pool string) bool) []model.Digest {
+func (q *Quarantine) dueForEvaluation(now time.Time, keeps func(pool string) bool) []model.Digest {
 	var out []model.Digest
 	newest := map[string]time.Time{}
-	for digest, c := range q.cases {
-		if len(c.crashes) < CrashesToHold || !keeps(c.pool) {
+	for digest, c := range q.suspects {
+		if len(c.crashes) < CrashThreshold || !keeps(c.pool) {
 			continue
 		}
 		out = append(out, digest)
-		if c.changedAt.After(newest[c.pool]) {
-			newest[c.pool] = c.changedAt
+		if c.updatedAt.After(newest[c.pool]) {
+			newest[c.pool] = c.updatedAt
 		}
 	}
 	out = slices.DeleteFunc(out, func(digest model.Digest) bool {
-		c := q.cases[digest]
-		return now.Sub(newest[c.pool]) < JudgeAfter && now.Before(c.ripensAt)
+		c := q.suspects[digest]
+		return now.Sub(newest[c.pool]) < EvaluationDelay && now.Before(c.evaluateBy)
 	})
 	slices.SortFunc(out, func(a, b model.Digest) int {
-		return cmp.Or(cmp.Compare(len(q.cases[b].crashes), len(q.cases[a].crashes)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(len(q.suspects[b].crashes), len(q.suspects[a].crashes)), cmp.Compare(a, b))
 	})
 	return out
 }
 
-func (q *Quarantine) holdOf(now time.Time, digest model.Digest, c *crashCase) HeldRequest {
+func (q *Quarantine) newHeldRequest(now time.Time, digest model.Digest, c *suspect) HeldRequest {
 	h := HeldRequest{Digest: digest, Pool: c.pool, Firm: !q.shared(digest, c)}
 	first := now
 	for _, crash := range c.crashes {
@@ -105,19 +105,19 @@
 }
 
 // shared tells whether at each end of a request another one was under way that may be its cause.
-func (q *Quarantine) shared(digest model.Digest, c *crashCase) bool {
+func (q *Quarantine) shared(digest model.Digest, c *suspect) bool {
 	for _, crash := range c.crashes {
-		if !q.otherAt(digest, crash) {
+		if !q.hasOtherSuspect(digest, crash) {
 			return false
 		}
 	}
 	return true
 }
 
-// otherAt tells whether at an end another request was under way that has as many ends as it takes.
-func (q *Quarantine) otherAt(digest model.Digest, crash Crash) bool {
-	for other, c := range q.cases {
-		if other != digest && len(c.crashes) >= CrashesToHold && c.has(crash) {
+// hasOtherSuspect tells whether at an end another request was under way that has as many ends as it takes.
+func (q *Quarantine) hasOtherSuspect(digest model.Digest, crash Crash) bool {
+	for other, c := range q.suspects {
+		if other != digest && len(c.crashes) >= CrashThreshold && c.has(crash) {
 			return true
 		}
 	}
@@ -126,28 +126,28 @@
 
 // unfounded tells whether nothing is left to hold a request back for: its ends were another's doing, or it has
 // not been seen for long.
-func (q *Quarantine) unfounded(now time.Time, digest model.Digest, h *heldRequest) bool {
+func (q *Quarantine) shouldLift(now time.Time, digest model.Digest, h *heldRequest) bool {
 	if now.Sub(h.learnedAt) > 2*HoldTime {
 		return true
 	}
-	c := q.cases[digest]
-	return !h.Firm && c != nil && len(c.crashes) < CrashesToHold
+	c := q.suspects[digest]
+	return !h.Firm && c != nil && len(c.crashes) < CrashThreshold
 }
 
 func (q *Quarantine) expire(now time.Time) {
-	for digest, c := range q.cases {
-		if now.Sub(c.changedAt) > crashMemory && q.held[digest] == nil {
-			delete(q.cases, digest)
+	for digest, c := range q.suspects {
+		if now.Sub(c.updatedAt) > crashRetention && q.held[digest] == nil {
+			delete(q.suspects, digest)
 		}
 	}
-	for digest, until := range q.trusted {
+	for digest, until := range q.trustedUntil {
 		if now.After(until) {
-			delete(q.trusted, digest)
+			delete(q.trustedUntil, digest)
 		}
 	}
-	for incarnation, why := range q.explained {
+	for incarnation, why := range q.attributed {
 		if now.After(why.until) {
-			delete(q.explained, incarnation)
+			delete(q.attributed, incarnation)
 		}
 	}
 }
--- a/kernel/retry.go
+++ b/kernel/retry.go
@@ -1,9 +1,9 @@
 package kernel
 
 const (
-	// retryShare is how much of a retry each success earns.
-	retryShare = 0.1
-	retryMost  = 20.0
+	// retryTokensPerSuccess is how much of a retry each success earns.
+	retryTokensPerSuccess = 0.1
+	maxRetryTokens        = 20.0
 	// MaxAttempts bounds the calls of one stage of one request.
 	MaxAttempts = 4
 )
@@ -11,18 +11,18 @@
 // RetryBudget bounds retries and hedges of a pool to a share of its successes, so that
 // retries cannot multiply the load of a failing pool.
 type RetryBudget struct {
-	// Tokens is between 0 and retryMost.
+	// Tokens is between 0 and maxRetryTokens.
 	Tokens float64
 }
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() RetryBudget {
-	return RetryBudget{Tokens: retryMost}
+	return RetryBudget{Tokens: maxRetryTokens}
 }
 
 // WithSuccess returns the budget after a success.
 func (b RetryBudget) WithSuccess() RetryBudget {
-	b.Tokens = min(retryMost, b.Tokens+retryShare)
+	b.Tokens = min(maxRetryTokens, b.Tokens+retryTokensPerSuccess)
 	return b
 }
 
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -17,113 +17,113 @@
 
 func TestACallerThatComesBackIsToldFromANewOne(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewReturning()
-	first := kernel.Identity("ann", promptOf("a", 900))
-	r.Refused(now, first, 20*time.Millisecond)
-	must.EqOp(t, 320*time.Millisecond, r.Waited(now.Add(300*time.Millisecond), first))
-	must.EqOp(t, 0, r.Waited(now.Add(400*time.Millisecond), first), must.Sprint("a third request is a new one"))
-	must.EqOp(t, 0, r.Waited(now, kernel.Identity("ann", promptOf("a", 901))), must.Sprint("another request of the session"))
-	must.NotEq(t, first, kernel.Identity("ben", promptOf("a", 900)), must.Sprint("nobody ages another customer's request"))
-	must.EqOp(t, "", kernel.Identity("ann", model.Prompt{}))
+	r := kernel.NewRefusedRequests()
+	first := kernel.RequestIdentity("ann", promptOf("a", 900))
+	r.Add(now, first, 20*time.Millisecond)
+	must.EqOp(t, 320*time.Millisecond, r.TakeWaited(now.Add(300*time.Millisecond), first))
+	must.EqOp(t, 0, r.TakeWaited(now.Add(400*time.Millisecond), first), must.Sprint("a third request is a new one"))
+	must.EqOp(t, 0, r.TakeWaited(now, kernel.RequestIdentity("ann", promptOf("a", 901))), must.Sprint("another request of the session"))
+	must.NotEq(t, first, kernel.RequestIdentity("ben", promptOf("a", 900)), must.Sprint("nobody ages another customer's request"))
+	must.EqOp(t, "", kernel.RequestIdentity("ann", model.Prompt{}))
 }
 
 func TestWhatWasRefusedTwiceCountsFromItsFirstAttempt(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewReturning()
-	r.Refused(now, "id", 0)
+	r := kernel.NewRefusedRequests()
+	r.Add(now, "id", 0)
 	now = now.Add(300 * time.Millisecond)
-	r.Refused(now, "id", r.Waited(now, "id"))
-	must.EqOp(t, 500*time.Millisecond, r.Waited(now.Add(200*time.Millisecond), "id"))
+	r.Add(now, "id", r.TakeWaited(now, "id"))
+	must.EqOp(t, 500*time.Millisecond, r.TakeWaited(now.Add(200*time.Millisecond), "id"))
 }
 
 func TestTheMemoryOfRefusedRequestsIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewReturning()
-	r.Refused(now, "old", 0)
-	must.EqOp(t, 0, r.Waited(now.Add(time.Minute), "old"))
+	r := kernel.NewRefusedRequests()
+	r.Add(now, "old", 0)
+	must.EqOp(t, 0, r.TakeWaited(now.Add(time.Minute), "old"))
 	for i := range 20_001 {
-		r.Refused(now, fmt.Sprint(i), 0)
+		r.Add(now, fmt.Sprint(i), 0)
 	}
-	must.EqOp(t, 0, r.Waited(now.Add(time.Second), "0"))
-	must.EqOp(t, time.Second, r.Waited(now.Add(time.Second), "20000"))
+	must.EqOp(t, 0, r.TakeWaited(now.Add(time.Second), "0"))
+	must.EqOp(t, time.Second, r.TakeWaited(now.Add(time.Second), "20000"))
 }
 
 // burst plays callers against one pool: for some seconds more come than it can serve, and each that
 // is refused comes back once.
-type burst struct {
-	g        *kernel.BatchQueue
-	memory   *kernel.Returning
-	admitted kernel.Admission
-	running  []kernel.PieceBatch
+type overloadSim struct {
+	queue     *kernel.BatchQueue
+	refused   *kernel.RefusedRequests
+	admission kernel.Admission
+	running   []kernel.PieceBatch
 	// asked is when each caller first asked, again when it comes back.
-	asked  map[uint64]time.Time
-	again  map[uint64]time.Time
-	onTime int
+	firstAttempt map[uint64]time.Time
+	retryAt      map[uint64]time.Time
+	onTime       int
 }
 
 const (
-	burstStep      = 5 * time.Millisecond
-	burstObjective = 1100 * time.Millisecond
-	burstEngine    = 200 * time.Millisecond
+	overloadStep      = 5 * time.Millisecond
+	overloadObjective = 1100 * time.Millisecond
+	engineTime        = 200 * time.Millisecond
 )
 
-func newBurst(memory *kernel.Returning) *burst {
-	route := model.Route{Objective: burstObjective, Timeout: 6 * time.Second, Stages: []model.StageNode{{Pool: "p", ResultBytes: 8000}}}
-	return &burst{
-		g: newBatchQueue(3), memory: memory, admitted: kernel.Admission{Route: route},
-		asked: map[uint64]time.Time{}, again: map[uint64]time.Time{},
+func newOverloadSim(memory *kernel.RefusedRequests) *overloadSim {
+	route := model.Route{Objective: overloadObjective, Timeout: 6 * time.Second, Stages: []model.StageNode{{Pool: "p", ResultBytes: 8000}}}
+	return &overloadSim{
+		queue: newBatchQueue(3), refused: memory, admission: kernel.Admission{Route: route},
+		firstAttempt: map[uint64]time.Time{}, retryAt: map[uint64]time.Time{},
 	}
 }
 
 // request asks the door for a caller's request of three pieces.
-func (b *burst) request(now time.Time, id uint64) {
+func (b *overloadSim) request(now time.Time, id uint64) {
 	f := model.Forward{ReceivedAt: now, Pieces: []int{3}}
 	identity := fmt.Sprint(id)
-	if b.memory != nil {
-		f = f.WithWaited(b.memory.Waited(now, identity))
+	if b.refused != nil {
+		f = f.WithWaited(b.refused.TakeWaited(now, identity))
 	}
-	a := b.admitted
-	a.Until = now.Add(6 * time.Second)
-	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.g.Wait(now, pieceGroup(id, 3, 8000, now.Add(burstObjective)))}}
-	plan := kernel.PlanStages(f, a, estimates, burstEngine)
+	a := b.admission
+	a.Deadline = now.Add(6 * time.Second)
+	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.EstimateWait(now, pieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
+	plan := kernel.PlanStages(f, a, estimates, engineTime)
 	refusal := kernel.AdmitStages(now, f, a, plan, estimates)
 	if refusal == nil {
 		group := pieceGroup(id, 3, 8000, plan.Due[0])
-		if ok, _ := b.g.Add(now, group); ok {
+		if ok, _ := b.queue.Add(now, group); ok {
 			return
 		}
 		refusal = model.NewRefusal(model.NotRun, model.StageLate, 300*time.Millisecond, "")
 	}
-	if b.memory != nil {
-		b.memory.Refused(now, identity, f.Waited)
+	if b.refused != nil {
+		b.refused.Add(now, identity, f.Waited)
 	}
-	if now.Equal(b.asked[id]) {
-		b.again[id] = now.Add(refusal.RetryAfter)
+	if now.Equal(b.firstAttempt[id]) {
+		b.retryAt[id] = now.Add(refusal.RetryAfter)
 	}
 }
 
 // work ends the calls that are due and starts others.
-func (b *burst) work(now time.Time) {
+func (b *overloadSim) advanceCalls(now time.Time) {
 	var still []kernel.PieceBatch
 	for _, batch := range b.running {
-		if b.g.Expected(batch) > now.Sub(batch.StartedAt()) {
+		if b.queue.Expected(batch) > now.Sub(batch.StartedAt()) {
 			still = append(still, batch)
 			continue
 		}
-		ended, _ := b.g.Done(now, batch, madeAll(batch))
+		ended, _ := b.queue.Done(now, batch, madeAll(batch))
 		for _, o := range ended {
 			for _, m := range o.Made {
-				b.g.Release(now, m)
+				b.queue.Release(now, m)
 			}
-			if now.Add(burstEngine).Sub(b.asked[o.Group]) <= burstObjective {
+			if now.Add(engineTime).Sub(b.firstAttempt[o.Group]) <= overloadObjective {
 				b.onTime++
 			}
 		}
 	}
 	b.running = still
-	b.g.Expire(now)
+	b.queue.Expire(now)
 	for {
-		batch, ok := b.g.Next(now)
+		batch, ok := b.queue.Next(now)
 		if !ok {
 			return
 		}
@@ -132,23 +132,23 @@
 }
 
 // play returns how many requests of a burst of 1.8 times the pool's capacity were on time.
-func (b *burst) play() int {
+func (b *overloadSim) run() int {
 	start := time.Unix(1000, 0)
 	id := uint64(0)
-	for now := start; now.Sub(start) < 10*time.Second; now = now.Add(burstStep) {
+	for now := start; now.Sub(start) < 10*time.Second; now = now.Add(overloadStep) {
 		if now.Sub(start) < 7*time.Second {
 			for ; float64(id) < 39*now.Sub(start).Seconds(); id++ {
-				b.asked[id+1] = now
+				b.firstAttempt[id+1] = now
 				b.request(now, id+1)
 			}
 		}
-		for who, at := range b.again {
+		for who, at := range b.retryAt {
 			if !now.Before(at) {
-				delete(b.again, who)
+				delete(b.retryAt, who)
 				b.request(now, who)
 			}
 		}
-		b.work(now)
+		b.advanceCalls(now)
 	}
 	return b.onTime
 }
@@ -156,8 +156,8 @@
 // Overload with callers that come back once: what they take from those still on time is lost for
 // both.
 func TestCallersThatComeBackDoNotMakeNewOnesLate(t *testing.T) {
-	without := newBurst(nil).play()
-	with := newBurst(kernel.NewReturning()).play()
+	without := newOverloadSim(nil).run()
+	with := newOverloadSim(kernel.NewRefusedRequests()).run()
 	t.Logf("on time: %d without the memory, %d with it", without, with)
 	must.Greater(t, without*11/10, with, must.Sprintf("%d on time, %d without the memory", with, without))
 }
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -139,10 +139,10 @@
 	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(routing(3)))
 	f := forward("a.example", "/x/1", "key-a", now)
 	a, _ := kernel.Admit(now, view, trustLimit, f)
-	must.Eq(t, now.Add(time.Second), a.Until)
+	must.Eq(t, now.Add(time.Second), a.Deadline)
 	f.Deadline = now.Add(300 * time.Millisecond)
 	a, _ = kernel.Admit(now, view, trustLimit, f)
-	must.Eq(t, f.Deadline, a.Until)
+	must.Eq(t, f.Deadline, a.Deadline)
 	_, refusal := kernel.Admit(f.Deadline, view, trustLimit, f)
 	must.Eq(t, model.DeadlinePassed, refusal.Reason)
 }
@@ -160,8 +160,8 @@
 	later := view.With(now, kernel.NewRouteTable(revoked))
 	must.Eq(t, model.Unauthorized, kernel.StillAdmitted(now, later, trustLimit, f, a).Reason)
 
-	a.Until = now.Add(time.Hour)
+	a.Deadline = now.Add(time.Hour)
 	frozen := now.Add(trustLimit + time.Second)
 	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(frozen, view, trustLimit, f, a).Reason)
-	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Until, view, trustLimit, f, a).Reason)
+	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Deadline, view, trustLimit, f, a).Reason)
 }
--- a/kernel/routing.go
+++ b/kernel/routing.go
@@ -31,7 +31,7 @@
 }
 
 // Usable returns the candidates that may get a call: those that are not leaving, not ejected and not among the excluded
-// incarnations. If fewer than the share healthFloor of the others are healthy, those with the fewest ejections are
+// incarnations. If fewer than the share minUsableShare of the others are healthy, those with the fewest ejections are
 // added up to that share.
 func Usable(now time.Time, candidates []Candidate, excluded []string) []Candidate {
 	eligible := make([]Candidate, 0, len(candidates))
@@ -45,15 +45,15 @@
 			healthy = append(healthy, c)
 		}
 	}
-	if float64(len(healthy)) >= healthFloor*float64(len(eligible)) && len(healthy) > 0 {
+	if float64(len(healthy)) >= minUsableShare*float64(len(eligible)) && len(healthy) > 0 {
 		return healthy
 	}
 	return withLeastEjected(eligible, healthy)
 }
 
-// withLeastEjected adds to the healthy candidates those with the fewest ejections, up to the share healthFloor.
+// withLeastEjected adds to the healthy candidates those with the fewest ejections, up to the share minUsableShare.
 func withLeastEjected(eligible, healthy []Candidate) []Candidate {
-	floor := int(math.Ceil(healthFloor * float64(len(eligible))))
+	floor := int(math.Ceil(minUsableShare * float64(len(eligible))))
 	sorted := slices.Clone(eligible)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		return a.Health.Ejections - b.Health.Ejections
--- a/node/claims.go
+++ b/node/claims.go
@@ -138,10 +138,10 @@
 func (n *Node) coordinator() kernel.Coordinator {
 	fleet := n.Settings().Fleet
 	return kernel.Coordinator{
-		Self:    n.member,
-		Firm:    min(fleet.FirmHorizon, fleet.Horizon),
-		Horizon: fleet.Horizon,
-		Settle:  settleBefore,
+		Self:          n.member,
+		FirmHorizon:   min(fleet.FirmHorizon, fleet.Horizon),
+		Horizon:       fleet.Horizon,
+		StabilityTime: settleBefore,
 	}
 }
 
@@ -173,6 +173,6 @@
 	}
 	n.claims.set(time.Now(), next, written)
 	if action != kernel.ExtendHorizon {
-		n.log.Info().Uint64("Era", next.Newest().Number).Int("Members", len(alive)).Time("From", next.Newest().From).Msg("era written")
+		n.log.Info().Uint64("Era", next.NewestEra().Number).Int("Members", len(alive)).Time("From", next.NewestEra().From).Msg("era written")
 	}
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -32,7 +32,7 @@
 func (f *fleet) alive() ([]kernel.Member, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.m.Alive(), f.m.StoodSince()
+	return f.m.Alive(), f.m.StableSince()
 }
 
 func (f *fleet) members() []kernel.MemberInfo {
@@ -84,7 +84,7 @@
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	return peer.Heartbeat{
-		News:         n.fleet.m.Outgoing(),
+		News:         n.fleet.m.PendingUpdates(),
 		Revision:     n.Settings().Revision,
 		ClaimsNumber: n.claims.number(),
 		Notices:      n.notices.number(),
@@ -107,14 +107,14 @@
 	}
 	now := time.Now()
 	n.fleet.mu.Lock()
-	n.fleet.m.Heard(now, h.News[0])
-	var leaving []kernel.News
+	n.fleet.m.RecordHeartbeat(now, h.News[0])
+	var leaving []kernel.GossipUpdate
 	for _, news := range h.News[1:] {
 		if news.Endpoint != "" {
 			leaving = append(leaving, news)
 			continue
 		}
-		n.fleet.m.Take(now, news)
+		n.fleet.m.Apply(now, news)
 	}
 	n.fleet.mu.Unlock()
 	for _, news := range leaving {
@@ -137,7 +137,7 @@
 	n.metrics.Event("EndpointLeaving")
 	n.log.Info().Str("Pool", pool).Str("Endpoint", endpoint).Msg("endpoint is leaving")
 	n.fleet.mu.Lock()
-	n.fleet.m.PassOn(pool, endpoint)
+	n.fleet.m.AnnounceLeaving(pool, endpoint)
 	n.fleet.mu.Unlock()
 }
 
@@ -170,7 +170,7 @@
 	for _, h := range hosts.Hosts {
 		if h.State == model.Live {
 			member := kernel.Member{Node: h.Name, Incarnation: h.Incarnation, Address: h.Address}
-			n.fleet.m.Listed(now, member, h.FailureDomain)
+			n.fleet.m.AddListed(now, member, h.FailureDomain)
 		}
 	}
 }
--- a/peer/message.go
+++ b/peer/message.go
@@ -56,7 +56,7 @@
 
 	// Heartbeat goes to a few neighbours; the reply is one too.
 	Heartbeat struct {
-		News []kernel.News
+		News []kernel.GossipUpdate
 		// Revision is the head revision of the settings in force.
 		Revision uint64
 		// ClaimsNumber is the number of the claims row that the node has read.
@@ -156,7 +156,7 @@
 		Stage        int
 		Numbers      []int
 		Key          string
-		Inputs       []kernel.MadePiece
+		Inputs       []kernel.ResultRef
 		FreeInputs   bool
 		ResultBytes  int64
 		Domain       string
@@ -219,7 +219,7 @@
 	// Release frees results that are no longer needed.
 	Release struct {
 		Pool string
-		Made []kernel.MadePiece
+		Made []kernel.ResultRef
 		// SentOn is true where a node passed it on to the one that batches.
 		SentOn bool
 	}
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -86,9 +86,9 @@
 func (c *Coordinator) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
 	passage, held, retry := c.look(digest)
 	switch passage {
-	case kernel.Free:
+	case kernel.NotHeld:
 		return false, nil
-	case kernel.OnTrial:
+	case kernel.TrialOnly:
 		permitted, again := c.askTrial(ctx, held)
 		if permitted {
 			c.metrics.Event("QuarantineTrial")
@@ -103,7 +103,7 @@
 
 // Refuses looks once more, right before a request is sent.
 func (c *Coordinator) Refuses(digest model.Digest) *model.Refusal {
-	if passage, _, retry := c.look(digest); passage != kernel.Free {
+	if passage, _, retry := c.look(digest); passage != kernel.NotHeld {
 		return refuse(retry)
 	}
 	return nil
@@ -113,10 +113,10 @@
 	return model.NewRefusal(model.NotRun, model.Quarantined, retry, "endpoints ended that ran this request; it is held back")
 }
 
-func (c *Coordinator) look(digest model.Digest) (kernel.Passage, kernel.HeldRequest, time.Duration) {
+func (c *Coordinator) look(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.q.Look(c.now(), digest)
+	return c.q.Check(c.now(), digest)
 }
 
 // Len returns how many requests are held back.
@@ -142,7 +142,7 @@
 // Answered notes that an endpoint answered a request whole, and tells the coordinators where that clears it.
 func (c *Coordinator) Answered(digest model.Digest) {
 	c.mu.Lock()
-	suspected, pool := c.q.Answered(c.now(), digest)
+	suspected, pool := c.q.RecordAnswer(c.now(), digest)
 	c.mu.Unlock()
 	if suspected {
 		c.clear(digest, pool)
@@ -153,14 +153,14 @@
 func (c *Coordinator) Learn(change kernel.QuarantineChange) {
 	for _, h := range change.Hold {
 		c.mu.Lock()
-		passage, before, _ := c.q.Look(c.now(), h.Digest)
-		taken := c.q.Learn(c.now(), h)
+		passage, before, _ := c.q.Check(c.now(), h.Digest)
+		taken := c.q.ApplyHold(c.now(), h)
 		c.mu.Unlock()
 		if !taken {
 			c.clear(h.Digest, h.Pool)
 			continue
 		}
-		if passage == kernel.Free {
+		if passage == kernel.NotHeld {
 			c.metrics.Event("QuarantineLearned")
 		}
 		if before.Firm != h.Firm || len(before.Incarnations) != len(h.Incarnations) {
@@ -170,10 +170,10 @@
 	}
 	for _, digest := range change.Lift {
 		c.mu.Lock()
-		before, _, _ := c.q.Look(c.now(), digest)
+		before, _, _ := c.q.Check(c.now(), digest)
 		c.q.Clear(digest)
 		c.mu.Unlock()
-		if before != kernel.Free {
+		if before != kernel.NotHeld {
 			c.metrics.Event("QuarantineLifted")
 			c.log.Info().Str("Digest", string(digest)).Msg("request no longer held back")
 		}
@@ -194,7 +194,7 @@
 
 // judgeSoon has the cases judged when all reports on the same ends have come.
 func (c *Coordinator) judgeSoon() {
-	time.AfterFunc(kernel.JudgeAfter+kernel.JudgeAfter/10, func() {
+	time.AfterFunc(kernel.EvaluationDelay+kernel.EvaluationDelay/10, func() {
 		if c.ctx.Err() != nil {
 			return
 		}
@@ -207,7 +207,7 @@
 			}
 			return kept[pool]
 		}
-		change := c.q.Judge(c.now(), keeps)
+		change := c.q.Evaluate(c.now(), keeps)
 		c.mu.Unlock()
 		if len(change.Hold)+len(change.Lift) == 0 {
 			return
@@ -242,12 +242,12 @@
 func (c *Coordinator) stillTrue(change kernel.QuarantineChange) kernel.QuarantineChange {
 	var out kernel.QuarantineChange
 	for _, h := range change.Hold {
-		if passage, _, _ := c.look(h.Digest); passage != kernel.Free {
+		if passage, _, _ := c.look(h.Digest); passage != kernel.NotHeld {
 			out.Hold = append(out.Hold, h)
 		}
 	}
 	for _, digest := range change.Lift {
-		if passage, _, _ := c.look(digest); passage == kernel.Free {
+		if passage, _, _ := c.look(digest); passage == kernel.NotHeld {
 			out.Lift = append(out.Lift, digest)
 		}
 	}
--- a/quarantine/coordinator_test.go
+++ b/quarantine/coordinator_test.go
@@ -62,11 +62,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, fleetSize)
 		bad, good := model.NewDigest("bad"), model.NewDigest("good")
-		for range kernel.CrashesToHold {
+		for range kernel.CrashThreshold {
 			f.send(bad, true, good)
 			time.Sleep(time.Second)
 		}
-		ends := kernel.CrashesToHold
+		ends := kernel.CrashThreshold
 		served := 0
 		for range 20 {
 			if f.send(bad, true).reached {
@@ -78,7 +78,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		must.LessEq(t, kernel.CrashesToHold+1, ends)
+		must.LessEq(t, kernel.CrashThreshold+1, ends)
 		must.GreaterEq(t, 18, served)
 	})
 }
@@ -148,7 +148,7 @@
 		f.mu.Lock()
 		f.cut["node-0"] = true
 		f.mu.Unlock()
-		for i := range kernel.CrashesToHold {
+		for i := range kernel.CrashThreshold {
 			name := fmt.Sprint("incarnation-", i)
 			f.mu.Lock()
 			f.dead[name] = true
@@ -178,7 +178,7 @@
 			f.deaf[name] = true
 		}
 		digest := model.NewDigest("poison")
-		for range kernel.CrashesToHold {
+		for range kernel.CrashThreshold {
 			f.end(digest)
 			time.Sleep(time.Second)
 		}
@@ -207,7 +207,7 @@
 					time.Sleep(1500 * time.Millisecond)
 				}
 				for _, of := range tallies {
-					must.LessEq(t, kernel.CrashesToHold+1, of.reached)
+					must.LessEq(t, kernel.CrashThreshold+1, of.reached)
 					must.LessEq(t, mostLater, of.later)
 				}
 			})
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -56,7 +56,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.ends[e.Incarnation()]
-	if d != nil && d.proof != "" && now.Sub(d.at) > kernel.SameCrash {
+	if d != nil && d.proof != "" && now.Sub(d.at) > kernel.CrashDedupWindow {
 		// It had ended, was connected to all the same, and broke off again: it does not say when it started.
 		d = nil
 	}
@@ -183,7 +183,7 @@
 func (c *Coordinator) takeCrash(pool string, crash kernel.Crash, digests []model.Digest) {
 	c.mu.Lock()
 	for _, digest := range digests {
-		c.q.Crashed(c.now(), digest, pool, crash)
+		c.q.RecordCrash(c.now(), digest, pool, crash)
 	}
 	c.mu.Unlock()
 	c.judgeSoon()
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -245,7 +245,7 @@
 	if !of.thirdAt.IsZero() && time.Since(of.thirdAt) > contact {
 		of.later++
 	}
-	if of.reached == kernel.CrashesToHold {
+	if of.reached == kernel.CrashThreshold {
 		of.thirdAt = time.Now()
 	}
 }
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -117,7 +117,7 @@
 	c.mu.Lock()
 	c.q.Trust(c.now(), digest)
 	c.mu.Unlock()
-	if passage != kernel.Free && removes {
+	if passage != kernel.NotHeld && removes {
 		c.store(change)
 	}
 }
@@ -149,10 +149,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if question.Unused {
-		c.q.ReturnTrial(question.Digest)
+		c.q.CancelTrial(question.Digest)
 		return peer.TrialReply{}
 	}
-	permitted, retryAfter := c.q.TakeTrial(c.now(), question.Digest)
+	permitted, retryAfter := c.q.StartTrial(c.now(), question.Digest)
 	return peer.TrialReply{Permitted: permitted, RetryAfter: retryAfter}
 }
 
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -68,7 +68,7 @@
 	}
 
 	known struct {
-		news kernel.CapNews
+		news kernel.CapPublisher
 		// place is this node's by the endpoint's hash, as of placedAt.
 		place    int
 		placedAt time.Time
@@ -76,7 +76,7 @@
 		permits   kernel.Permits
 		sharersAt time.Time
 		// desk is this node's part in granting them.
-		desk kernel.PermitDesk
+		desk kernel.PermitIssuer
 		// publishing is true while the belief is being written.
 		publishing bool
 	}
@@ -99,7 +99,7 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, c := range l.known {
-		if c.news.Belief.Cap.Stated {
+		if c.news.View.Cap.Stated {
 			n++
 		}
 	}
@@ -107,24 +107,24 @@
 }
 
 // Belief returns what this node believes of an endpoint's cap.
-func (l *Limiter) Belief(incarnation string) kernel.CapBelief {
+func (l *Limiter) Belief(incarnation string) kernel.CapView {
 	if l.count.Load() == 0 {
-		return kernel.CapBelief{}
+		return kernel.CapView{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.known[incarnation]; c != nil {
-		return c.news.Belief
+		return c.news.View
 	}
-	return kernel.CapBelief{}
+	return kernel.CapView{}
 }
 
 // Share returns the part of an endpoint's cap that all nodes together may use for requests, and batchers for pieces as well.
-func (l *Limiter) Share(incarnation string) kernel.CapBelief {
+func (l *Limiter) Share(incarnation string) kernel.CapView {
 	return l.share(incarnation, l.Belief(incarnation))
 }
 
-func (l *Limiter) share(incarnation string, belief kernel.CapBelief) kernel.CapBelief {
+func (l *Limiter) share(incarnation string, belief kernel.CapView) kernel.CapView {
 	if !belief.Cap.Stated || l.seams.Part == nil {
 		return belief
 	}
@@ -156,7 +156,7 @@
 		}
 		at, asks := l.askAt(now, incarnation)
 		capped = append(capped, kernel.CappedEndpoint{
-			Belief: belief, SentAt: sentAt(incarnation), Place: l.Place(now, incarnation), Asks: asks, AskAt: at,
+			View: belief, SentAt: sentAt(incarnation), Rank: l.Place(now, incarnation), Asks: asks, AskAt: at,
 		})
 	}
 	return kernel.AdmitCapped(now, pool, capped)
@@ -175,36 +175,36 @@
 		return
 	}
 	before, after := l.change(e.Incarnation(), func(c *known) {
-		c.news.Belief = c.news.Belief.WithAnswer(asked, l.now(), stated)
+		c.news.View = c.news.View.WithAnswer(asked, l.now(), stated)
 	})
 	l.changed(e.Incarnation(), "endpoint", before, after)
 }
 
 // Learn takes in what other nodes say of an endpoint from now on.
 func (l *Limiter) Learn(incarnation string, stated model.RateCap) {
-	before, after := l.change(incarnation, func(c *known) { c.news.Notice(l.now(), stated) })
+	before, after := l.change(incarnation, func(c *known) { c.news.ApplyNotice(l.now(), stated) })
 	l.changed(incarnation, "nodes", before, after)
 }
 
 // change changes what is known of an endpoint, and returns the belief before and after.
-func (l *Limiter) change(incarnation string, how func(*known)) (before, after kernel.CapBelief) {
+func (l *Limiter) change(incarnation string, how func(*known)) (before, after kernel.CapView) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.known[incarnation]
 	if c == nil {
 		c = &known{}
 	}
-	before = c.news.Belief
+	before = c.news.View
 	how(c)
 	l.known[incarnation] = c
-	if c.news.Forgettable() && !c.publishing {
+	if c.news.Removable() && !c.publishing {
 		delete(l.known, incarnation)
 	}
 	l.count.Store(int64(len(l.known)))
-	return before, c.news.Belief
+	return before, c.news.View
 }
 
-func (l *Limiter) changed(incarnation, from string, before, after kernel.CapBelief) {
+func (l *Limiter) changed(incarnation, from string, before, after kernel.CapView) {
 	if before.Cap == after.Cap {
 		return
 	}
@@ -221,10 +221,10 @@
 	defer l.mu.Unlock()
 	c := l.known[incarnation]
 	if c == nil {
-		return l.nodes.Place(now, l.name, incarnation)
+		return l.nodes.Rank(now, l.name, incarnation)
 	}
 	if c.placedAt.IsZero() || now.Sub(c.placedAt) >= placeMemory {
-		c.place = l.nodes.Place(now, l.name, incarnation)
+		c.place = l.nodes.Rank(now, l.name, incarnation)
 		c.placedAt = now
 	}
 	return c.place
@@ -239,8 +239,8 @@
 		place := l.Place(now, incarnation)
 		publishes := false
 		before, after := l.change(incarnation, func(c *known) {
-			c.news.Listed(now, listed)
-			publishes = !c.publishing && c.news.Publishes(now, place, rand.Float64())
+			c.news.SetListed(now, listed)
+			publishes = !c.publishing && c.news.ShouldPublish(now, place, rand.Float64())
 			c.publishing = c.publishing || publishes
 		})
 		l.changed(incarnation, "list", before, after)
@@ -276,6 +276,6 @@
 	}
 	l.change(incarnation, func(c *known) {
 		c.publishing = false
-		c.news.Wrote(l.now(), believed, err == nil)
+		c.news.RecordWrite(l.now(), believed, err == nil)
 	})
 }
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -30,7 +30,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.known[incarnation]
-	if c == nil || !c.news.Belief.Cap.Stated {
+	if c == nil || !c.news.View.Cap.Stated {
 		return time.Time{}, false
 	}
 	if c.sharersAt.IsZero() || now.Sub(c.sharersAt) >= sharersMemory {
@@ -88,6 +88,6 @@
 	if c == nil {
 		c = &known{}
 	}
-	c.desk, granted, wait = c.desk.Permit(now, l.share(incarnation, c.news.Belief), sentAt, place)
+	c.desk, granted, wait = c.desk.Permit(now, l.share(incarnation, c.news.View), sentAt, place)
 	return granted, wait
 }
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -22,7 +22,7 @@
 	pool struct {
 		name   string
 		mu     sync.Mutex
-		budget *kernel.SharedBudget
+		budget *kernel.FleetRetryBudget
 		// states is by the incarnations of endpoints.
 		states map[string]*endpointState
 		// firstEvent is the time until a stream's first event.
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{name: name, budget: kernel.NewSharedBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
+		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
 		r.pools[name] = p
 	}
 	return p
@@ -105,9 +105,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
-	choices := make([]kernel.EngineChoice, 0, len(usable))
+	choices := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
-		choices = append(choices, kernel.EngineChoice{Candidate: c, Reading: p.state(c.Endpoint.Incarnation()).reading})
+		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).reading})
 	}
 	i := kernel.PickEngine(now, choices, key)
 	if i < 0 {
@@ -223,7 +223,7 @@
 func (p *pool) takeRepeat(now time.Time, nodes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.TakeRepeat(now, nodes)
+	return p.budget.TakeRetry(now, nodes)
 }
 
 func (p *pool) expectFirstEvent() time.Duration {
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -54,7 +54,7 @@
 	}
 	b.wire.Connect = func(context.Context, string) error { return syscall.ECONNREFUSED }
 	registry := kernel.NewRegistry()
-	for i := range 2 * kernel.CrashesToHold {
+	for i := range 2 * kernel.CrashThreshold {
 		now := time.Now()
 		e := model.Endpoint{Name: fmt.Sprint("plain-", i), Address: "a", Pool: "plain", State: model.Live}
 		registry = registry.WithChanges(now, now, []model.Endpoint{e}, nil, nil)
@@ -70,8 +70,8 @@
 		}
 		outcome := b.serve("/get/same")
 		must.EqOp(t, model.StageFailed, outcome.Refusal.Reason)
-		time.Sleep(2 * kernel.JudgeAfter / 3)
+		time.Sleep(2 * kernel.EvaluationDelay / 3)
 	}
-	time.Sleep(2 * kernel.JudgeAfter)
+	time.Sleep(2 * kernel.EvaluationDelay)
 	must.EqOp(t, model.NoEndpoint, b.serve("/get/same").Refusal.Reason, must.Sprint("all have left, and nothing is held back"))
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -217,7 +217,7 @@
 // SetEvacuations takes over which failure domains are evacuated, and which no longer.
 func (r *Relay) SetEvacuations(change kernel.EvacuationChange) {
 	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
-	if len(news.Evacuated) == 0 && len(news.TakenBack) == 0 {
+	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
 		return
 	}
 	r.ChangeRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
@@ -225,7 +225,7 @@
 		r.metrics.Event("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
 	}
-	for _, domain := range news.TakenBack {
+	for _, domain := range news.Restored {
 		r.metrics.Event("DomainTakenBack")
 		r.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
@@ -244,7 +244,7 @@
 	view := r.View()
 	admission, refusal := kernel.Admit(r.now(), view, r.options.KeyTrust, f)
 	if gone := r.goneAt.Load(); refusal == nil && gone != nil {
-		refusal = kernel.TakeWhileLeaving(r.now(), *gone, admission.Route)
+		refusal = kernel.AdmitWhileLeaving(r.now(), *gone, admission.Route)
 	}
 	if refusal == nil {
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
@@ -260,7 +260,7 @@
 	if refusal != nil {
 		return r.refuseAtTheDoor(f, admission, view, refusal)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, admission.Until.Sub(r.now()), context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
 	job := &job{relay: r, forward: f, admission: admission, out: out, began: r.now(), trial: trial}
 	var outcome Outcome
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -90,7 +90,7 @@
 		Endpoint: e,
 		Forward:  j.forward,
 		Customer: j.admission.Customer,
-		Until:    j.admission.Until,
+		Until:    j.admission.Deadline,
 		Fresh:    j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
 	}
 	pickedAt, permitUntil := j.relay.now(), j.permitUntil
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -15,28 +15,28 @@
 // count as new ones.
 type returning struct {
 	mu     sync.Mutex
-	memory *kernel.Returning
+	memory *kernel.RefusedRequests
 }
 
 func newReturning() *returning {
-	return &returning{memory: kernel.NewReturning()}
+	return &returning{memory: kernel.NewRefusedRequests()}
 }
 
 func (m *returning) refused(now time.Time, identity string, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.memory.Refused(now, identity, waited)
+	m.memory.Add(now, identity, waited)
 }
 
 func (m *returning) waited(now time.Time, identity string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.memory.Waited(now, identity)
+	return m.memory.TakeWaited(now, identity)
 }
 
 // waitedBefore returns how long the caller of a request has waited since its first attempt.
 func (r *Relay) waitedBefore(ctx context.Context, f model.Forward, a kernel.Admission) time.Duration {
-	identity := kernel.Identity(a.Customer, f.Prompt)
+	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" {
 		return 0
 	}
@@ -59,7 +59,7 @@
 
 // noteRefused tells the coordinator that a request with stages was refused and may come back.
 func (r *Relay) noteRefused(f model.Forward, a kernel.Admission) {
-	identity := kernel.Identity(a.Customer, f.Prompt)
+	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" || len(a.Route.Stages) == 0 {
 		return
 	}
--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -97,7 +97,7 @@
 		}
 	}
 	// Those up to the third end are what it takes to know of it.
-	allowed := max(0, kernel.CrashesToHold-before) + mostRetries
+	allowed := max(0, kernel.CrashThreshold-before) + mostRetries
 	if after := c.reached(subject) - before; after > allowed {
 		c.breach("%s had ended endpoints in %d tries and reached more in %d tries after all faults had ended", subject, before, after)
 	}
--- a/table/notices.go
+++ b/table/notices.go
@@ -111,7 +111,7 @@
 		return slices.IndexFunc(list, func(h kernel.HeldRequest) bool { return h.Digest == digest })
 	}
 	for _, h := range after {
-		if i := find(before, h.Digest); i < 0 || !before[i].Same(h) {
+		if i := find(before, h.Digest); i < 0 || !before[i].Equal(h) {
 			change.Hold = append(change.Hold, h)
 		}
 	}
