--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -59,7 +59,7 @@
 		if !known {
 			return Admission{}, model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key is not known")
 		}
-		if !view.Proven(now, maxAge) {
+		if !view.Fresh(now, maxAge) {
 			return Admission{}, model.NewRefusal(model.NotRun, model.StaleRouting, notReadyRetryAfter, "the API keys known here are too old to trust")
 		}
 		a.Customer = holder.Name
@@ -88,7 +88,7 @@
 	if !known || holder.Name != a.Customer {
 		return model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key was taken away meanwhile")
 	}
-	if !view.Proven(now, maxAge) {
+	if !view.Fresh(now, maxAge) {
 		return model.NewRefusal(model.NotRun, model.StaleRouting, notReadyRetryAfter, "the API keys known here are too old to trust")
 	}
 	return nil
--- a/kernel/reading.go
+++ b/kernel/reading.go
@@ -6,195 +6,199 @@
 )
 
 const (
-	// mostAskers is how many nodes of a failure domain may be bound to ask a store that does not answer: one
-	// reads, and one more takes its place where the store turns away the first alone.
-	mostAskers = 2
-	// awayMemory is how long a node that knows no more than this one is passed over.
-	awayMemory = time.Second
-	// helperMemory is how long a node counts that was heard to know more: some of its questions.
-	helperMemory = 1500 * time.Millisecond
+	// maxReaders is how many nodes of a failure domain may be designated to read a store that does not answer: one
+	// reads, and one more takes its place where the store turns away only the first.
+	maxReaders = 2
+	// skipDuration is how long a node that knows no more than this one is skipped.
+	skipDuration = time.Second
+	// fresherNodeTTL is how long a node that was found to know more counts as a source: several of its questions.
+	fresherNodeTTL = 1500 * time.Millisecond
 )
 
 type (
-	// Reading decides for one node how it comes to know what the store holds: by asking the store itself, or
-	// another node. In each failure domain the first nodes by hash are bound to ask the store, the first one
-	// always and the next ones while the store does not answer those before; the others ask them, and where
-	// these know nothing those of other failure domains. So a store that is away is asked by few, however
-	// many nodes there are. A store that answers some nodes and not those that are to ask is found by tries
-	// of the others, one in each round of a failure domain. It changes in place.
-	Reading struct {
+	// SourceSelector decides for one node where it gets the contents of the store from: the store itself or another
+	// node. In each failure domain the first nodes by hash are the designated readers. The first one always reads the
+	// store, and each further one does while the store does not answer those before it. All other nodes ask the
+	// readers of their failure domain and, where these know nothing newer, those of other failure domains. An
+	// unavailable store thus gets few calls, however many nodes there are. A store that answers some nodes but none
+	// of the designated readers is found by probes of the other nodes, on average one per round and failure domain.
+	// The methods change it in place and must not be called concurrently.
+	SourceSelector struct {
 		self, domain string
-		// mostAge is how old another node's proof may be to be worth having.
-		mostAge time.Duration
-		// away holds until when nodes are passed over.
-		away map[string]time.Time
-		// helper was heard to know more than this node, which the store does not answer; it counts until
-		// helperUntil.
-		helper      string
-		helperUntil time.Time
-		// bound holds the nodes of the failure domain that are to ask the store, the first one first.
-		bound []string
-		// standsIn is true for a node that found by a try that the store answers it, and not those that are to
-		// ask.
-		standsIn bool
-	}
-
-	// ReadingPlan is what a node is to do.
-	ReadingPlan struct {
-		// Reads is true where it asks the store itself; Why says why or why not.
-		Reads bool
-		Why   string
-		// Source is the node to ask; empty for none. Waits tells that all were asked lately, so that its answer
-		// may wait for news.
-		Source string
-		Waits  bool
-	}
-
-	// SourceAnswer is what came of a question to another node.
+		// maxAge is the age up to which another node's data is of use.
+		maxAge time.Duration
+		// skippedUntil holds the time until which each skipped node is not asked.
+		skippedUntil map[string]time.Time
+		// fresherNode asked this node, which the store does not answer, and had newer data. It is a preferred source
+		// until fresherNodeUntil.
+		fresherNode      string
+		fresherNodeUntil time.Time
+		// readers are the designated readers of the failure domain in the order of their hashes.
+		readers []string
+		// substitute is true while a probe has shown that the store answers this node, but not the readers.
+		substitute bool
+	}
+
+	// SourcePlan says where a node gets the contents of the store from.
+	SourcePlan struct {
+		// ReadStore is true if the node reads the store itself; Reason is logged when this changes.
+		ReadStore bool
+		Reason    string
+		// Source is the node to ask; empty for none. LongPoll is true if all candidates were asked recently, so that
+		// the source may delay its answer until it has something new.
+		Source   string
+		LongPoll bool
+	}
+
+	// SourceAnswer is the outcome of a question to another node.
 	SourceAnswer struct {
-		// Failed is true where no answer came, Slow where it did not come whole in time.
-		Failed bool
-		Slow   bool
-		// Lost is true where the store does not answer the other node. Age is the greatest of its proofs.
-		Lost bool
-		Age  time.Duration
+		// Failed is true if no answer arrived, TimedOut if it did not arrive completely in time.
+		Failed   bool
+		TimedOut bool
+		// StoreLost is true if the store does not answer the other node. Age is the greatest age of its tables: the
+		// time since each was last proven current.
+		StoreLost bool
+		Age       time.Duration
 	}
 )
 
-// NewReading returns the decisions of a node in a failure domain.
-func NewReading(self, domain string, mostAge time.Duration) *Reading {
-	return &Reading{self: self, domain: domain, mostAge: mostAge, away: map[string]time.Time{}}
+// NewSourceSelector returns the selector of the node self in a failure domain. Data of other nodes that is older than
+// maxAge is of no use.
+func NewSourceSelector(self, domain string, maxAge time.Duration) *SourceSelector {
+	return &SourceSelector{self: self, domain: domain, maxAge: maxAge, skippedUntil: map[string]time.Time{}}
 }
 
-// Plan returns what to do next, by the nodes that are reachable, this one among them, and whether this node asks
-// the store in vain (lost).
-func (r *Reading) Plan(now time.Time, nodes []Peer, lost bool) ReadingPlan {
-	r.bound = askersOf(r.domain, nodes)
-	place := slices.Index(r.bound, r.self)
-	if lost {
-		r.standsIn = false
+// Plan returns where to get the contents of the store from. nodes are the reachable nodes, this one among them;
+// storeLost tells that this node reads the store and gets no answer.
+func (r *SourceSelector) Plan(now time.Time, nodes []Peer, storeLost bool) SourcePlan {
+	r.readers = designatedReaders(r.domain, nodes)
+	rank := slices.Index(r.readers, r.self)
+	if storeLost {
+		r.substitute = false
 	}
-	others := slices.DeleteFunc(slices.Clone(r.bound), func(name string) bool { return name == r.self })
-	present := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return r.isAway(now, name) })
+	others := slices.DeleteFunc(slices.Clone(r.readers), func(name string) bool { return name == r.self })
+	available := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return r.isSkipped(now, name) })
 	switch {
-	case place >= 0 && !slices.ContainsFunc(r.bound[:place], func(name string) bool { return !r.isAway(now, name) }):
-		plan := ReadingPlan{Reads: true, Why: "this node reads for its failure domain"}
-		if lost {
-			plan.Source = first(r.helping(now), present)
-			return r.elsewhere(now, plan, nodes, others)
+	case rank >= 0 && !slices.ContainsFunc(r.readers[:rank], func(name string) bool { return !r.isSkipped(now, name) }):
+		plan := SourcePlan{ReadStore: true, Reason: "this node reads for its failure domain"}
+		if storeLost {
+			plan.Source = firstOf(r.fresherNodes(now), available)
+			return r.withFallback(now, plan, nodes, others)
 		}
 		return plan
-	case r.standsIn:
-		return ReadingPlan{Reads: true, Why: "the store does not answer the readers", Source: first(present)}
+	case r.substitute:
+		return SourcePlan{ReadStore: true, Reason: "the store does not answer the readers", Source: firstOf(available)}
 	default:
-		plan := r.elsewhere(now, ReadingPlan{Source: first(present)}, nodes, others)
-		plan.Why = plan.Source + " reads for this node"
+		plan := r.withFallback(now, SourcePlan{Source: firstOf(available)}, nodes, others)
+		plan.Reason = plan.Source + " reads for this node"
 		return plan
 	}
 }
 
-// elsewhere gives a plan without a source one of another failure domain, or has it wait for the first of several
-// nodes.
-func (r *Reading) elsewhere(now time.Time, p ReadingPlan, nodes []Peer, others []string) ReadingPlan {
+// withFallback returns the plan with a source: where it has none, a reader of another failure domain, or else the
+// first of others with a long poll.
+func (r *SourceSelector) withFallback(now time.Time, p SourcePlan, nodes []Peer, others []string) SourcePlan {
 	if p.Source == "" {
-		p.Source = first(r.beyond(now, nodes))
+		p.Source = firstOf(r.remoteReaders(now, nodes))
 	}
 	if p.Source == "" && len(others) > 0 {
-		p.Source, p.Waits = others[0], true
+		p.Source, p.LongPoll = others[0], true
 	}
 	return p
 }
 
-// Took takes in what came of a question, and tells whether that node's word is enough. The word of a node that the
-// store does not answer is, while it is young, but for one that is to ask the store in its place.
-func (r *Reading) Took(now time.Time, source string, a SourceAnswer) bool {
+// RecordAnswer records the outcome of a question to a node and reports whether its answer suffices. A recent answer
+// suffices even if the store does not answer that node, unless both nodes are designated readers: then this one has to
+// read the store in its place.
+func (r *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
 	if a.Failed {
 		return false
 	}
-	relieved := a.Lost && slices.Contains(r.bound, r.self) && slices.Contains(r.bound, source)
-	if a.Slow || a.Age > r.mostAge || relieved {
-		r.away[source] = now.Add(awayMemory)
+	takesOver := a.StoreLost && slices.Contains(r.readers, r.self) && slices.Contains(r.readers, source)
+	if a.TimedOut || a.Age > r.maxAge || takesOver {
+		r.skippedUntil[source] = now.Add(skipDuration)
 		return false
 	}
-	if !a.Lost {
-		r.standsIn = false
+	if !a.StoreLost {
+		r.substitute = false
 	}
 	return true
 }
 
-// Heard takes in that a node that asks this one has a younger proof, which tells where to ask while the store
-// does not answer this node.
-func (r *Reading) Heard(now time.Time, node string) {
-	r.helper, r.helperUntil = node, now.Add(helperMemory)
+// RecordFresherNode records that a node that asked this one has data that was proven current more recently. It is a
+// source while the store does not answer this node.
+func (r *SourceSelector) RecordFresherNode(now time.Time, node string) {
+	r.fresherNode, r.fresherNodeUntil = node, now.Add(fresherNodeTTL)
 }
 
-// TriesStore decides whether a node that none of its sources could tell anything asks the store once by itself. The
-// draw is between 0 and 1: of those of a failure domain that are not bound to ask, one does in each round.
-func (r *Reading) TriesStore(nodes []Peer, draw float64) bool {
-	near := 0
+// ShouldProbeStore reports whether a node that got no sufficient answer from any source asks the store once by itself.
+// The draw is uniform in [0, 1): on average one node of a failure domain, of those that are not designated readers,
+// probes the store in each round.
+func (r *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
+	domainNodes := 0
 	for _, n := range nodes {
 		if n.Domain == r.domain {
-			near++
+			domainNodes++
 		}
 	}
-	return draw*float64(max(1, near-mostAskers)) < 1
+	return draw*float64(max(1, domainNodes-maxReaders)) < 1
 }
 
-// Tried takes in whether the store answered the try.
-func (r *Reading) Tried(answered bool) {
-	r.standsIn = answered
+// RecordProbe records whether the store answered the probe.
+func (r *SourceSelector) RecordProbe(answered bool) {
+	r.substitute = answered
 }
 
-func (r *Reading) isAway(now time.Time, name string) bool {
-	until, known := r.away[name]
+func (r *SourceSelector) isSkipped(now time.Time, name string) bool {
+	until, known := r.skippedUntil[name]
 	if known && !now.Before(until) {
-		delete(r.away, name)
+		delete(r.skippedUntil, name)
 		return false
 	}
 	return known
 }
 
-func (r *Reading) helping(now time.Time) []string {
-	if r.helper == "" || now.After(r.helperUntil) || r.isAway(now, r.helper) {
+func (r *SourceSelector) fresherNodes(now time.Time) []string {
+	if r.fresherNode == "" || now.After(r.fresherNodeUntil) || r.isSkipped(now, r.fresherNode) {
 		return nil
 	}
-	return []string{r.helper}
+	return []string{r.fresherNode}
 }
 
-// beyond returns the nodes of other failure domains that are to ask the store and are not away.
-func (r *Reading) beyond(now time.Time, nodes []Peer) []string {
+// remoteReaders returns the designated readers of other failure domains that are not skipped.
+func (r *SourceSelector) remoteReaders(now time.Time, nodes []Peer) []string {
 	byDomain := map[string][]Peer{}
 	for _, n := range nodes {
 		if n.Domain != r.domain {
 			byDomain[n.Domain] = append(byDomain[n.Domain], n)
 		}
 	}
-	var far []Peer
+	var remote []Peer
 	for domain, peers := range byDomain {
-		for _, name := range askersOf(domain, peers) {
-			if !r.isAway(now, name) {
-				far = append(far, Peer{Name: name})
+		for _, name := range designatedReaders(domain, peers) {
+			if !r.isSkipped(now, name) {
+				remote = append(remote, Peer{Name: name})
 			}
 		}
 	}
-	return NodesByHash("reader beyond "+r.domain, far)
+	return NodesByHash("reader beyond "+r.domain, remote)
 }
 
-// askersOf returns the nodes of a failure domain that are bound to ask the store, the first one first.
-func askersOf(domain string, nodes []Peer) []string {
-	var near []Peer
+// designatedReaders returns the nodes of a failure domain that are to read the store, in the order of their hashes.
+func designatedReaders(domain string, nodes []Peer) []string {
+	var domainNodes []Peer
 	for _, n := range nodes {
 		if n.Domain == domain {
-			near = append(near, n)
+			domainNodes = append(domainNodes, n)
 		}
 	}
-	// A node that started again may be known twice.
-	order := slices.Compact(NodesByHash("reader of "+domain, near))
-	return order[:min(mostAskers, len(order))]
+	// A node that started again may be listed twice.
+	order := slices.Compact(NodesByHash("reader of "+domain, domainNodes))
+	return order[:min(maxReaders, len(order))]
 }
 
-// first returns the first name of several lists; empty for none.
-func first(lists ...[]string) string {
+// firstOf returns the first name of the first list that is not empty, or "" if all are empty.
+func firstOf(lists ...[]string) string {
 	for _, list := range lists {
 		if len(list) > 0 {
 			return list[0]
@@ -203,13 +207,13 @@
 	return ""
 }
 
-// CallTimeout returns how long the next answer of a reader is waited for while it comes, after one that did or did not
-// come whole in time. The usual time is the greatest age of a useful proof: then another node is asked, since this one
-// may be cut off from all else. It doubles up to a most, so that an answer that outgrows its link comes whole
-// in the end.
-func CallTimeout(before, usual, most time.Duration, inTime bool) time.Duration {
-	if inTime || before <= 0 {
-		return usual
+// CallTimeout returns how long to wait for the next answer of a reader, given the previous timeout and whether the
+// previous answer arrived completely in time. The base is the greatest age at which data is of use: after it another
+// node is asked, since this one may be cut off from all others. The timeout doubles up to the limit, so that an answer
+// that is too large for its link at first arrives completely in the end.
+func CallTimeout(previous, base, limit time.Duration, inTime bool) time.Duration {
+	if inTime || previous <= 0 {
+		return base
 	}
-	return min(2*before, most)
+	return min(2*previous, limit)
 }
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -11,48 +11,48 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestAReplicaTellsOnlyNews(t *testing.T) {
+func TestReplicaReportsOnlyChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
-	must.Len(t, 2, m.Take(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
-	must.SliceEmpty(t, m.Take(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
-	must.Len(t, 1, m.Take(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
-	news := m.Take(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
-	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, news, must.Sprint("a whole table tells what is gone"))
-	must.SliceEmpty(t, m.Take(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer changes nothing"))
+	must.Len(t, 2, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
+	must.Len(t, 1, m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
+	changes := m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
+	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, changes, must.Sprint("rows that a whole table lacks are removed"))
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer is ignored"))
 }
 
-// A row that came and went between two questions is no news: an endpoint that was listed and removed
-// in one answer stayed in use for good, since removals are applied before listings.
-func TestARowThatCameAndWentIsNoNews(t *testing.T) {
+// A row that was written and removed between two calls must not be reported as a change. Removals are applied before
+// additions, so that an endpoint that was listed and removed in one answer stayed in use for good.
+func TestRowAddedAndRemovedInOneAnswerIsNoChange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
-	m.Take(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
-	must.SliceEmpty(t, m.Take(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
-	news := m.Take(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
-	must.Eq(t, []kernel.Row{{Key: "a", Version: 5}}, news)
-	news = m.Take(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
-	must.Eq(t, []kernel.Row{{Key: "a", Version: 7, Removed: true}}, news)
+	m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
+	changes := m.Apply(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
+	must.Eq(t, []kernel.Row{{Key: "a", Version: 5}}, changes)
+	changes = m.Apply(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
+	must.Eq(t, []kernel.Row{{Key: "a", Version: 7, Removed: true}}, changes)
 	d, _ := m.Since(now, 1)
-	must.Len(t, 2, d.Rows, must.Sprint("both removals are passed on"))
+	must.Len(t, 2, d.Rows, must.Sprint("a delta holds both removals"))
 }
 
-func TestAProofThroughAnotherNodeIsAsOldAsItsOwn(t *testing.T) {
+func TestDeltaKeepsTheAgeOfItsSource(t *testing.T) {
 	now := time.Unix(1000, 0)
 	source, copied := kernel.NewReplica(), kernel.NewReplica()
-	source.Take(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
+	source.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
 	asked := now.Add(2 * time.Second)
 	answered := asked.Add(700 * time.Millisecond)
 	d, ok := source.Since(answered, 0)
 	must.True(t, ok)
-	copied.TakeDelta(asked, d)
-	must.False(t, copied.ProvenAt().After(now), must.Sprint("never younger than the store's own answer"))
+	copied.ApplyDelta(asked, d)
+	must.False(t, copied.ProvenAt().After(now), must.Sprint("not proven later than by the store's own answer"))
 	must.Eq(t, now.Add(-700*time.Millisecond), copied.ProvenAt())
 	_, ok = kernel.NewReplica().Since(now, 0)
 	must.False(t, ok)
 }
 
-// replicaMachine drives a store, two replicas that read it, and one that asks them.
+// replicaMachine drives a store, two replicas that read it, and a third that copies either of them or reads the store.
 type replicaMachine struct {
 	now     time.Time
 	version uint64
@@ -60,35 +60,35 @@
 	log     []kernel.Row
 	sources [2]*kernel.Replica
 	copied  *kernel.Replica
-	// told is what one who hears only the copy's news takes the table to be.
-	told map[string]kernel.Row
+	// observed is the table as it follows from the changes that the copy reported.
+	observed map[string]kernel.Row
 }
 
-// hear takes news in whatever order: each tells of a row once.
-func (m *replicaMachine) hear(t *rapid.T, news []kernel.Row) {
+// observe applies reported changes in any order; each row may be reported once.
+func (m *replicaMachine) observe(t *rapid.T, changes []kernel.Row) {
 	seen := map[string]bool{}
-	for _, r := range news {
+	for _, r := range changes {
 		if seen[r.Key] {
-			t.Fatalf("two news of row %s: %v", r.Key, news)
+			t.Fatalf("two changes of row %s: %v", r.Key, changes)
 		}
 		seen[r.Key] = true
-		delete(m.told, r.Key)
+		delete(m.observed, r.Key)
 		if !r.Removed {
-			m.told[r.Key] = r
+			m.observed[r.Key] = r
 		}
 	}
 }
 
-// A copy that asks now and then, of two sources at different versions, is never ahead of the store,
-// never goes back, and is the store's table once it has caught up.
+// A replica that copies two replicas at different versions is never ahead of the store, never goes back, and equals the
+// store's table once it has caught up.
 func TestReplicasOfReplicasAgreeWithTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &replicaMachine{
-			now:     time.Unix(1000, 0),
-			store:   map[string]kernel.Row{},
-			sources: [2]*kernel.Replica{kernel.NewReplica(), kernel.NewReplica()},
-			copied:  kernel.NewReplica(),
-			told:    map[string]kernel.Row{},
+			now:      time.Unix(1000, 0),
+			store:    map[string]kernel.Row{},
+			sources:  [2]*kernel.Replica{kernel.NewReplica(), kernel.NewReplica()},
+			copied:   kernel.NewReplica(),
+			observed: map[string]kernel.Row{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": m.write,
@@ -111,7 +111,7 @@
 }
 
 func (m *replicaMachine) read(source int) {
-	after, known := m.sources[source].Known()
+	after, known := m.sources[source].Version()
 	var rows []kernel.Row
 	if known {
 		for _, r := range m.log {
@@ -124,12 +124,12 @@
 			rows = append(rows, r)
 		}
 	}
-	m.sources[source].Take(m.now, rows, m.version, !known)
+	m.sources[source].Apply(m.now, rows, m.version, !known)
 }
 
-// copyFromStore lets the copy read the store itself.
+// copyFromStore lets the copy read the changes from the store itself.
 func (m *replicaMachine) copyFromStore(t *rapid.T) {
-	after, known := m.copied.Known()
+	after, known := m.copied.Version()
 	if !known {
 		return
 	}
@@ -139,30 +139,30 @@
 			rows = append(rows, r)
 		}
 	}
-	m.hear(t, m.copied.Take(m.now, rows, m.version, false))
+	m.observe(t, m.copied.Apply(m.now, rows, m.version, false))
 }
 
 func (m *replicaMachine) ask(t *rapid.T, source int) {
-	before, _ := m.copied.Known()
+	before, _ := m.copied.Version()
 	if d, ok := m.sources[source].Since(m.now, before); ok {
-		m.hear(t, m.copied.TakeDelta(m.now, d))
+		m.observe(t, m.copied.ApplyDelta(m.now, d))
 	}
-	if after, _ := m.copied.Known(); after < before || after > m.version {
+	if after, _ := m.copied.Version(); after < before || after > m.version {
 		t.Fatalf("version went from %d to %d, the store is at %d", before, after, m.version)
 	}
 }
 
-// agree lets the copy catch up and compares.
+// agree brings the copy up to date and compares it, and the reported changes, with the store.
 func (m *replicaMachine) agree(t *rapid.T) {
 	m.read(0)
 	m.ask(t, 0)
 	all, _ := m.copied.Since(m.now, 0)
-	if len(all.Rows) != len(m.store) || len(m.told) != len(m.store) {
-		t.Fatalf("%d rows, %d by the news, the store has %d", len(all.Rows), len(m.told), len(m.store))
+	if len(all.Rows) != len(m.store) || len(m.observed) != len(m.store) {
+		t.Fatalf("the copy has %d rows, the reported changes give %d, the store has %d", len(all.Rows), len(m.observed), len(m.store))
 	}
 	for _, r := range all.Rows {
-		if m.store[r.Key] != r || m.told[r.Key] != r {
-			t.Fatalf("row %s is %v, in the store %v, by the news %v", r.Key, r, m.store[r.Key], m.told[r.Key])
+		if m.store[r.Key] != r || m.observed[r.Key] != r {
+			t.Fatalf("row %s is %v, in the store %v, by the reported changes %v", r.Key, r, m.store[r.Key], m.observed[r.Key])
 		}
 	}
 }
