--- a/blame/blame.go
+++ b/blame/blame.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 )
 
-// longestLine bounds a line that is read, in bytes; longer ones end the reading with an error.
-const longestLine = 1 << 20
+// maxLineBytes bounds a line that is read, in bytes; longer ones end the reading with an error.
+const maxLineBytes = 1 << 20
 
 type (
 	// Line is what is read of a line that ends a request. Durations are in milliseconds, as written.
@@ -53,20 +53,20 @@
 	Report struct {
 		window time.Duration
 		causes map[cause]int
-		pools  map[string]*waits
+		pools  map[string]*waitSamples
 		// lines counts the lines that ended a request, skipped those that are no JSON.
-		lines   int
-		skipped int
+		requestLines int
+		skipped      int
 	}
 
 	cause struct {
-		from  time.Time
-		route string
-		what  string
+		from        time.Time
+		route       string
+		description string
 	}
 
 	// waits are a pool's waits as estimated and as they were, of the same groups.
-	waits struct {
+	waitSamples struct {
 		estimated []float64
 		waited    []float64
 	}
@@ -74,18 +74,18 @@
 
 // NewReport returns a report that counts by windows of a length.
 func NewReport(window time.Duration) *Report {
-	return &Report{window: window, causes: map[cause]int{}, pools: map[string]*waits{}}
+	return &Report{window: window, causes: map[cause]int{}, pools: map[string]*waitSamples{}}
 }
 
 // Read takes lines in. What stands before the first brace of a line is passed over, so that lines that
 // were collected from several nodes with a prefix can be read as they are.
 func (r *Report) Read(lines io.Reader) error {
 	scanner := bufio.NewScanner(lines)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		if i := bytes.IndexByte(text, '{'); i >= 0 {
-			r.take(text[i:])
+			r.addLine(text[i:])
 		}
 	}
 	if err := scanner.Err(); err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (r *Report) take(text []byte) {
+func (r *Report) addLine(text []byte) {
 	var line Line
 	if err := json.Unmarshal(text, &line); err != nil {
 		r.skipped++
@@ -103,25 +103,25 @@
 	if line.Outcome == "" {
 		return
 	}
-	r.lines++
+	r.requestLines++
 	for _, s := range line.Stages {
 		if s.Fault == "" {
-			r.pool(s.Pool).add(s)
+			r.poolWaits(s.Pool).add(s)
 		}
 	}
-	if what := line.cause(); what != "" {
-		r.causes[cause{from: line.Time.Truncate(r.window), route: line.Route, what: what}]++
+	if description := line.cause(); description != "" {
+		r.causes[cause{from: line.Time.Truncate(r.window), route: line.Route, description: description}]++
 	}
 }
 
-func (r *Report) pool(name string) *waits {
+func (r *Report) poolWaits(name string) *waitSamples {
 	if r.pools[name] == nil {
-		r.pools[name] = &waits{}
+		r.pools[name] = &waitSamples{}
 	}
 	return r.pools[name]
 }
 
-func (w *waits) add(s Stage) {
+func (w *waitSamples) add(s Stage) {
 	w.estimated = append(w.estimated, s.Estimate)
 	w.waited = append(w.waited, s.Waited)
 }
@@ -130,20 +130,20 @@
 func (l Line) cause() string {
 	switch {
 	case l.Outcome == "Refused" && len(l.Estimates) > 0:
-		return l.Reason + ", " + l.longest()
+		return l.Reason + ", " + l.longestWait()
 	case l.Outcome == "Refused":
 		return l.Reason + ", " + l.Message
 	case l.Outcome == "BrokenOff":
 		return "broken off"
 	case l.Late:
-		return "late, " + l.slowest()
+		return "late, " + l.slowestPool()
 	default:
 		return ""
 	}
 }
 
 // longest names the pool that estimated the longest wait, and whether its room was full.
-func (l Line) longest() string {
+func (l Line) longestWait() string {
 	w := slices.MaxFunc(l.Estimates, func(a, b Wait) int { return int(a.Wait - b.Wait) })
 	if w.RoomTaken > 0.9 {
 		return "room of " + w.Pool
@@ -152,7 +152,7 @@
 }
 
 // slowest names the pool whose pieces waited longest.
-func (l Line) slowest() string {
+func (l Line) slowestPool() string {
 	if len(l.Stages) == 0 {
 		return "no stages"
 	}
@@ -165,8 +165,8 @@
 func (r *Report) Write(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\troute\trequests\tcause")
-	for _, c := range r.sorted() {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", c.from.Format("15:04:05"), orDash(c.route), r.causes[c], c.what)
+	for _, c := range r.sortedCauses() {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", c.from.Format("15:04:05"), orDash(c.route), r.causes[c], c.description)
 	}
 	fmt.Fprintln(table, "\t\t\t")
 	fmt.Fprintln(table, "pool\tgroups\testimated ms (half, nine in ten)\twaited ms (half, nine in ten)")
@@ -183,13 +183,13 @@
 	if err := table.Flush(); err != nil {
 		return errors.Wrap(err, "unable to print")
 	}
-	if _, err := fmt.Fprintf(out, "\n%d lines that end a request; %d lines were no JSON\n", r.lines, r.skipped); err != nil {
+	if _, err := fmt.Fprintf(out, "\n%d lines that end a request; %d lines were no JSON\n", r.requestLines, r.skipped); err != nil {
 		return errors.Wrap(err, "unable to print")
 	}
 	return nil
 }
 
-func (r *Report) sorted() []cause {
+func (r *Report) sortedCauses() []cause {
 	out := make([]cause, 0, len(r.causes))
 	for c := range r.causes {
 		out = append(out, c)
@@ -201,7 +201,7 @@
 		if r.causes[a] != r.causes[b] {
 			return r.causes[b] - r.causes[a]
 		}
-		return strings.Compare(a.route+a.what, b.route+b.what)
+		return strings.Compare(a.route+a.description, b.route+b.description)
 	})
 	return out
 }
--- a/blame/blame_test.go
+++ b/blame/blame_test.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/blame"
 )
 
-const lines = `node-1 {"time":"2026-01-02T03:04:05.1Z","Request":"a","Route":"r","Outcome":"Refused","Reason":"StageLate","message":"the stages would be late","Estimates":[{"Pool":"p","Wait":20,"RoomTaken":0.2},{"Pool":"q","Wait":900,"RoomTaken":0.95}]}
+const logLines = `node-1 {"time":"2026-01-02T03:04:05.1Z","Request":"a","Route":"r","Outcome":"Refused","Reason":"StageLate","message":"the stages would be late","Estimates":[{"Pool":"p","Wait":20,"RoomTaken":0.2},{"Pool":"q","Wait":900,"RoomTaken":0.95}]}
 {"time":"2026-01-02T03:04:05.9Z","Request":"b","Route":"r","Outcome":"Refused","Reason":"StageLate","message":"the stages would be late","Estimates":[{"Pool":"p","Wait":800,"RoomTaken":0.2},{"Pool":"q","Wait":9,"RoomTaken":0.95}]}
 {"time":"2026-01-02T03:04:07Z","Request":"c","Outcome":"Refused","Reason":"UnknownPipeline","message":"no route matches"}
 {"time":"2026-01-02T03:04:07Z","Request":"d","Route":"r","Outcome":"Answered","Late":true,"Stages":[{"Pool":"p","Estimate":10,"Waited":30},{"Pool":"q","Estimate":0,"Waited":2}]}
@@ -22,7 +22,7 @@
 
 func TestReport(t *testing.T) {
 	report := blame.NewReport(2 * time.Second)
-	must.NoError(t, report.Read(strings.NewReader(lines)))
+	must.NoError(t, report.Read(strings.NewReader(logLines)))
 	var out strings.Builder
 	must.NoError(t, report.Write(&out))
 	got := strings.Join(strings.Fields(out.String()), " ")
--- a/node/cold.go
+++ b/node/cold.go
@@ -65,14 +65,14 @@
 		return true
 	}
 	duty := n.cold.duty(now, e.Incarnation(), func() bool {
-		return !n.Draining() && share.SendsFrom(n.rateCaps.Place(now, e.Incarnation()))
+		return !n.Draining() && share.SendsFrom(n.rateCaps.Rank(now, e.Incarnation()))
 	})
 	return share.DueOn(now, duty, calledAt)
 }
 
 // refuses returns the refusal of a request whose pool has only endpoints that take no more now than they get.
 func (n *Node) refuses(now time.Time, pool string, endpoints []model.Endpoint, calledAt func(incarnation string) time.Time) *model.Refusal {
-	if refusal := n.rateCaps.Refuses(now, pool, endpoints, calledAt); refusal != nil {
+	if refusal := n.rateCaps.AdmitPool(now, pool, endpoints, calledAt); refusal != nil {
 		return refusal
 	}
 	staying := false
--- a/node/node.go
+++ b/node/node.go
@@ -123,10 +123,10 @@
 	n.dispatcher.OnAdapter = n.noteAdapter
 	n.dispatcher.OnBrokeOff = n.brokeOff
 	n.dispatcher.MayCall = n.mayCall
-	n.dispatcher.OnCall = n.rateCaps.Sent
-	n.dispatcher.OnAnswered = n.rateCaps.Answered
+	n.dispatcher.OnCall = n.rateCaps.RecordSend
+	n.dispatcher.OnAnswered = n.rateCaps.RecordAnswer
 	n.dispatcher.MayAsk = n.mayAskPermit
-	n.dispatcher.AskPermit = n.rateCaps.Ask
+	n.dispatcher.AskPermit = n.rateCaps.RequestPermit
 	n.dispatcher.Admits = n.admits
 	n.dispatcher.Refuses = n.refuses
 	if err := n.listen(); err != nil {
--- a/node/notices.go
+++ b/node/notices.go
@@ -83,10 +83,10 @@
 		}
 		held, caps := n.notices.set(row, version)
 		if len(held.Hold)+len(held.Lift) > 0 {
-			n.quarantine.Learn(held)
+			n.quarantine.ApplyChange(held)
 		}
 		for incarnation, stated := range caps {
-			n.rateCaps.Learn(incarnation, stated)
+			n.rateCaps.ApplyNotice(incarnation, stated)
 		}
 		select {
 		case <-n.ctx.Done():
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -17,7 +17,7 @@
 
 // newQuarantine returns the node's part in the quarantine.
 func (n *Node) newQuarantine() *quarantine.Coordinator {
-	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Seams{
+	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
 		Call:  n.callMember,
 		Connect: func(ctx context.Context, address string) error {
@@ -60,10 +60,10 @@
 
 // brokeOff notes that an endpoint broke off while it worked on a request.
 func (n *Node) brokeOff(e model.Endpoint, req model.Request) {
-	n.quarantine.BrokeOff(e, req.Digest())
+	n.quarantine.RecordDisconnect(e, req.Digest())
 }
 
 // mayCall tells whether a request may be sent to an endpoint.
 func (n *Node) mayCall(req model.Request) *model.Refusal {
-	return n.quarantine.Refuses(req.Digest())
+	return n.quarantine.Check(req.Digest())
 }
--- a/node/ratecaps.go
+++ b/node/ratecaps.go
@@ -11,21 +11,21 @@
 
 // newRateCaps returns the node's part in keeping the rate caps of endpoints.
 func (n *Node) newRateCaps() *ratecap.Limiter {
-	return ratecap.NewLimiter(n.ctx, n.member.Node, ratecap.Seams{
+	return ratecap.NewLimiter(n.ctx, n.member.Node, ratecap.Dependencies{
 		Announced: n.announced,
 		Listed:    n.dispatcher.Lists,
 		Publish: func(ctx context.Context, incarnation string, stated model.RateCap) error {
 			return n.noteNotice(n.store.ChangeRateCap(ctx, incarnation, stated))
 		},
-		Ask:     n.askCapPermit,
-		Changed: func() {},
+		RequestPermit: n.askCapPermit,
+		Changed:       func() {},
 	}, time.Now, n.metrics, n.log)
 }
 
 // mayAskPermit tells whether another node is worth asking for a permit to call an endpoint now that was last called at a
 // time.
 func (n *Node) mayAskPermit(now time.Time, e model.Endpoint, calledAt time.Time) bool {
-	return n.rateCaps.MayAsk(now, e.Incarnation()) && n.admitsCold(now, e, calledAt)
+	return n.rateCaps.MayRequestPermit(now, e.Incarnation()) && n.admitsCold(now, e, calledAt)
 }
 
 func (n *Node) askCapPermit(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error) {
--- a/node/runner.go
+++ b/node/runner.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			p = p.after(stage, err)
 			if trial && !p.reached {
-				n.quarantine.TrialUnused(req.Digest())
+				n.quarantine.CancelTrial(req.Digest())
 			}
 			return model.Answer{}, p, p.refusal(err)
 		}
@@ -62,7 +62,7 @@
 		p.sent = p.sent || stage.NonIdempotent
 		carry = result.Carry
 	}
-	n.quarantine.Answered(req.Digest())
+	n.quarantine.RecordAnswer(req.Digest())
 	return n.answer(req, carry, p), p, nil
 }
 
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// coordinatorsInformed is how many nodes are told of a crash: the coordinator, and the next one, which takes its place where
+	// coordinatorsPerPool is how many nodes are told of a crash: the coordinator, and the next one, which takes its place where
 	// it is lost.
-	coordinatorsInformed = 2
-	// notifyTimeout bounds a message to a coordinator; notifyTries is how often it is looked who has yet to be notified, notifyPause
+	coordinatorsPerPool = 2
+	// notifyTimeout bounds a message to a coordinator; notifyRounds is how often it is looked who has yet to be notified, notifyInterval
 	// apart.
-	notifyTimeout = time.Second
-	notifyTries   = 6
-	notifyPause   = time.Second
-	// mostNotifications bounds the messages to coordinators that are under way; the others are dropped and counted.
-	mostNotifications = 256
+	notifyTimeout  = time.Second
+	notifyRounds   = 6
+	notifyInterval = time.Second
+	// maxNotifications bounds the messages to coordinators that are under way; the others are dropped and counted.
+	maxNotifications = 256
 	// trialTimeout bounds the question for a trial; without an answer the request is refused.
 	trialTimeout = 300 * time.Millisecond
-	// storePause is how long after a failure the store is written to again, storeTries how often at most.
-	storePause = time.Second
-	storeTries = 30
-	// storeHelpers is how many other nodes are asked to write where the store does not answer this one.
-	storeHelpers = 3
-	// actingTime is how long a node decides in the place of a coordinator that does not answer: until all nodes that need
+	// storeRetryInterval is how long after a failure the store is written to trialRetryAfter, maxStoreAttempts how often at most.
+	storeRetryInterval = time.Second
+	maxStoreAttempts   = 30
+	// maxStoreDelegates is how many other nodes are asked to write where the store does not answer this one.
+	maxStoreDelegates = 3
+	// actingDuration is how long a node decides in the place of a coordinator that does not answer: until all nodes that need
 	// it have noticed.
-	actingTime = 10 * time.Second
-	// mostLogged bounds the digests of one line.
-	mostLogged = 16
+	actingDuration = 10 * time.Second
+	// maxLoggedDigests bounds the digests of one line.
+	maxLoggedDigests = 16
 )
 
 type (
-	// Seams are how a coordinator reaches endpoints, other nodes and the store.
-	Seams struct {
+	// Dependencies are how a coordinator reaches endpoints, other nodes and the store.
+	Dependencies struct {
 		// Peers returns the nodes that answer, this one among them.
 		Peers func() []kernel.Peer
 		// Call calls another node by its name.
@@ -56,7 +56,7 @@
 	// Coordinator is one node's part in the quarantine. It is safe for concurrent use.
 	Coordinator struct {
 		name    string
-		seams   Seams
+		deps    Dependencies
 		now     func() time.Time
 		log     zerolog.Logger
 		metrics *metric.Set
@@ -65,55 +65,55 @@
 		mu sync.Mutex
 		q  *kernel.Quarantine
 		// ends has the endpoints of which it is being found out, or is known, whether their process ended.
-		ends map[string]*end
+		crashChecks map[string]*crashCheck
 		// acting holds until when this node decides on the cases of pools whose coordinator does not answer.
-		acting map[string]time.Time
+		actingUntil map[string]time.Time
 		// notifying counts the messages to coordinators that are under way.
 		notifying int
 	}
 )
 
 // NewCoordinator returns a coordinator that knows nothing; it works until ctx ends.
-func NewCoordinator(ctx context.Context, name string, seams Seams, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Coordinator {
+func NewCoordinator(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Coordinator {
 	return &Coordinator{
-		name: name, seams: seams, now: now, log: log, metrics: metrics, ctx: ctx,
-		q: kernel.NewQuarantine(), ends: map[string]*end{}, acting: map[string]time.Time{},
+		name: name, deps: deps, now: now, log: log, metrics: metrics, ctx: ctx,
+		q: kernel.NewQuarantine(), crashChecks: map[string]*crashCheck{}, actingUntil: map[string]time.Time{},
 	}
 }
 
-// Admit tells whether a request may go on its way. A trial that was permitted is to be given back with TrialUnused
+// Admit tells whether a request may go on its way. A trial that was permitted is to be given back with CancelTrial
 // where the request is not sent.
 func (c *Coordinator) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
-	passage, held, retry := c.look(digest)
-	switch passage {
+	state, held, retryAfter := c.holdState(digest)
+	switch state {
 	case kernel.NotHeld:
 		return false, nil
 	case kernel.TrialOnly:
-		permitted, again := c.askTrial(ctx, held)
+		permitted, trialRetryAfter := c.requestTrial(ctx, held)
 		if permitted {
 			c.metrics.Event("QuarantineTrial")
 			c.log.Info().Str("Digest", string(digest)).Str("Pool", held.Pool).Msg("request that is held back runs on trial")
 			return true, nil
 		}
-		return false, refuse(max(retry, again))
+		return false, newRefusal(max(retryAfter, trialRetryAfter))
 	default:
-		return false, refuse(retry)
+		return false, newRefusal(retryAfter)
 	}
 }
 
-// Refuses looks once more, right before a request is sent.
-func (c *Coordinator) Refuses(digest model.Digest) *model.Refusal {
-	if passage, _, retry := c.look(digest); passage != kernel.NotHeld {
-		return refuse(retry)
+// Check looks once more, right before a request is sent.
+func (c *Coordinator) Check(digest model.Digest) *model.Refusal {
+	if state, _, retryAfter := c.holdState(digest); state != kernel.NotHeld {
+		return newRefusal(retryAfter)
 	}
 	return nil
 }
 
-func refuse(retry time.Duration) *model.Refusal {
-	return model.NewRefusal(model.NotRun, model.Quarantined, retry, "endpoints ended that ran this request; it is held back")
+func newRefusal(retryAfter time.Duration) *model.Refusal {
+	return model.NewRefusal(model.NotRun, model.Quarantined, retryAfter, "endpoints ended that ran this request; it is held back")
 }
 
-func (c *Coordinator) look(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
+func (c *Coordinator) holdState(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.q.Check(c.now(), digest)
@@ -126,41 +126,41 @@
 	return c.q.Len()
 }
 
-// TrialUnused gives the trial of a request back that was not sent.
-func (c *Coordinator) TrialUnused(digest model.Digest) {
-	_, held, _ := c.look(digest)
+// CancelTrial gives the trial of a request back that was not sent.
+func (c *Coordinator) CancelTrial(digest model.Digest) {
+	_, held, _ := c.holdState(digest)
 	if held.Digest == "" {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
 		defer cancel()
-		c.trial(ctx, held.Pool, peer.Trial{Digest: digest, Unused: true})
+		c.sendTrial(ctx, held.Pool, peer.Trial{Digest: digest, Unused: true})
 	}()
 }
 
-// Answered notes that an endpoint answered a request whole, and tells the coordinators where that clears it.
-func (c *Coordinator) Answered(digest model.Digest) {
+// RecordAnswer notes that an endpoint answered a request whole, and tells the coordinators where that clears it.
+func (c *Coordinator) RecordAnswer(digest model.Digest) {
 	c.mu.Lock()
 	suspected, pool := c.q.RecordAnswer(c.now(), digest)
 	c.mu.Unlock()
 	if suspected {
-		c.clear(digest, pool)
+		c.clearAndNotify(digest, pool)
 	}
 }
 
-// Learn takes in which requests are held back, as the store says, and which no longer.
-func (c *Coordinator) Learn(change kernel.QuarantineChange) {
+// ApplyChange takes in which requests are held back, as the store says, and which no longer.
+func (c *Coordinator) ApplyChange(change kernel.QuarantineChange) {
 	for _, h := range change.Hold {
 		c.mu.Lock()
-		passage, before, _ := c.q.Check(c.now(), h.Digest)
-		taken := c.q.ApplyHold(c.now(), h)
+		state, before, _ := c.q.Check(c.now(), h.Digest)
+		applied := c.q.ApplyHold(c.now(), h)
 		c.mu.Unlock()
-		if !taken {
-			c.clear(h.Digest, h.Pool)
+		if !applied {
+			c.clearAndNotify(h.Digest, h.Pool)
 			continue
 		}
-		if passage == kernel.NotHeld {
+		if state == kernel.NotHeld {
 			c.metrics.Event("QuarantineLearned")
 		}
 		if before.Firm != h.Firm || len(before.Incarnations) != len(h.Incarnations) {
@@ -179,94 +179,94 @@
 		}
 	}
 	// With one request cleared, another may be found to be the cause.
-	c.judgeSoon()
+	c.scheduleEvaluation()
 }
 
 // coordinators returns the nodes that keep a pool's cases, the first one that decides.
 func (c *Coordinator) coordinators(pool string) []string {
-	return kernel.NodesByHash(pool, c.seams.Peers())
+	return kernel.NodesByHash(pool, c.deps.Peers())
 }
 
-// keeps tells whether this node decides on a pool's cases.
-func (c *Coordinator) keeps(pool string) bool {
+// coordinates tells whether this node decides on a pool's cases.
+func (c *Coordinator) coordinates(pool string) bool {
 	return c.coordinators(pool)[0] == c.name
 }
 
-// judgeSoon has the cases judged when all reports on the same ends have come.
-func (c *Coordinator) judgeSoon() {
+// scheduleEvaluation has the cases judged when all reports on the same ends have come.
+func (c *Coordinator) scheduleEvaluation() {
 	time.AfterFunc(kernel.EvaluationDelay+kernel.EvaluationDelay/10, func() {
 		if c.ctx.Err() != nil {
 			return
 		}
 		c.mu.Lock()
 		// The order of hundreds of nodes is worked out once for each pool.
-		kept := map[string]bool{}
-		keeps := func(pool string) bool {
-			if _, known := kept[pool]; !known {
-				kept[pool] = c.keeps(pool) || c.now().Before(c.acting[pool])
+		decides := map[string]bool{}
+		coordinates := func(pool string) bool {
+			if _, known := decides[pool]; !known {
+				decides[pool] = c.coordinates(pool) || c.now().Before(c.actingUntil[pool])
 			}
-			return kept[pool]
+			return decides[pool]
 		}
-		change := c.q.Evaluate(c.now(), keeps)
+		change := c.q.Evaluate(c.now(), coordinates)
 		c.mu.Unlock()
 		if len(change.Hold)+len(change.Lift) == 0 {
 			return
 		}
-		c.Learn(change)
-		c.store(change)
+		c.ApplyChange(change)
+		c.persist(change)
 	})
 }
 
 // store writes a change into the store until that is done: by itself, or through nodes that the store answers.
-func (c *Coordinator) store(change kernel.QuarantineChange) {
+func (c *Coordinator) persist(change kernel.QuarantineChange) {
 	go func() {
-		for range storeTries {
-			change = c.stillTrue(change)
+		for range maxStoreAttempts {
+			change = c.dropOutdated(change)
 			if len(change.Hold)+len(change.Lift) == 0 {
 				return
 			}
-			err := c.seams.Store(c.ctx, change)
-			if err == nil || c.storeElsewhere(change) {
+			err := c.deps.Store(c.ctx, change)
+			if err == nil || c.persistViaPeers(change) {
 				return
 			}
 			c.metrics.Event("QuarantineStoreFailed")
 			c.log.Warn().Int("Held", len(change.Hold)).Int("Lifted", len(change.Lift)).Err(err).Msg("held requests not written")
-			if !clock.Sleep(c.ctx, storePause) {
+			if !clock.Sleep(c.ctx, storeRetryInterval) {
 				return
 			}
 		}
 	}()
 }
 
-// stillTrue returns the part of a change that holds by now: what is written late must not undo what was found since.
-func (c *Coordinator) stillTrue(change kernel.QuarantineChange) kernel.QuarantineChange {
+// dropOutdated returns the part of a change that holds by now: what is written late must not undo what was found since.
+func (c *Coordinator) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
 	var out kernel.QuarantineChange
 	for _, h := range change.Hold {
-		if passage, _, _ := c.look(h.Digest); passage != kernel.NotHeld {
+		if state, _, _ := c.holdState(h.Digest); state != kernel.NotHeld {
 			out.Hold = append(out.Hold, h)
 		}
 	}
 	for _, digest := range change.Lift {
-		if passage, _, _ := c.look(digest); passage == kernel.NotHeld {
+		if state, _, _ := c.holdState(digest); state == kernel.NotHeld {
 			out.Lift = append(out.Lift, digest)
 		}
 	}
 	return out
 }
 
-// storeElsewhere has other nodes write, other ones each time: each of them holds back at once what it is told, also
+// persistViaPeers has other nodes write, other ones each time: each of them holds back at once what it is told, also
 // where the store answers none.
-func (c *Coordinator) storeElsewhere(change kernel.QuarantineChange) bool {
-	helpers := storeHelpers
-	peers := c.seams.Peers()
+func (c *Coordinator) persistViaPeers(change kernel.QuarantineChange) bool {
+	remaining := maxStoreDelegates
+	peers := c.deps.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, p := range peers {
-		if p.Name == c.name || helpers == 0 {
+		if p.Name == c.name || remaining == 0 {
 			continue
 		}
-		helpers--
+		remaining--
 		ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
-		err := c.seams.Call(ctx, p.Name, peer.KindHold, peer.Hold{Change: change}, &peer.Empty{})
+		err := c.deps.Call(ctx, p.Name, peer.KindHold, peer.Hold{Change: change}, &peer.Empty{})
 		cancel()
 		if err == nil {
 			return true
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -25,22 +25,22 @@
 const (
 	fleetSize = 400
 	// besides is how many requests are under way at an endpoint, each at a node of its own.
-	besides = 60
-	// newsTakes is how long it takes until a node hears of what was written into the store.
-	newsTakes = 500 * time.Millisecond
+	concurrentRequests = 60
+	// propagationDelay is how long it takes until a node hears of what was written into the store.
+	propagationDelay = 500 * time.Millisecond
 	// silence is after which time a node that does not answer is given up.
-	silence = 600 * time.Millisecond
+	failureDetectionTime = 600 * time.Millisecond
 	// contact is after which time all nodes are bound by what was found.
-	contact = 3 * time.Second
-	// mostLater is how many tries may reach an endpoint later than that.
-	mostLater = 3
-	// popularPause is how long after one try of a popular request the next comes.
-	popularPause = 100 * time.Millisecond
-	// mostMessage bounds one word between nodes, in bytes: it fills the slowest links of hosts for 20 ms.
-	mostMessage = 25_000
+	convergenceTime = 3 * time.Second
+	// maxLateAttempts is how many tries may reach an endpoint later than that.
+	maxLateAttempts = 3
+	// popularInterval is how long after one try of a popular request the next comes.
+	popularInterval = 100 * time.Millisecond
+	// maxMessageBytes bounds one word between nodes, in bytes: it fills the slowest links of hosts for 20 ms.
+	maxMessageBytes = 25_000
 )
 
-var errCut = errors.New("no way to the node")
+var errUnreachable = errors.New("no way to the node")
 
 type (
 	// fleet is coordinators that call each other within the process, on a clock of its own, and what they have written
@@ -53,51 +53,51 @@
 		coordinators map[string]*quarantine.Coordinator
 		names        []string
 		// cut nodes reach no other and hear nothing of the store.
-		cut map[string]bool
+		partitioned map[string]bool
 		// mute nodes answer nothing, and no other node has noticed.
-		mute map[string]bool
+		unresponsive map[string]bool
 		// noticed holds which nodes have found out that another is mute.
-		noticed map[[2]string]bool
+		knownUnresponsive map[[2]string]bool
 		// deaf nodes are not answered by the store.
-		deaf         map[string]bool
-		rows         []kernel.HeldRequest
-		dead         map[string]bool
-		incarnations int
-		calls        int
-		bytes        int
-		writes       int
+		withoutStore     map[string]bool
+		held             []kernel.HeldRequest
+		crashed          map[string]bool
+		endpointsStarted int
+		calls            int
+		bytes            int
+		writes           int
 	}
 
 	// try is what became of one request.
-	try struct {
+	sendResult struct {
 		reached bool
 		refused bool
 	}
 
 	// tally counts the tries of a poison request that reached an endpoint, and those later than nodes are bound after
 	// the third.
-	tally struct {
-		digest  model.Digest
-		reached int
-		later   int
-		thirdAt time.Time
+	attemptStats struct {
+		digest      model.Digest
+		reached     int
+		late        int
+		thresholdAt time.Time
 	}
 )
 
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{
 		t: t, random: rand.New(rand.NewPCG(1, 1)), coordinators: map[string]*quarantine.Coordinator{},
-		cut: map[string]bool{}, deaf: map[string]bool{}, mute: map[string]bool{}, noticed: map[[2]string]bool{}, dead: map[string]bool{},
+		partitioned: map[string]bool{}, withoutStore: map[string]bool{}, unresponsive: map[string]bool{}, knownUnresponsive: map[[2]string]bool{}, crashed: map[string]bool{},
 	}
 	for i := range size {
-		f.start(fmt.Sprint("node-", i))
+		f.startNode(fmt.Sprint("node-", i))
 	}
 	return f
 }
 
 // start starts a node, in the place of one of the same name; it reads the store first.
-func (f *fleet) start(name string) {
-	k := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Seams{
+func (f *fleet) startNode(name string) {
+	node := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Dependencies{
 		Peers: func() []kernel.Peer { return f.peers(name) },
 		Call: func(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 			return f.call(ctx, name, node, kind, message, reply)
@@ -109,18 +109,18 @@
 	if f.coordinators[name] == nil {
 		f.names = append(f.names, name)
 	}
-	f.coordinators[name] = k
-	rows := f.rows
+	f.coordinators[name] = node
+	held := f.held
 	f.mu.Unlock()
-	k.Learn(kernel.QuarantineChange{Hold: rows})
+	node.ApplyChange(kernel.QuarantineChange{Hold: held})
 }
 
-func (f *fleet) peers(of string) []kernel.Peer {
+func (f *fleet) peers(self string) []kernel.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := []kernel.Peer{{Name: of}}
+	out := []kernel.Peer{{Name: self}}
 	for _, name := range f.names {
-		if name != of && !f.cut[of] && !f.cut[name] && !f.noticed[[2]string{of, name}] {
+		if name != self && !f.partitioned[self] && !f.partitioned[name] && !f.knownUnresponsive[[2]string{self, name}] {
 			out = append(out, kernel.Peer{Name: name})
 		}
 	}
@@ -133,25 +133,25 @@
 		return err
 	}
 	f.mu.Lock()
-	k := f.coordinators[to]
-	severed := f.cut[from] || f.cut[to]
-	mute := f.mute[to]
+	node := f.coordinators[to]
+	partitioned := f.partitioned[from] || f.partitioned[to]
+	unresponsive := f.unresponsive[to]
 	f.calls++
 	f.bytes += len(body)
 	f.mu.Unlock()
-	must.Less(f.t, mostMessage, len(body))
+	must.Less(f.t, maxMessageBytes, len(body))
 	time.Sleep(2 * time.Millisecond)
-	if severed {
-		return errCut
+	if partitioned {
+		return errUnreachable
 	}
-	if mute {
-		time.Sleep(silence)
+	if unresponsive {
+		time.Sleep(failureDetectionTime)
 		f.mu.Lock()
-		f.noticed[[2]string{from, to}] = true
+		f.knownUnresponsive[[2]string{from, to}] = true
 		f.mu.Unlock()
-		return errCut
+		return errUnreachable
 	}
-	answer, err := k.Handlers()[kind](ctx, body)
+	answer, err := node.Handlers()[kind](ctx, body)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 	time.Sleep(2 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead[address] {
+	if f.crashed[address] {
 		return &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	return nil
@@ -175,18 +175,18 @@
 func (f *fleet) write(from string, change kernel.QuarantineChange) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cut[from] || f.deaf[from] {
-		return errCut
+	if f.partitioned[from] || f.withoutStore[from] {
+		return errUnreachable
 	}
 	f.writes++
-	f.rows = change.Apply(f.rows)
+	f.held = change.Apply(f.held)
 	for name := range f.coordinators {
-		time.AfterFunc(newsTakes, func() {
+		time.AfterFunc(propagationDelay, func() {
 			f.mu.Lock()
-			k, cut := f.coordinators[name], f.cut[name]
+			node, partitioned := f.coordinators[name], f.partitioned[name]
 			f.mu.Unlock()
-			if !cut {
-				k.Learn(change)
+			if !partitioned {
+				node.ApplyChange(change)
 			}
 		})
 	}
@@ -194,44 +194,44 @@
 }
 
 // any returns a node that is not cut off.
-func (f *fleet) any() *quarantine.Coordinator {
+func (f *fleet) randomNode() *quarantine.Coordinator {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for {
-		if name := f.names[f.random.IntN(len(f.names))]; !f.cut[name] {
+		if name := f.names[f.random.IntN(len(f.names))]; !f.partitioned[name] {
 			return f.coordinators[name]
 		}
 	}
 }
 
 // end ends an endpoint: each of the requests breaks off, at a node of its own.
-func (f *fleet) end(digests ...model.Digest) {
+func (f *fleet) crash(digests ...model.Digest) {
 	f.mu.Lock()
-	f.incarnations++
-	e := model.Endpoint{Name: fmt.Sprint("incarnation-", f.incarnations), Pool: "engines", Address: fmt.Sprint("incarnation-", f.incarnations)}
-	f.dead[e.Address] = true
+	f.endpointsStarted++
+	e := model.Endpoint{Name: fmt.Sprint("incarnation-", f.endpointsStarted), Pool: "engines", Address: fmt.Sprint("incarnation-", f.endpointsStarted)}
+	f.crashed[e.Address] = true
 	f.mu.Unlock()
 	for _, d := range digests {
-		f.any().BrokeOff(e, d)
+		f.randomNode().RecordDisconnect(e, d)
 	}
 }
 
 // send sends a request to any node. A poison request ends an endpoint, with others beside it.
-func (f *fleet) send(digest model.Digest, poison bool, beside ...model.Digest) try {
-	k := f.any()
-	if _, refusal := k.Admit(f.t.Context(), digest); refusal != nil {
-		return try{refused: true}
+func (f *fleet) send(digest model.Digest, poison bool, concurrent ...model.Digest) sendResult {
+	node := f.randomNode()
+	if _, refusal := node.Admit(f.t.Context(), digest); refusal != nil {
+		return sendResult{refused: true}
 	}
 	if poison {
-		f.end(append(beside, digest)...)
+		f.crash(append(concurrent, digest)...)
 	} else {
-		k.Answered(digest)
+		node.RecordAnswer(digest)
 	}
-	return try{reached: true}
+	return sendResult{reached: true}
 }
 
 // others returns the digests of requests that are sent once.
-func (f *fleet) others(n int) []model.Digest {
+func (f *fleet) newDigests(n int) []model.Digest {
 	out := make([]model.Digest, n)
 	for i := range out {
 		out[i] = model.NewDigest(fmt.Sprint(f.random.Uint64()))
@@ -240,46 +240,46 @@
 }
 
 // note counts a try that reached an endpoint.
-func (of *tally) note() {
-	of.reached++
-	if !of.thirdAt.IsZero() && time.Since(of.thirdAt) > contact {
-		of.later++
+func (stats *attemptStats) countReached() {
+	stats.reached++
+	if !stats.thresholdAt.IsZero() && time.Since(stats.thresholdAt) > convergenceTime {
+		stats.late++
 	}
-	if of.reached == kernel.CrashThreshold {
-		of.thirdAt = time.Now()
+	if stats.reached == kernel.CrashThreshold {
+		stats.thresholdAt = time.Now()
 	}
 }
 
 // repeat sends a poison request again and again. Others run beside it; they come once more when they were cut.
-func (f *fleet) repeat(digest model.Digest, tries int, pause time.Duration) tally {
-	of := tally{digest: digest}
-	for range tries {
-		beside := f.others(besides)
-		if f.send(digest, true, beside...).reached {
-			of.note()
+func (f *fleet) sendRepeatedly(digest model.Digest, attempts int, interval time.Duration) attemptStats {
+	stats := attemptStats{digest: digest}
+	for range attempts {
+		concurrent := f.newDigests(concurrentRequests)
+		if f.send(digest, true, concurrent...).reached {
+			stats.countReached()
 		}
-		time.Sleep(pause)
-		for _, d := range beside {
+		time.Sleep(interval)
+		for _, d := range concurrent {
 			must.False(f.t, f.send(d, false).refused, must.Sprint("what ran beside is served"))
 		}
 	}
-	return of
+	return stats
 }
 
 // sendAll sends several poison requests once: each ends an endpoint of its own, or all of them the same one.
-func (f *fleet) sendAll(tallies []*tally, together bool) {
+func (f *fleet) sendAll(allStats []*attemptStats, sameEndpoint bool) {
 	var sent []model.Digest
-	for _, of := range tallies {
-		if _, refusal := f.any().Admit(f.t.Context(), of.digest); refusal == nil {
-			of.note()
-			sent = append(sent, of.digest)
+	for _, stats := range allStats {
+		if _, refusal := f.randomNode().Admit(f.t.Context(), stats.digest); refusal == nil {
+			stats.countReached()
+			sent = append(sent, stats.digest)
 		}
 	}
-	if together && len(sent) > 0 {
-		f.end(sent...)
+	if sameEndpoint && len(sent) > 0 {
+		f.crash(sent...)
 		return
 	}
 	for _, d := range sent {
-		f.end(d)
+		f.crash(d)
 	}
 }
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// sweepEvery is how often beliefs are compared with what is published.
-	sweepEvery = 200 * time.Millisecond
-	// settleEvery is how often it is looked which nodes there are.
-	settleEvery = time.Second
-	// placeMemory is how long this node's place by an endpoint's hash counts: about as long as nodes take to learn of
+	// sweepInterval is how often beliefs are compared with what is published.
+	sweepInterval = 200 * time.Millisecond
+	// nodesRefreshInterval is how often it is looked which nodes there are.
+	nodesRefreshInterval = time.Second
+	// rankTTL is how long this node's rank by an endpoint's hash counts: about as long as nodes take to learn of
 	// each other.
-	placeMemory = 500 * time.Millisecond
+	rankTTL = 500 * time.Millisecond
 	// publishTimeout bounds the writing of a cap.
 	publishTimeout = 2 * time.Second
 )
 
 type (
-	// Seams are how a limiter learns of nodes and endpoints, and tells other nodes.
-	Seams struct {
+	// Dependencies are how a limiter learns of nodes and endpoints, and tells other nodes.
+	Dependencies struct {
 		// Announced returns the nodes that have announced themselves and are not leaving, whether they answer or not.
 		Announced func() []kernel.Peer
 		// Listed tells whether an incarnation of an endpoint is listed.
@@ -41,52 +41,52 @@
 		Part func(incarnation string) float64
 		// Publish has all nodes learn what an endpoint states, or that it states nothing.
 		Publish func(ctx context.Context, incarnation string, stated model.RateCap) error
-		// Ask asks another node for a permit to send one request to an endpoint of a pool; where it is not granted, wait is
+		// RequestPermit asks another node for a permit to send one request to an endpoint of a pool; where it is not granted, wait is
 		// when this node's turn comes. Nil where nodes do not ask each other.
-		Ask func(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error)
-		// Changed is called after each change of what is believed.
+		RequestPermit func(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error)
+		// Changed is called after each change of what is stated.
 		Changed func()
 	}
 
 	// Limiter is one node's part in keeping the caps. It is safe for concurrent use.
 	Limiter struct {
 		name    string
-		seams   Seams
+		deps    Dependencies
 		now     func() time.Time
 		metrics *metric.Set
 		log     zerolog.Logger
 
 		// count is the length of known: where it is 0, as nearly always, nothing is locked for a request.
-		count atomic.Int64
+		endpointCount atomic.Int64
 
 		mu sync.Mutex
 		// known is by the incarnations of endpoints.
-		known map[string]*known
-		// nodes share the caps, as of settledAt.
-		nodes     kernel.SettledNodes
-		settledAt time.Time
+		endpoints map[string]*endpointCap
+		// nodes share the caps, as of nodesRefreshedAt.
+		nodes            kernel.SettledNodes
+		nodesRefreshedAt time.Time
 	}
 
-	known struct {
-		news kernel.CapNews
-		// place is this node's by the endpoint's hash, as of placedAt.
-		place    int
-		placedAt time.Time
+	endpointCap struct {
+		publisher kernel.CapNews
+		// rank is this node's by the endpoint's hash, as of rankedAt.
+		rank     int
+		rankedAt time.Time
 		// permits are those that this node may ask for, of the nodes that share the cap as of sharersAt.
 		permits   kernel.Permits
 		sharersAt time.Time
 		// desk is this node's part in granting them.
-		desk kernel.PermitDesk
-		// publishing is true while the belief is being written.
+		issuer kernel.PermitDesk
+		// publishing is true while the view is being written.
 		publishing bool
 	}
 )
 
 // NewLimiter returns a limiter that knows of no cap; it works until ctx ends.
-func NewLimiter(ctx context.Context, name string, seams Seams, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Limiter {
-	l := &Limiter{name: name, seams: seams, now: now, metrics: metrics, log: log, known: map[string]*known{}}
+func NewLimiter(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Limiter {
+	l := &Limiter{name: name, deps: deps, now: now, metrics: metrics, log: log, endpoints: map[string]*endpointCap{}}
 	go func() {
-		for clock.Sleep(ctx, sweepEvery) {
+		for clock.Sleep(ctx, sweepInterval) {
 			l.sweep(ctx)
 		}
 	}()
@@ -98,184 +98,184 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, c := range l.known {
-		if c.news.Belief.Cap.Stated {
+	for _, c := range l.endpoints {
+		if c.publisher.Belief.Cap.Stated {
 			n++
 		}
 	}
 	return n
 }
 
-// Belief returns what this node believes of an endpoint's cap.
-func (l *Limiter) Belief(incarnation string) kernel.CapBelief {
-	if l.count.Load() == 0 {
+// View returns what this node believes of an endpoint's cap.
+func (l *Limiter) View(incarnation string) kernel.CapBelief {
+	if l.endpointCount.Load() == 0 {
 		return kernel.CapBelief{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c := l.known[incarnation]; c != nil {
-		return c.news.Belief
+	if c := l.endpoints[incarnation]; c != nil {
+		return c.publisher.Belief
 	}
 	return kernel.CapBelief{}
 }
 
-// Share returns the part of an endpoint's cap that all nodes together may use for requests, and batchers for pieces as well.
-func (l *Limiter) Share(incarnation string) kernel.CapBelief {
-	return l.share(incarnation, l.Belief(incarnation))
+// PartialView returns the part of an endpoint's cap that all nodes together may use for requests, and batchers for pieces as well.
+func (l *Limiter) PartialView(incarnation string) kernel.CapBelief {
+	return l.partialView(incarnation, l.View(incarnation))
 }
 
-func (l *Limiter) share(incarnation string, belief kernel.CapBelief) kernel.CapBelief {
-	if !belief.Cap.Stated || l.seams.Part == nil {
-		return belief
+func (l *Limiter) partialView(incarnation string, view kernel.CapBelief) kernel.CapBelief {
+	if !view.Cap.Stated || l.deps.Part == nil {
+		return view
 	}
-	return belief.WithPart(l.seams.Part(incarnation))
+	return view.WithPart(l.deps.Part(incarnation))
 }
 
-// Stated tells whether an endpoint states a cap.
-func (l *Limiter) Stated(incarnation string) bool {
-	return l.Belief(incarnation).Cap.Stated
+// HasCap tells whether an endpoint states a cap.
+func (l *Limiter) HasCap(incarnation string) bool {
+	return l.View(incarnation).Cap.Stated
 }
 
 // Admits tells whether this node, which last sent to an endpoint at a time, may send to it now.
 func (l *Limiter) Admits(now time.Time, e model.Endpoint, sentAt time.Time) bool {
-	belief := l.Share(e.Incarnation())
-	return !belief.Cap.Stated || belief.Due(now, sentAt, l.Place(now, e.Incarnation()))
+	view := l.PartialView(e.Incarnation())
+	return !view.Cap.Stated || view.Due(now, sentAt, l.Rank(now, e.Incarnation()))
 }
 
-// Refuses returns the refusal of a request that only endpoints at their caps could serve; nil where others take work.
-func (l *Limiter) Refuses(now time.Time, pool string, endpoints []model.Endpoint, sentAt func(incarnation string) time.Time) *model.Refusal {
+// AdmitPool returns the refusal of a request that only endpoints at their caps could serve; nil where others take work.
+func (l *Limiter) AdmitPool(now time.Time, pool string, endpoints []model.Endpoint, sentAt func(incarnation string) time.Time) *model.Refusal {
 	var capped []kernel.CappedEndpoint
 	for _, e := range endpoints {
 		if !e.TakesWork() {
 			continue
 		}
 		incarnation := e.Incarnation()
-		belief := l.Share(incarnation)
-		if !belief.Cap.Stated {
+		view := l.PartialView(incarnation)
+		if !view.Cap.Stated {
 			return nil
 		}
-		at, asks := l.askAt(now, incarnation)
+		at, ok := l.permitRequestAt(now, incarnation)
 		capped = append(capped, kernel.CappedEndpoint{
-			Belief: belief, SentAt: sentAt(incarnation), Place: l.Place(now, incarnation), Asks: asks, AskAt: at,
+			Belief: view, SentAt: sentAt(incarnation), Place: l.Rank(now, incarnation), Asks: ok, AskAt: at,
 		})
 	}
 	return kernel.AdmitCapped(now, pool, capped)
 }
 
-// Sent counts what is sent to endpoints that state a cap.
-func (l *Limiter) Sent(e model.Endpoint) {
-	if l.Stated(e.Incarnation()) {
+// RecordSend counts what is sent to endpoints that state a cap.
+func (l *Limiter) RecordSend(e model.Endpoint) {
+	if l.HasCap(e.Incarnation()) {
 		l.metrics.Event("SentUnderRateCap")
 	}
 }
 
-// Answered takes in what an endpoint's answer to a request that was sent at a time says of the requests that it takes.
-func (l *Limiter) Answered(asked time.Time, e model.Endpoint, stated model.RateCap) {
-	if !stated.Stated && !l.Stated(e.Incarnation()) {
+// RecordAnswer takes in what an endpoint's answer to a request that was sent at a time says of the requests that it takes.
+func (l *Limiter) RecordAnswer(sentAt time.Time, e model.Endpoint, stated model.RateCap) {
+	if !stated.Stated && !l.HasCap(e.Incarnation()) {
 		return
 	}
-	before, after := l.change(e.Incarnation(), func(c *known) {
-		c.news.Belief = c.news.Belief.WithAnswer(asked, l.now(), stated)
+	before, after := l.update(e.Incarnation(), func(c *endpointCap) {
+		c.publisher.Belief = c.publisher.Belief.WithAnswer(sentAt, l.now(), stated)
 	})
-	l.changed(e.Incarnation(), "endpoint", before, after)
+	l.reportChange(e.Incarnation(), "endpoint", before, after)
 }
 
-// Learn takes in what other nodes say of an endpoint from now on.
-func (l *Limiter) Learn(incarnation string, stated model.RateCap) {
-	before, after := l.change(incarnation, func(c *known) { c.news.Notice(l.now(), stated) })
-	l.changed(incarnation, "nodes", before, after)
+// ApplyNotice takes in what other nodes say of an endpoint from now on.
+func (l *Limiter) ApplyNotice(incarnation string, stated model.RateCap) {
+	before, after := l.update(incarnation, func(c *endpointCap) { c.publisher.Notice(l.now(), stated) })
+	l.reportChange(incarnation, "nodes", before, after)
 }
 
-// change changes what is known of an endpoint, and returns the belief before and after.
-func (l *Limiter) change(incarnation string, how func(*known)) (before, after kernel.CapBelief) {
+// change changes what is known of an endpoint, and returns the view before and after.
+func (l *Limiter) update(incarnation string, apply func(*endpointCap)) (before, after kernel.CapBelief) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.known[incarnation]
+	c := l.endpoints[incarnation]
 	if c == nil {
-		c = &known{}
+		c = &endpointCap{}
 	}
-	before = c.news.Belief
-	how(c)
-	l.known[incarnation] = c
-	if c.news.Forgettable() && !c.publishing {
-		delete(l.known, incarnation)
+	before = c.publisher.Belief
+	apply(c)
+	l.endpoints[incarnation] = c
+	if c.publisher.Forgettable() && !c.publishing {
+		delete(l.endpoints, incarnation)
 	}
-	l.count.Store(int64(len(l.known)))
-	return before, c.news.Belief
+	l.endpointCount.Store(int64(len(l.endpoints)))
+	return before, c.publisher.Belief
 }
 
-func (l *Limiter) changed(incarnation, from string, before, after kernel.CapBelief) {
+func (l *Limiter) reportChange(incarnation, from string, before, after kernel.CapBelief) {
 	if before.Cap == after.Cap {
 		return
 	}
 	l.metrics.Event("RateCapChanged")
 	l.log.Info().Str("Endpoint", incarnation).Str("From", from).Bool("Stated", after.Cap.Stated).
 		Float64("PerSecond", after.Cap.PerSecond).Float64("Before", before.Cap.PerSecond).Msg("rate cap of an endpoint")
-	l.seams.Changed()
+	l.deps.Changed()
 }
 
-// Place returns how many of the nodes that share what an endpoint takes come before this one by the endpoint's hash:
+// Rank returns how many of the nodes that share what an endpoint takes come before this one by the endpoint's hash:
 // math.MaxInt while others may not have heard of this one yet.
-func (l *Limiter) Place(now time.Time, incarnation string) int {
+func (l *Limiter) Rank(now time.Time, incarnation string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.known[incarnation]
+	c := l.endpoints[incarnation]
 	if c == nil {
 		return l.nodes.Place(now, l.name, incarnation)
 	}
-	if c.placedAt.IsZero() || now.Sub(c.placedAt) >= placeMemory {
-		c.place = l.nodes.Place(now, l.name, incarnation)
-		c.placedAt = now
+	if c.rankedAt.IsZero() || now.Sub(c.rankedAt) >= rankTTL {
+		c.rank = l.nodes.Place(now, l.name, incarnation)
+		c.rankedAt = now
 	}
-	return c.place
+	return c.rank
 }
 
 // sweep tells the others what they don't know and forgets endpoints that are gone.
 func (l *Limiter) sweep(ctx context.Context) {
 	now := l.now()
-	l.settle(now)
+	l.refreshNodes(now)
 	for _, incarnation := range l.incarnations() {
-		listed := l.seams.Listed(incarnation)
-		place := l.Place(now, incarnation)
-		publishes := false
-		before, after := l.change(incarnation, func(c *known) {
-			c.news.Listed(now, listed)
-			publishes = !c.publishing && c.news.Publishes(now, place, rand.Float64())
-			c.publishing = c.publishing || publishes
+		listed := l.deps.Listed(incarnation)
+		rank := l.Rank(now, incarnation)
+		shouldPublish := false
+		before, after := l.update(incarnation, func(c *endpointCap) {
+			c.publisher.Listed(now, listed)
+			shouldPublish = !c.publishing && c.publisher.Publishes(now, rank, rand.Float64())
+			c.publishing = c.publishing || shouldPublish
 		})
-		l.changed(incarnation, "list", before, after)
-		if publishes {
+		l.reportChange(incarnation, "list", before, after)
+		if shouldPublish {
 			go l.publish(ctx, incarnation, after.Cap)
 		}
 	}
 }
 
-func (l *Limiter) settle(now time.Time) {
-	if now.Sub(l.settledAt) < settleEvery {
+func (l *Limiter) refreshNodes(now time.Time) {
+	if now.Sub(l.nodesRefreshedAt) < nodesRefreshInterval {
 		return
 	}
-	announced := l.seams.Announced()
+	announced := l.deps.Announced()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = l.nodes.With(now, announced)
-	l.settledAt = now
+	l.nodesRefreshedAt = now
 }
 
 func (l *Limiter) incarnations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Collect(maps.Keys(l.known))
+	return slices.Collect(maps.Keys(l.endpoints))
 }
 
-func (l *Limiter) publish(ctx context.Context, incarnation string, believed model.RateCap) {
+func (l *Limiter) publish(ctx context.Context, incarnation string, stated model.RateCap) {
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	err := l.seams.Publish(ctx, incarnation, believed)
+	err := l.deps.Publish(ctx, incarnation, stated)
 	if err != nil {
 		l.metrics.Event("RateCapNotPublished")
 	}
-	l.change(incarnation, func(c *known) {
+	l.update(incarnation, func(c *endpointCap) {
 		c.publishing = false
-		c.news.Wrote(l.now(), believed, err == nil)
+		c.publisher.Wrote(l.now(), stated, err == nil)
 	})
 }
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -17,16 +17,16 @@
 	"basilstall.example/basilstall/ratecap"
 )
 
-const patience = 20 * time.Second
+const awaitTimeout = 20 * time.Second
 
 // fleet is limiters that tell each other through a table.
 type fleet struct {
 	mu       sync.Mutex
 	limiters []*ratecap.Limiter
 	// failures is how many more writes the table does not take, listed whether the endpoint is.
-	failures int
-	listed   bool
-	writes   int
+	failWrites int
+	listed     bool
+	writes     int
 }
 
 func newFleet(t *testing.T, nodes int) *fleet {
@@ -36,7 +36,7 @@
 		peers = append(peers, kernel.Peer{Name: fmt.Sprint("node-", i)})
 	}
 	for _, p := range peers {
-		f.limiters = append(f.limiters, ratecap.NewLimiter(t.Context(), p.Name, ratecap.Seams{
+		f.limiters = append(f.limiters, ratecap.NewLimiter(t.Context(), p.Name, ratecap.Dependencies{
 			Announced: func() []kernel.Peer { return peers },
 			Listed:    func(string) bool { f.mu.Lock(); defer f.mu.Unlock(); return f.listed },
 			Publish:   f.publish,
@@ -49,13 +49,13 @@
 func (f *fleet) publish(_ context.Context, incarnation string, stated model.RateCap) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failures > 0 {
-		f.failures--
+	if f.failWrites > 0 {
+		f.failWrites--
 		return errors.New("the table is away")
 	}
 	f.writes++
 	for _, l := range f.limiters {
-		l.Learn(incarnation, stated)
+		l.ApplyNotice(incarnation, stated)
 	}
 	return nil
 }
@@ -65,45 +65,45 @@
 	t.Helper()
 	all := func() bool {
 		for _, l := range f.limiters {
-			if l.Stated("engine") != stated {
+			if l.HasCap("engine") != stated {
 				return false
 			}
 		}
 		return true
 	}
-	for end := time.Now().Add(patience); !all(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(awaitTimeout); !all(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("waited in vain for all limiters")
 		}
 	}
 }
 
 // What one node hears of an endpoint all know soon, also where the table takes no write at first, and that it has ended.
-func TestNodesTellEachOtherOfRateCaps(t *testing.T) {
+func TestNodesShareRateCaps(t *testing.T) {
 	t.Parallel()
 	for _, failures := range []int{0, 2} {
 		f := newFleet(t, 3)
-		f.failures = failures
+		f.failWrites = failures
 		e := model.Endpoint{Name: "engine", State: model.Live}
-		f.limiters[1].Answered(time.Now(), e, model.NewRateCap(2))
-		must.True(t, f.limiters[1].Stated("engine"))
+		f.limiters[1].RecordAnswer(time.Now(), e, model.NewRateCap(2))
+		must.True(t, f.limiters[1].HasCap("engine"))
 		f.await(t, true)
-		refusal := f.limiters[0].Refuses(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() })
+		refusal := f.limiters[0].AdmitPool(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() })
 		must.NotNil(t, refusal)
 		must.EqOp(t, model.EndpointsCapped, refusal.Reason)
 
-		f.limiters[1].Answered(time.Now(), e, model.RateCap{})
+		f.limiters[1].RecordAnswer(time.Now(), e, model.RateCap{})
 		f.await(t, false)
-		must.Nil(t, f.limiters[0].Refuses(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() }))
+		must.Nil(t, f.limiters[0].AdmitPool(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() }))
 		must.LessEq(t, 6, f.writes)
 	}
 }
 
 // The cap of an endpoint that is gone is forgotten, in the table as well.
-func TestTheRateCapOfAnEndpointThatIsGoneIsForgotten(t *testing.T) {
+func TestRateCapOfRemovedEndpointIsRemoved(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2)
-	f.limiters[0].Answered(time.Now(), model.Endpoint{Name: "engine"}, model.NewRateCap(2))
+	f.limiters[0].RecordAnswer(time.Now(), model.Endpoint{Name: "engine"}, model.NewRateCap(2))
 	f.await(t, true)
 	f.mu.Lock()
 	f.listed = false
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -74,7 +74,7 @@
 func (g *batcher) setRateCaps() {
 	g.mu.Lock()
 	for _, worker := range g.workers(g.relay.Registry()) {
-		g.g.SetRateCap(worker.Incarnation(), g.relay.rateCaps.Share(worker.Incarnation()).Cap)
+		g.g.SetRateCap(worker.Incarnation(), g.relay.rateCaps.PartialView(worker.Incarnation()).Cap)
 	}
 	g.mu.Unlock()
 	g.pump()
@@ -237,7 +237,7 @@
 		return false
 	}
 	g.relay.brokeOff(batch.Endpoint, batch.Digests()...)
-	return g.relay.quarantine.HasEnded(batch.Endpoint)
+	return g.relay.quarantine.HasCrashed(batch.Endpoint)
 }
 
 // overdue has the pieces of a call that takes too long made elsewhere, too.
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -47,7 +47,7 @@
 		return true, false
 	default:
 		// An ejected endpoint gets a probe now and then: that needs no other node.
-		return g.permits && !s.health.Ejected() && g.caps.MayAsk(now, e.Incarnation()), true
+		return g.permits && !s.health.Ejected() && g.caps.MayRequestPermit(now, e.Incarnation()), true
 	}
 }
 
--- a/relay/incarnations.go
+++ b/relay/incarnations.go
@@ -91,5 +91,5 @@
 	if !listed || now.State == model.Leaving {
 		return
 	}
-	r.quarantine.BrokeOff(e, digests...)
+	r.quarantine.RecordDisconnect(e, digests...)
 }
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -19,16 +19,16 @@
 
 // newRateCaps returns the node's part in keeping the rate caps of endpoints.
 func (r *Relay) newRateCaps() *ratecap.Limiter {
-	return ratecap.NewLimiter(r.ctx, r.options.Name, ratecap.Seams{
+	return ratecap.NewLimiter(r.ctx, r.options.Name, ratecap.Dependencies{
 		Announced: r.announced,
 		Listed: func(incarnation string) bool {
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
-		Part:    r.capPart,
-		Publish: r.wire.PublishRateCap,
-		Ask:     r.askCapPermit,
-		Changed: r.hub.setRateCaps,
+		Part:          r.capPart,
+		Publish:       r.wire.PublishRateCap,
+		RequestPermit: r.askCapPermit,
+		Changed:       r.hub.setRateCaps,
 	}, r.now, r.metrics, r.log)
 }
 
@@ -62,19 +62,19 @@
 
 // SetRateCap takes over what the store says of an endpoint's rate cap.
 func (r *Relay) SetRateCap(incarnation string, stated model.RateCap) {
-	r.rateCaps.Learn(incarnation, stated)
+	r.rateCaps.ApplyNotice(incarnation, stated)
 }
 
 // refusesCapped returns the refusal of a request whose pool has only endpoints at their rate caps.
 func (r *Relay) refusesCapped(a kernel.Admission) *model.Refusal {
 	endpoints := a.Homes.AtHome(r.Registry().Endpoints(a.Pool))
-	return r.rateCaps.Refuses(r.now(), a.Pool, endpoints, r.pool(a.Pool).sentAt)
+	return r.rateCaps.AdmitPool(r.now(), a.Pool, endpoints, r.pool(a.Pool).sentAt)
 }
 
 // forward sends a request to an endpoint, once, and takes in what the answer says of the endpoint.
 func (r *Relay) forward(ctx context.Context, send Send) (*model.ForwardReply, error) {
 	asked := r.now()
-	r.rateCaps.Sent(send.Endpoint)
+	r.rateCaps.RecordSend(send.Endpoint)
 	reply, err := r.wire.Forward(ctx, send)
 	if err == nil && !reply.Misdirected {
 		r.noteRateCap(asked, send.Endpoint, reply.RateCap, reply.Authentic)
@@ -85,7 +85,7 @@
 // runPieces makes one call for pieces, and takes in what the answer says of the endpoint.
 func (r *Relay) runPieces(ctx context.Context, e model.Endpoint, pieces []model.Piece) (PieceReply, error) {
 	asked := r.now()
-	r.rateCaps.Sent(e)
+	r.rateCaps.RecordSend(e)
 	reply, err := r.wire.RunPieces(ctx, e, pieces)
 	if !reply.Misdirected {
 		r.noteRateCap(asked, e, reply.RateCap, err == nil && !reply.NotRun)
@@ -97,7 +97,7 @@
 // answer that is whole: a spoilt one may have lost it.
 func (r *Relay) noteRateCap(asked time.Time, e model.Endpoint, stated model.RateCap, whole bool) {
 	if stated.Stated || whole {
-		r.rateCaps.Answered(asked, e, stated)
+		r.rateCaps.RecordAnswer(asked, e, stated)
 	}
 }
 
@@ -114,7 +114,7 @@
 		if !ok || !c.needsPermit {
 			return c.endpoint, ok
 		}
-		if r.rateCaps.Ask(ctx, c.endpoint) {
+		if r.rateCaps.RequestPermit(ctx, c.endpoint) {
 			p.permitted(r.now(), c.endpoint.Incarnation())
 			j.permitUntil = now.Add(kernel.PermitLasts)
 			return c.endpoint, true
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -106,7 +106,7 @@
 	r.remote = newRemoteGroups()
 	r.incarnations = newIncarnations()
 	r.returning = newReturning()
-	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Seams{
+	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.HoldBack,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
@@ -211,7 +211,7 @@
 	r.logRegistry(changes)
 	r.hub.setEndpoints(registry)
 	r.endFormerIncarnations(changes)
-	r.quarantine.Listed(registry.Endpoints)
+	r.quarantine.ApplyEndpointList(registry.Endpoints)
 }
 
 // SetEvacuations takes over which failure domains are evacuated, and which no longer.
@@ -233,7 +233,7 @@
 
 // SetHeldBack takes over which requests the store says are held back, and which no longer.
 func (r *Relay) SetHeldBack(change kernel.QuarantineChange) {
-	r.quarantine.Learn(change)
+	r.quarantine.ApplyChange(change)
 }
 
 // Serve takes one request to its end. It returns once the answer was passed on, or with a
@@ -285,11 +285,11 @@
 	case !outcome.Whole:
 		r.metrics.Event("AnswerBrokenOff")
 	default:
-		r.quarantine.Answered(f.Digest)
+		r.quarantine.RecordAnswer(f.Digest)
 		r.metrics.Answered(admission.Route.Name, r.now().Sub(f.ReceivedAt))
 	}
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
-		r.quarantine.TrialUnused(f.Digest)
+		r.quarantine.CancelTrial(f.Digest)
 	}
 	r.logEnd(f, admission, view, outcome)
 	return outcome
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -97,10 +97,10 @@
 	send.BeforeSend = func() error {
 		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
 		if refusal == nil && !j.trial {
-			refusal = j.relay.quarantine.Refuses(j.forward.Digest)
+			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
 		expired := !permitUntil.IsZero() && j.relay.now().After(permitUntil)
-		if refusal == nil && (expired || !j.relay.Registry().TakesWork(e) || j.relay.rateCaps.Belief(e.Incarnation()).StatedAfter(pickedAt)) {
+		if refusal == nil && (expired || !j.relay.Registry().TakesWork(e) || j.relay.rateCaps.View(e.Incarnation()).StatedAfter(pickedAt)) {
 			return &endpoint.Fault{Kind: endpoint.Withdrawn, Verdict: model.NotRun, Err: errWithdrawn}
 		}
 		if refusal == nil {
--- a/relay/room.go
+++ b/relay/room.go
@@ -95,7 +95,7 @@
 	r := g.relay
 	traits, _ := r.View().Table.Pool(g.pool)
 	bearsLittle := traits.ColdRate > 0 && kernel.IsCold(r.now(), worker)
-	return worker.State != model.Evacuated && !bearsLittle && !r.rateCaps.Stated(worker.Incarnation())
+	return worker.State != model.Evacuated && !bearsLittle && !r.rateCaps.HasCap(worker.Incarnation())
 }
 
 func (g *batcher) inherits() bool {
