--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -16,44 +16,47 @@
 )
 
 const (
-	// coordinatorsPerPool is how many nodes are told of a crash: the coordinator, and the next one, which takes its place where
-	// it is lost.
+	// coordinatorsPerPool is the number of nodes that receive reports on a pool: its coordinator, and the node that
+	// replaces the coordinator if it is lost.
 	coordinatorsPerPool = 2
-	// notifyTimeout bounds a message to a coordinator; notifyRounds is how often it is looked who has yet to be notified, notifyInterval
-	// apart.
-	notifyTimeout  = time.Second
+	// notifyTimeout bounds each call to another node, except requests for a trial.
+	notifyTimeout = time.Second
+	// notifyRounds is the number of times that the coordinators of a pool are looked up and those not yet notified are
+	// called. notifyInterval is the pause after each round.
 	notifyRounds   = 6
 	notifyInterval = time.Second
-	// maxNotifications bounds the messages to coordinators that are under way; the others are dropped and counted.
+	// maxNotifications bounds the notifications in progress. Further ones are dropped and counted.
 	maxNotifications = 256
-	// trialTimeout bounds the question for a trial; without an answer the request is refused.
+	// trialTimeout bounds the wait for the permit of a trial. Without an answer the request is refused.
 	trialTimeout = 300 * time.Millisecond
-	// storeRetryInterval is how long after a failure the store is written to trialRetryAfter, maxStoreAttempts how often at most.
+	// storeRetryInterval is the pause after a failed write to the store. maxStoreAttempts bounds the writes of a change.
 	storeRetryInterval = time.Second
 	maxStoreAttempts   = 30
-	// maxStoreDelegates is how many other nodes are asked to write where the store does not answer this one.
+	// maxStoreDelegates bounds the other nodes that are asked to write if the store does not answer this one.
 	maxStoreDelegates = 3
-	// actingDuration is how long a node decides in the place of a coordinator that does not answer: until all nodes that need
-	// it have noticed.
+	// actingDuration is how long a node acts for a coordinator that does not answer. By then all nodes that need to know
+	// have noticed the loss.
 	actingDuration = 10 * time.Second
-	// maxLoggedDigests bounds the digests of one line.
+	// maxLoggedDigests bounds the digests in one log line.
 	maxLoggedDigests = 16
 )
 
 type (
-	// Dependencies are how a coordinator reaches endpoints, other nodes and the store.
+	// Dependencies are the functions through which a Coordinator reaches endpoints, other nodes and the store.
 	Dependencies struct {
-		// Peers returns the nodes that answer, this one among them.
+		// Peers returns the nodes that answer, including this one.
 		Peers func() []kernel.Peer
-		// Call calls another node by its name.
+		// Call calls the named node and decodes its answer into reply.
 		Call func(ctx context.Context, node string, kind peer.Kind, message, reply any) error
-		// Connect opens a connection to an address, for no request: the error tells whether anything listens.
+		// Connect opens a connection to an address without sending a request. Its error shows whether a process
+		// listens there.
 		Connect func(ctx context.Context, address string) error
-		// Store writes a change into the store for all nodes to learn.
+		// Store writes a change to the store, from which all nodes learn it.
 		Store func(ctx context.Context, change kernel.QuarantineChange) error
 	}
 
-	// Coordinator is one node's part in the quarantine. It is safe for concurrent use.
+	// Coordinator is a node's part of the quarantine: it reports crashes, decides for the pools that the node
+	// coordinates, and holds requests back. It is safe for concurrent use.
 	Coordinator struct {
 		name    string
 		deps    Dependencies
@@ -64,16 +67,16 @@
 
 		mu sync.Mutex
 		q  *kernel.Quarantine
-		// ends has the endpoints of which it is being found out, or is known, whether their process ended.
+		// crashChecks holds the endpoints whose connections broke recently, by incarnation.
 		crashChecks map[string]*crashCheck
-		// acting holds until when this node decides on the cases of pools whose coordinator does not answer.
+		// actingUntil holds, by pool, until when this node acts for a coordinator that does not answer.
 		actingUntil map[string]time.Time
-		// notifying counts the messages to coordinators that are under way.
+		// notifying is the number of notifications in progress.
 		notifying int
 	}
 )
 
-// NewCoordinator returns a coordinator that knows nothing; it works until ctx ends.
+// NewCoordinator returns a coordinator without any recorded crashes. Its background work ends with ctx.
 func NewCoordinator(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Coordinator {
 	return &Coordinator{
 		name: name, deps: deps, now: now, log: log, metrics: metrics, ctx: ctx,
@@ -81,8 +84,8 @@
 	}
 }
 
-// Admit tells whether a request may go on its way. A trial that was permitted is to be given back with CancelTrial
-// where the request is not sent.
+// Admit decides whether a request may proceed. If trial is true, the request runs on trial, and CancelTrial must be
+// called if it is not sent after all.
 func (c *Coordinator) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
 	state, held, retryAfter := c.holdState(digest)
 	switch state {
@@ -101,7 +104,8 @@
 	}
 }
 
-// Check looks once more, right before a request is sent.
+// Check is called right before a request is sent, and returns a refusal if the request has been held back since it
+// was admitted.
 func (c *Coordinator) Check(digest model.Digest) *model.Refusal {
 	if state, _, retryAfter := c.holdState(digest); state != kernel.NotHeld {
 		return newRefusal(retryAfter)
@@ -119,14 +123,14 @@
 	return c.q.Check(c.now(), digest)
 }
 
-// Len returns how many requests are held back.
+// Len returns the number of requests that are held back.
 func (c *Coordinator) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.q.Len()
 }
 
-// CancelTrial gives the trial of a request back that was not sent.
+// CancelTrial informs the coordinator that a request permitted to run on trial was not sent.
 func (c *Coordinator) CancelTrial(digest model.Digest) {
 	_, held, _ := c.holdState(digest)
 	if held.Digest == "" {
@@ -139,7 +143,8 @@
 	}()
 }
 
-// RecordAnswer notes that an endpoint answered a request whole, and tells the coordinators where that clears it.
+// RecordAnswer records that an endpoint answered a request completely. If the request is suspected or held back, this
+// clears it, and its coordinators are informed.
 func (c *Coordinator) RecordAnswer(digest model.Digest) {
 	c.mu.Lock()
 	suspected, pool := c.q.RecordAnswer(c.now(), digest)
@@ -149,7 +154,8 @@
 	}
 }
 
-// ApplyChange takes in which requests are held back, as the store says, and which no longer.
+// ApplyChange applies a change of the held requests, as read from the store, received from another node or decided
+// here.
 func (c *Coordinator) ApplyChange(change kernel.QuarantineChange) {
 	for _, h := range change.Hold {
 		c.mu.Lock()
@@ -178,28 +184,28 @@
 			c.log.Info().Str("Digest", string(digest)).Msg("request no longer held back")
 		}
 	}
-	// With one request cleared, another may be found to be the cause.
+	// Once a request is cleared, the evaluation may find that another one is the cause.
 	c.scheduleEvaluation()
 }
 
-// coordinators returns the nodes that keep a pool's cases, the first one that decides.
+// coordinators returns the nodes in the order in which they coordinate a pool. The first one decides.
 func (c *Coordinator) coordinators(pool string) []string {
 	return kernel.NodesByHash(pool, c.deps.Peers())
 }
 
-// coordinates tells whether this node decides on a pool's cases.
+// coordinates reports whether this node is the coordinator of a pool.
 func (c *Coordinator) coordinates(pool string) bool {
 	return c.coordinators(pool)[0] == c.name
 }
 
-// scheduleEvaluation has the cases judged when all reports on the same ends have come.
+// scheduleEvaluation evaluates the suspects once all reports on the same crashes have arrived.
 func (c *Coordinator) scheduleEvaluation() {
 	time.AfterFunc(kernel.EvaluationDelay+kernel.EvaluationDelay/10, func() {
 		if c.ctx.Err() != nil {
 			return
 		}
 		c.mu.Lock()
-		// The order of hundreds of nodes is worked out once for each pool.
+		// Hashing hundreds of nodes is costly, so it is done once for each pool.
 		decides := map[string]bool{}
 		coordinates := func(pool string) bool {
 			if _, known := decides[pool]; !known {
@@ -217,7 +223,8 @@
 	})
 }
 
-// store writes a change into the store until that is done: by itself, or through nodes that the store answers.
+// persist writes a change to the store in the background, and retries until this node or another one succeeds or
+// maxStoreAttempts is reached.
 func (c *Coordinator) persist(change kernel.QuarantineChange) {
 	go func() {
 		for range maxStoreAttempts {
@@ -238,7 +245,8 @@
 	}()
 }
 
-// dropOutdated returns the part of a change that holds by now: what is written late must not undo what was found since.
+// dropOutdated returns the part of a change that is still in force, so that a late write does not undo later
+// decisions.
 func (c *Coordinator) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
 	var out kernel.QuarantineChange
 	for _, h := range change.Hold {
@@ -254,8 +262,8 @@
 	return out
 }
 
-// persistViaPeers has other nodes write, other ones each time: each of them holds back at once what it is told, also
-// where the store answers none.
+// persistViaPeers asks other nodes, chosen at random, to write a change to the store, and reports whether one did.
+// Each node that is asked applies the change at once, so that it spreads even if the store answers no node.
 func (c *Coordinator) persistViaPeers(change kernel.QuarantineChange) bool {
 	remaining := maxStoreDelegates
 	peers := c.deps.Peers()
--- a/quarantine/coordinator_test.go
+++ b/quarantine/coordinator_test.go
@@ -15,22 +15,21 @@
 func TestLargeFleetHoldsBackPoisonRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// pause is how long after one try the next comes.
+		// interval is the pause between attempts.
 		interval time.Duration
-		// before prepares the fleet.
-		prepare func(f *fleet)
+		prepare  func(f *fleet)
 	}{
-		{"one try in two seconds", 2 * time.Second, func(*fleet) {}},
-		{"five tries a second", 200 * time.Millisecond, func(*fleet) {}},
-		{"a tenth of the nodes are cut off", time.Second, func(f *fleet) {
+		{"one attempt every two seconds", 2 * time.Second, func(*fleet) {}},
+		{"five attempts per second", 200 * time.Millisecond, func(*fleet) {}},
+		{"a tenth of the nodes are partitioned", time.Second, func(f *fleet) {
 			for _, name := range f.names[:fleetSize/10] {
 				f.partitioned[name] = true
 			}
 		}},
-		{"the coordinator stands still", time.Second, func(f *fleet) {
+		{"the coordinator is unresponsive", time.Second, func(f *fleet) {
 			f.unresponsive[kernel.NodesByHash("engines", f.peers("node-0"))[0]] = true
 		}},
-		{"the store turns a third of the nodes away", time.Second, func(f *fleet) {
+		{"the store does not answer a third of the nodes", time.Second, func(f *fleet) {
 			for i, name := range f.names {
 				f.withoutStore[name] = i%3 == 0
 			}
@@ -41,10 +40,10 @@
 				f := newFleet(t, fleetSize)
 				tc.prepare(f)
 				stats := f.sendRepeatedly(model.NewDigest("poison"), 40, tc.interval)
-				t.Logf("%d of 40 tries reached an endpoint; %d calls, %d bytes, %d writes", stats.reached, f.calls, f.bytes, f.writes)
+				t.Logf("%d of 40 attempts reached an endpoint; %d calls, %d bytes, %d writes", stats.reached, f.calls, f.bytes, f.writes)
 				must.LessEq(t, maxLateAttempts, stats.late)
-				// Each node with a request at an end tells two coordinators once, or where one does not answer two more
-				// words, and a node asks for each trial.
+				// Each node with a request at a crashed endpoint notifies two coordinators once, or sends two more messages if
+				// one does not answer. Each trial is requested with one more call.
 				messages := 2
 				if len(f.unresponsive) > 0 {
 					messages = 4
@@ -56,8 +55,8 @@
 	}
 }
 
-// Others may be under way at all the same ends: a stream that is resumed next to the cause each time. They are
-// held for as long as it takes to tell them apart, and no longer.
+// A request may run beside the cause at every crash, for example a stream that is resumed on the same endpoints. It
+// is held back only until the two can be told apart.
 func TestRequestBesideEveryCrashIsServedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, fleetSize)
@@ -83,11 +82,11 @@
 	})
 }
 
-// A request of which many are under way at any time is at each end of whatever cause. It has been answered in
-// between, at some node.
+// A request that runs many times over at any moment is involved in every crash, whatever the cause. It is cleared
+// because some node has received a complete answer to it between the crashes.
 func TestRequestAnsweredByAnyNodeIsServed(t *testing.T) {
 	for _, unresponsive := range []bool{false, true} {
-		t.Run(fmt.Sprint("coordinator stands still: ", unresponsive), func(t *testing.T) {
+		t.Run(fmt.Sprint("coordinator unresponsive: ", unresponsive), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, fleetSize)
 				f.unresponsive[kernel.NodesByHash("engines", f.peers("node-0"))[0]] = unresponsive
@@ -102,7 +101,7 @@
 						time.Sleep(popularInterval)
 					}
 				}
-				// Once, the news that it is held have to come, and those of its answers.
+				// Requests may be refused once, while the notices of the hold and of the answers are on their way.
 				must.LessEq(t, int((2*propagationDelay+failureDetectionTime)/popularInterval), refused)
 				must.True(t, f.send(popular, false).reached)
 				must.SliceEmpty(t, f.held)
@@ -111,7 +110,7 @@
 	}
 }
 
-// Endpoints that live on, and reset connections, say nothing of the requests.
+// A live endpoint that resets a connection is no evidence against the requests.
 func TestConnectionResetIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -126,7 +125,7 @@
 	})
 }
 
-// Nodes come and go; what was found stays, and a coordinator's successor goes on from there.
+// Decisions survive the restart of every node, and a new coordinator continues from them.
 func TestRestartedNodesKnowHeldRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, fleetSize)
@@ -139,7 +138,7 @@
 	})
 }
 
-// A node that is cut off decides by itself, and tells what it saw when it is back.
+// A partitioned node decides by itself, and informs the others when it is connected again.
 func TestPartitionedNodeDecidesAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
@@ -169,7 +168,7 @@
 	})
 }
 
-// Where the store answers nobody, what was found still spreads from node to node.
+// If the store does not answer any node, holds still spread from node to node.
 func TestHoldsSpreadWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 20
@@ -193,11 +192,11 @@
 	})
 }
 
-// What was seen: with two poison requests that run at the same endpoints, both were under way at each end, and what was
-// found of the first one took all ends off the second, which was sent on as a new one.
-// The cause: what runs beside a cause at all its ends may be a cause as well; the ends tell nothing of it.
+// Two poison requests that run at the same endpoints are both involved in each crash, and the crashes do not show
+// whether one or both are the cause. The crashes must not be removed from the second request when the first is held
+// back: it would then be sent again like a new one.
 func TestConcurrentPoisonRequestsAreBothHeldBack(t *testing.T) {
-	for name, sameEndpoint := range map[string]bool{"at endpoints of their own": false, "at the same endpoints": true} {
+	for name, sameEndpoint := range map[string]bool{"at different endpoints": false, "at the same endpoints": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, fleetSize)
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -14,50 +14,54 @@
 )
 
 const (
-	// connectTimeout bounds the attempt to connect to an endpoint that broke off.
+	// connectTimeout bounds the attempt to connect to an endpoint after a connection to it broke.
 	connectTimeout = 700 * time.Millisecond
-	// reportDelay is how long what else breaks off at the same end is waited for, to be told at once.
+	// reportDelay is how long a report waits for other requests that the same crash interrupts, to send them together.
 	reportDelay = 20 * time.Millisecond
-	// listTimeout is how long the list of endpoints may take to say that a process has ended that could not be
-	// connected to: heartbeats have to fail to come, and then the entry lapses.
+	// listTimeout is how long a crash check is kept. If connecting does not settle whether the process has ended, the
+	// list of endpoints may show it: heartbeats must be missed before the entry lapses.
 	listTimeout = 8 * time.Second
-	// maxCrashChecks bounds the endpoints that are looked into, maxReportedDigests the requests that are reported of one.
+	// maxCrashChecks bounds the endpoints that are checked at a time, and maxReportedDigests the requests in a report on
+	// one of them.
 	maxCrashChecks     = 1024
 	maxReportedDigests = 512
 )
 
-// The proofs that an endpoint's process ended.
+// The ways in which it is proven that an endpoint's process has ended.
 const (
 	proofRefused  = "nothing listens at its address"
 	proofReplaced = "another process has its address"
 	proofGone     = "it does not answer, and is no longer listed"
 )
 
-// end is what is known of whether an endpoint's process ended.
+// crashCheck holds what is known about whether an endpoint's process has ended.
 type crashCheck struct {
 	endpoint model.Endpoint
-	// at is when the first request broke off there.
+	// brokeAt is when the first connection to the endpoint broke.
 	brokeAt time.Time
-	// digests are the requests that have not been reported yet.
+	// unreported are the interrupted requests that have not been reported yet.
 	unreported []model.Digest
-	// proof is empty until the end is proven; answers tells that something listens at the address.
-	proof     string
+	// proof is empty until the crash is proven.
+	proof string
+	// reachable is true if a process accepted a connection at the address.
 	reachable bool
-	// looked is closed once the address was tried.
+	// connectTried is closed when the attempt to connect has ended.
 	connectTried chan struct{}
-	// flushing is true while what was collected is about to be reported.
+	// reportScheduled is true while a report on the unreported requests is due.
 	reportScheduled bool
 }
 
-// RecordDisconnect notes that an endpoint broke off while it worked on requests. Whether its process ended is found out: an
-// endpoint that lives on, and resets a connection, says nothing of the requests.
+// RecordDisconnect records that the connection to an endpoint broke while the endpoint worked on requests, and
+// starts to check whether its process has ended. A live endpoint that resets a connection is no evidence against
+// the requests.
 func (c *Coordinator) RecordDisconnect(e model.Endpoint, digests ...model.Digest) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	check := c.crashChecks[e.Incarnation()]
 	if check != nil && check.proof != "" && now.Sub(check.brokeAt) > kernel.CrashDedupWindow {
-		// It had ended, was connected to all the same, and broke off again: it does not say when it started.
+		// The endpoint was restarted under the same incarnation, as it does not report its start time, and has now
+		// broken the connection again.
 		check = nil
 	}
 	if check == nil {
@@ -79,7 +83,8 @@
 	}
 }
 
-// HasCrashed tells whether an endpoint that broke off has ended, as soon as that is known from its address.
+// HasCrashed reports whether an endpoint is known to have crashed after a connection to it broke. It waits for the
+// attempt to connect to the endpoint's address.
 func (c *Coordinator) HasCrashed(e model.Endpoint) bool {
 	c.mu.Lock()
 	check := c.crashChecks[e.Incarnation()]
@@ -97,7 +102,8 @@
 	return check.proof != ""
 }
 
-// checkCrash finds out whether an endpoint's process has ended, and forgets it after a while.
+// checkCrash tries to connect to the endpoint to find out whether its process has ended, and removes the check after
+// listTimeout.
 func (c *Coordinator) checkCrash(check *crashCheck) {
 	ctx, cancel := context.WithTimeout(c.ctx, connectTimeout)
 	err := c.deps.Connect(ctx, check.endpoint.Address)
@@ -117,8 +123,8 @@
 	}
 }
 
-// ApplyEndpointList takes in which endpoints are listed. It proves the end of those that do not answer and are gone, and of those
-// whose address another process has.
+// ApplyEndpointList applies a new list of endpoints. It confirms the crash of endpoints that are unreachable and no
+// longer listed, and of those whose address belongs to another process.
 func (c *Coordinator) ApplyEndpointList(endpoints func(pool string) []model.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,15 +146,16 @@
 	}
 }
 
-// proven notes that an endpoint's process has ended and has its requests reported. The lock is held.
+// confirmCrash records that an endpoint's process has ended, and schedules the report on its requests. The caller
+// holds c.mu.
 func (c *Coordinator) confirmCrash(check *crashCheck, proof string) {
 	check.proof = proof
 	c.metrics.Event("EndpointEnded")
 	c.scheduleReport(check)
 }
 
-// flush reports the requests that were under way at an end, all that break off at the same moment at once. The lock
-// is held.
+// scheduleReport reports the interrupted requests after reportDelay, so that those interrupted at about the same time
+// share a report. The caller holds c.mu.
 func (c *Coordinator) scheduleReport(check *crashCheck) {
 	if check.reportScheduled {
 		return
@@ -165,7 +172,8 @@
 	})
 }
 
-// report tells the pool's coordinators, and counts here as well: where no other node can be reached this one decides.
+// reportCrash reports a crash to the pool's coordinators, and records it on this node as well: if no other node can
+// be reached, this one decides.
 func (c *Coordinator) reportCrash(check *crashCheck, digests []model.Digest) {
 	incarnation, pool := check.endpoint.Incarnation(), check.endpoint.Pool
 	var names []string
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -24,27 +24,28 @@
 
 const (
 	fleetSize = 400
-	// besides is how many requests are under way at an endpoint, each at a node of its own.
+	// concurrentRequests is the number of other requests that run at an endpoint, each sent by a random node.
 	concurrentRequests = 60
-	// propagationDelay is how long it takes until a node hears of what was written into the store.
+	// propagationDelay is the time until all nodes learn of a write to the store.
 	propagationDelay = 500 * time.Millisecond
-	// silence is after which time a node that does not answer is given up.
+	// failureDetectionTime is the time after which a node that does not answer is considered lost.
 	failureDetectionTime = 600 * time.Millisecond
-	// contact is after which time all nodes are bound by what was found.
+	// convergenceTime is the time within which all nodes hold back a request after its third crash.
 	convergenceTime = 3 * time.Second
-	// maxLateAttempts is how many tries may reach an endpoint later than that.
+	// maxLateAttempts bounds the attempts that reach an endpoint later than that.
 	maxLateAttempts = 3
-	// popularInterval is how long after one try of a popular request the next comes.
+	// popularInterval is the interval at which a popular request is sent.
 	popularInterval = 100 * time.Millisecond
-	// maxMessageBytes bounds one word between nodes, in bytes: it fills the slowest links of hosts for 20 ms.
+	// maxMessageBytes bounds a message between nodes. One of this size occupies the slowest links between hosts for
+	// 20 ms.
 	maxMessageBytes = 25_000
 )
 
-var errUnreachable = errors.New("no way to the node")
+var errUnreachable = errors.New("node unreachable")
 
 type (
-	// fleet is coordinators that call each other within the process, on a clock of its own, and what they have written
-	// into the store. Endpoints are only names.
+	// fleet simulates nodes whose coordinators call each other within the process, and the store that they write to. It
+	// runs on the clock of a synctest bubble. Endpoints exist only as names.
 	fleet struct {
 		t      *testing.T
 		random *rand.Rand
@@ -52,15 +53,17 @@
 		mu           sync.Mutex
 		coordinators map[string]*quarantine.Coordinator
 		names        []string
-		// cut nodes reach no other and hear nothing of the store.
+		// partitioned nodes reach neither other nodes nor the store.
 		partitioned map[string]bool
-		// mute nodes answer nothing, and no other node has noticed.
+		// unresponsive nodes do not answer calls. Another node notices this only when it calls them.
 		unresponsive map[string]bool
-		// noticed holds which nodes have found out that another is mute.
+		// knownUnresponsive holds pairs of nodes of which the first has noticed that the second is unresponsive.
 		knownUnresponsive map[[2]string]bool
-		// deaf nodes are not answered by the store.
-		withoutStore     map[string]bool
-		held             []kernel.HeldRequest
+		// withoutStore nodes get no answer from the store when they write.
+		withoutStore map[string]bool
+		// held are the held requests in the store.
+		held []kernel.HeldRequest
+		// crashed holds the addresses at which no process listens.
 		crashed          map[string]bool
 		endpointsStarted int
 		calls            int
@@ -68,18 +71,19 @@
 		writes           int
 	}
 
-	// try is what became of one request.
+	// sendResult is the result of sending a request once.
 	sendResult struct {
 		reached bool
 		refused bool
 	}
 
-	// tally counts the tries of a poison request that reached an endpoint, and those later than nodes are bound after
-	// the third.
+	// attemptStats counts the attempts to send a poison request that reached an endpoint.
 	attemptStats struct {
-		digest      model.Digest
-		reached     int
-		late        int
+		digest  model.Digest
+		reached int
+		// late counts the attempts that reached an endpoint more than convergenceTime after thresholdAt.
+		late int
+		// thresholdAt is when kernel.CrashThreshold was reached.
 		thresholdAt time.Time
 	}
 )
@@ -95,7 +99,7 @@
 	return f
 }
 
-// start starts a node, in the place of one of the same name; it reads the store first.
+// startNode starts a node, which replaces any node of the same name, and which reads the store first.
 func (f *fleet) startNode(name string) {
 	node := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Dependencies{
 		Peers: func() []kernel.Peer { return f.peers(name) },
@@ -171,7 +175,7 @@
 	return nil
 }
 
-// write writes a change into the store; all nodes that are not cut off hear of it.
+// write writes a change to the store. All nodes that are not partitioned learn of it.
 func (f *fleet) write(from string, change kernel.QuarantineChange) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -193,7 +197,7 @@
 	return nil
 }
 
-// any returns a node that is not cut off.
+// randomNode returns a node that is not partitioned.
 func (f *fleet) randomNode() *quarantine.Coordinator {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,7 +208,7 @@
 	}
 }
 
-// end ends an endpoint: each of the requests breaks off, at a node of its own.
+// crash crashes a new endpoint that runs the requests, each of them sent by a random node.
 func (f *fleet) crash(digests ...model.Digest) {
 	f.mu.Lock()
 	f.endpointsStarted++
@@ -216,7 +220,8 @@
 	}
 }
 
-// send sends a request to any node. A poison request ends an endpoint, with others beside it.
+// send sends a request from a random node. A poison request crashes an endpoint that also runs the concurrent
+// requests.
 func (f *fleet) send(digest model.Digest, poison bool, concurrent ...model.Digest) sendResult {
 	node := f.randomNode()
 	if _, refusal := node.Admit(f.t.Context(), digest); refusal != nil {
@@ -230,7 +235,7 @@
 	return sendResult{reached: true}
 }
 
-// others returns the digests of requests that are sent once.
+// newDigests returns the digests of n new requests.
 func (f *fleet) newDigests(n int) []model.Digest {
 	out := make([]model.Digest, n)
 	for i := range out {
@@ -239,7 +244,7 @@
 	return out
 }
 
-// note counts a try that reached an endpoint.
+// countReached counts an attempt that reached an endpoint.
 func (stats *attemptStats) countReached() {
 	stats.reached++
 	if !stats.thresholdAt.IsZero() && time.Since(stats.thresholdAt) > convergenceTime {
@@ -250,7 +255,8 @@
 	}
 }
 
-// repeat sends a poison request again and again. Others run beside it; they come once more when they were cut.
+// sendRepeatedly sends a poison request several times, each time together with other requests. Those are sent once
+// more after the crash, and must be served.
 func (f *fleet) sendRepeatedly(digest model.Digest, attempts int, interval time.Duration) attemptStats {
 	stats := attemptStats{digest: digest}
 	for range attempts {
@@ -260,13 +266,13 @@
 		}
 		time.Sleep(interval)
 		for _, d := range concurrent {
-			must.False(f.t, f.send(d, false).refused, must.Sprint("what ran beside is served"))
+			must.False(f.t, f.send(d, false).refused, must.Sprint("requests that ran beside the cause must be served"))
 		}
 	}
 	return stats
 }
 
-// sendAll sends several poison requests once: each ends an endpoint of its own, or all of them the same one.
+// sendAll sends several poison requests once, each to an endpoint of its own or all of them to the same one.
 func (f *fleet) sendAll(allStats []*attemptStats, sameEndpoint bool) {
 	var sent []model.Digest
 	for _, stats := range allStats {
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -12,19 +12,20 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// notification is a message to the coordinators of a pool on its way.
+// notification is a message that is being sent to the coordinators of a pool.
 type notification struct {
 	pool string
 	kind peer.Kind
-	// message is made anew for each try, as it bears times; lost tells it that the coordinator does not answer.
+	// message returns the message. It is called for each attempt, because the message contains elapsed times. If lost
+	// is true, the message says that the coordinator does not answer.
 	message  func(lost bool) any
 	notified map[string]bool
-	// lost is the coordinator that did not answer, as the next one was notified.
+	// unresponsive is the last coordinator that did not answer and whose successor was informed of this.
 	unresponsive string
 }
 
-// notify sends a message to the coordinators of a pool. Who they are is looked at again and again for a while: a node that has
-// just started does not know the others yet, and one that is cut off does not reach them.
+// notify sends a message to the coordinators of a pool in the background. It looks them up again in each round,
+// because a node that has just started does not know the others yet, and one that is cut off cannot reach them.
 func (c *Coordinator) notify(pool string, kind peer.Kind, message func(lost bool) any) {
 	n := &notification{pool: pool, kind: kind, message: message, notified: map[string]bool{c.name: true}}
 	c.mu.Lock()
@@ -54,8 +55,9 @@
 	}()
 }
 
-// notifyRound notifies the coordinators that were not yet, all at once; it reports whether all were. Where the first one
-// does not answer, the next one learns of it: it has not noticed, and would leave the decision to the first.
+// notifyRound notifies, in parallel, the coordinators that have not been notified yet, and reports whether all have
+// been. If the first one does not answer, it informs the next one, which may not have noticed and would leave the
+// decision to the first.
 func (c *Coordinator) notifyRound(n *notification) bool {
 	coordinators := c.coordinators(n.pool)
 	coordinators = coordinators[:min(coordinatorsPerPool, len(coordinators))]
@@ -93,7 +95,8 @@
 	return c.deps.Call(ctx, node, kind, message, &peer.Empty{}) == nil
 }
 
-// actAsCoordinator has this node decide on a pool's cases for a while, in the place of a coordinator that does not answer.
+// actAsCoordinator makes this node decide for a pool during actingDuration, because the pool's coordinator does not
+// answer.
 func (c *Coordinator) actAsCoordinator(pool string) {
 	c.mu.Lock()
 	c.actingUntil[pool] = c.now().Add(actingDuration)
@@ -101,15 +104,16 @@
 	c.scheduleEvaluation()
 }
 
-// clear has a request cleared here and at its pool's coordinators, and its entry taken out of the store.
+// clearAndNotify clears a request on this node and on its pool's coordinators, which remove its entry from the store.
 func (c *Coordinator) clearAndNotify(digest model.Digest, pool string) {
 	coordinators := c.coordinators(pool)
 	c.applyClear(digest, slices.Contains(coordinators[:min(coordinatorsPerPool, len(coordinators))], c.name))
 	c.notify(pool, peer.KindClear, func(bool) any { return peer.Clear{Digest: digest} })
 }
 
-// applyClear clears a request. With removeEntry its entry is taken out of the store: by each coordinator that is told, since
-// the first may not answer, and by no other node, since many may have seen an answer.
+// applyClear clears a request that was answered. If removeEntry is true, it also removes the request's entry from the
+// store. Each notified coordinator does so, as the first may not answer; other nodes do not, because many of them may
+// have seen an answer.
 func (c *Coordinator) applyClear(digest model.Digest, removeEntry bool) {
 	state, _, _ := c.holdState(digest)
 	change := kernel.QuarantineChange{Lift: []model.Digest{digest}}
@@ -122,8 +126,8 @@
 	}
 }
 
-// requestTrial asks the coordinator of a request's pool for a trial. Where it is not permitted, it returns when the caller may
-// come back, or zero where the coordinator did not answer.
+// requestTrial asks the coordinator of a request's pool for a trial. If the trial is denied, retryAfter is the time
+// after which the caller may retry, or zero if the coordinator did not answer.
 func (c *Coordinator) requestTrial(ctx context.Context, held kernel.HeldRequest) (permitted bool, retryAfter time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
@@ -131,7 +135,8 @@
 	return reply.Permitted, reply.RetryAfter
 }
 
-// trial takes a request for a trial to the coordinator of a pool.
+// sendTrial sends a trial message to the coordinator of a pool. If the coordinator does not answer, the reply is
+// zero.
 func (c *Coordinator) sendTrial(ctx context.Context, pool string, request peer.Trial) peer.TrialReply {
 	coordinator := c.coordinators(pool)[0]
 	if coordinator == c.name {
@@ -156,7 +161,7 @@
 	return peer.TrialReply{Permitted: permitted, RetryAfter: retryAfter}
 }
 
-// Handlers answer other nodes.
+// Handlers returns the handlers of the messages that other nodes send to the coordinator.
 func (c *Coordinator) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
 		peer.KindCrash: c.handleCrash,
