--- a/ratecap/doc.go
+++ b/ratecap/doc.go
@@ -1,3 +1,4 @@
-// Package ratecap keeps what endpoints say of the requests that they take a second of all nodes together: it learns that
-// from their answers and from other nodes, says what this node may send, and tells the others.
+// Package ratecap enforces the rate caps of endpoints. An endpoint may state how many requests per second it
+// accepts from all nodes together. A node learns the caps from the endpoints' answers and from other nodes, limits
+// what it sends, and publishes the caps that it learns.
 package ratecap
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	// sweepInterval is how often beliefs are compared with what is published.
+	// sweepInterval is the interval at which the caps known to this node are compared with the published ones.
 	sweepInterval = 200 * time.Millisecond
-	// nodesRefreshInterval is how often it is looked which nodes there are.
+	// nodesRefreshInterval is the minimum interval between updates of the nodes that share the caps.
 	nodesRefreshInterval = time.Second
-	// rankTTL is how long this node's rank by an endpoint's hash counts: about as long as nodes take to learn of
-	// each other.
+	// rankTTL is how long this node's rank for an endpoint is cached: about as long as nodes take to learn of each
+	// other.
 	rankTTL = 500 * time.Millisecond
-	// publishTimeout bounds the writing of a cap.
+	// publishTimeout bounds the publication of a cap.
 	publishTimeout = 2 * time.Second
 )
 
 type (
-	// Dependencies are how a limiter learns of nodes and endpoints, and tells other nodes.
+	// Dependencies are the functions through which a Limiter learns of nodes and endpoints, and informs other nodes.
 	Dependencies struct {
-		// Announced returns the nodes that have announced themselves and are not leaving, whether they answer or not.
+		// Announced returns the nodes that have announced themselves and are not leaving, whether or not they answer.
 		Announced func() []kernel.Peer
-		// Listed tells whether an incarnation of an endpoint is listed.
+		// Listed reports whether an incarnation of an endpoint is listed.
 		Listed func(incarnation string) bool
-		// Part returns which part of its cap an endpoint's senders may use, and batchers of pieces as well; nil where that
-		// is always all of it.
+		// Part returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
+		// size. It is nil if the whole cap may always be used.
 		Part func(incarnation string) float64
-		// Publish has all nodes learn what an endpoint states, or that it states nothing.
+		// Publish informs all nodes of the cap that an endpoint states, or that it states none.
 		Publish func(ctx context.Context, incarnation string, stated model.RateCap) error
-		// RequestPermit asks another node for a permit to send one request to an endpoint of a pool; where it is not granted, wait is
-		// when this node's turn comes. Nil where nodes do not ask each other.
+		// RequestPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
+		// denied, wait is the time until this node's turn. It is nil if nodes do not ask each other for permits.
 		RequestPermit func(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error)
-		// Changed is called after each change of what is stated.
+		// Changed is called after each change of a cap known to this node.
 		Changed func()
 	}
 
-	// Limiter is one node's part in keeping the caps. It is safe for concurrent use.
+	// Limiter limits what one node sends to endpoints with rate caps. It is safe for concurrent use.
 	Limiter struct {
 		name    string
 		deps    Dependencies
@@ -56,33 +56,33 @@
 		metrics *metric.Set
 		log     zerolog.Logger
 
-		// count is the length of known: where it is 0, as nearly always, nothing is locked for a request.
+		// endpointCount is the length of endpoints. Caps are rare: while it is 0, requests do not lock mu.
 		endpointCount atomic.Int64
 
 		mu sync.Mutex
-		// known is by the incarnations of endpoints.
+		// endpoints holds what is known of endpoints with caps, by incarnation.
 		endpoints map[string]*endpointCap
-		// nodes share the caps, as of nodesRefreshedAt.
+		// nodes are the nodes that share the caps, as of nodesRefreshedAt.
 		nodes            kernel.SettledNodes
 		nodesRefreshedAt time.Time
 	}
 
 	endpointCap struct {
 		publisher kernel.CapNews
-		// rank is this node's by the endpoint's hash, as of rankedAt.
+		// rank is this node's rank for the endpoint, as of rankedAt.
 		rank     int
 		rankedAt time.Time
-		// permits are those that this node may ask for, of the nodes that share the cap as of sharersAt.
+		// permits tells which of the nodes that share the cap, as of sharersAt, may be asked for a permit.
 		permits   kernel.Permits
 		sharersAt time.Time
-		// desk is this node's part in granting them.
+		// issuer grants permits to other nodes.
 		issuer kernel.PermitDesk
-		// publishing is true while the view is being written.
+		// publishing is true while the cap is being published.
 		publishing bool
 	}
 )
 
-// NewLimiter returns a limiter that knows of no cap; it works until ctx ends.
+// NewLimiter returns a limiter that knows of no cap. Its background work ends with ctx.
 func NewLimiter(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Limiter {
 	l := &Limiter{name: name, deps: deps, now: now, metrics: metrics, log: log, endpoints: map[string]*endpointCap{}}
 	go func() {
@@ -93,7 +93,7 @@
 	return l
 }
 
-// Len returns how many endpoints state a cap.
+// Len returns the number of endpoints that state a cap.
 func (l *Limiter) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 	return n
 }
 
-// View returns what this node believes of an endpoint's cap.
+// View returns what this node knows of an endpoint's cap.
 func (l *Limiter) View(incarnation string) kernel.CapBelief {
 	if l.endpointCount.Load() == 0 {
 		return kernel.CapBelief{}
@@ -119,7 +119,8 @@
 	return kernel.CapBelief{}
 }
 
-// PartialView returns the part of an endpoint's cap that all nodes together may use for requests, and batchers for pieces as well.
+// PartialView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
+// together may use a part of the same size.
 func (l *Limiter) PartialView(incarnation string) kernel.CapBelief {
 	return l.partialView(incarnation, l.View(incarnation))
 }
@@ -131,18 +132,19 @@
 	return view.WithPart(l.deps.Part(incarnation))
 }
 
-// HasCap tells whether an endpoint states a cap.
+// HasCap reports whether an endpoint states a cap.
 func (l *Limiter) HasCap(incarnation string) bool {
 	return l.View(incarnation).Cap.Stated
 }
 
-// Admits tells whether this node, which last sent to an endpoint at a time, may send to it now.
+// Admits reports whether this node may send to an endpoint now, given when it last did.
 func (l *Limiter) Admits(now time.Time, e model.Endpoint, sentAt time.Time) bool {
 	view := l.PartialView(e.Incarnation())
 	return !view.Cap.Stated || view.Due(now, sentAt, l.Rank(now, e.Incarnation()))
 }
 
-// AdmitPool returns the refusal of a request that only endpoints at their caps could serve; nil where others take work.
+// AdmitPool returns a refusal if all endpoints of a pool that accept work have caps, and this node may neither send
+// to one of them now nor ask for a permit. sentAt returns when this node last sent to an endpoint.
 func (l *Limiter) AdmitPool(now time.Time, pool string, endpoints []model.Endpoint, sentAt func(incarnation string) time.Time) *model.Refusal {
 	var capped []kernel.CappedEndpoint
 	for _, e := range endpoints {
@@ -162,14 +164,14 @@
 	return kernel.AdmitCapped(now, pool, capped)
 }
 
-// RecordSend counts what is sent to endpoints that state a cap.
+// RecordSend counts the requests and calls for pieces that are sent to endpoints with caps.
 func (l *Limiter) RecordSend(e model.Endpoint) {
 	if l.HasCap(e.Incarnation()) {
 		l.metrics.Event("SentUnderRateCap")
 	}
 }
 
-// RecordAnswer takes in what an endpoint's answer to a request that was sent at a time says of the requests that it takes.
+// RecordAnswer applies the cap, or its absence, in an endpoint's answer to a request that was sent at sentAt.
 func (l *Limiter) RecordAnswer(sentAt time.Time, e model.Endpoint, stated model.RateCap) {
 	if !stated.Stated && !l.HasCap(e.Incarnation()) {
 		return
@@ -180,13 +182,14 @@
 	l.reportChange(e.Incarnation(), "endpoint", before, after)
 }
 
-// ApplyNotice takes in what other nodes say of an endpoint from now on.
+// ApplyNotice applies the cap, or its absence, that other nodes have published for an endpoint.
 func (l *Limiter) ApplyNotice(incarnation string, stated model.RateCap) {
 	before, after := l.update(incarnation, func(c *endpointCap) { c.publisher.Notice(l.now(), stated) })
 	l.reportChange(incarnation, "nodes", before, after)
 }
 
-// change changes what is known of an endpoint, and returns the view before and after.
+// update changes what is known of an endpoint, and returns the views before and after the change. An endpoint is
+// removed if no cap of it is known or published and no publication is in progress.
 func (l *Limiter) update(incarnation string, apply func(*endpointCap)) (before, after kernel.CapBelief) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,8 +217,8 @@
 	l.deps.Changed()
 }
 
-// Rank returns how many of the nodes that share what an endpoint takes come before this one by the endpoint's hash:
-// math.MaxInt while others may not have heard of this one yet.
+// Rank returns this node's rank among the nodes that share an endpoint's cap, in the order of the endpoint's
+// rendezvous hash, starting with 0. It is math.MaxInt while other nodes may not have heard of this one yet.
 func (l *Limiter) Rank(now time.Time, incarnation string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,7 +233,7 @@
 	return c.rank
 }
 
-// sweep tells the others what they don't know and forgets endpoints that are gone.
+// sweep publishes caps that differ from the published ones, and removes those of endpoints that are no longer listed.
 func (l *Limiter) sweep(ctx context.Context) {
 	now := l.now()
 	l.refreshNodes(now)
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -19,14 +19,15 @@
 
 const awaitTimeout = 20 * time.Second
 
-// fleet is limiters that tell each other through a table.
+// fleet is the limiters of several nodes that publish caps through a common store.
 type fleet struct {
 	mu       sync.Mutex
 	limiters []*ratecap.Limiter
-	// failures is how many more writes the table does not take, listed whether the endpoint is.
+	// failWrites is the number of further writes that fail.
 	failWrites int
-	listed     bool
-	writes     int
+	// listed is whether the endpoint is listed.
+	listed bool
+	writes int
 }
 
 func newFleet(t *testing.T, nodes int) *fleet {
@@ -51,7 +52,7 @@
 	defer f.mu.Unlock()
 	if f.failWrites > 0 {
 		f.failWrites--
-		return errors.New("the table is away")
+		return errors.New("store unavailable")
 	}
 	f.writes++
 	for _, l := range f.limiters {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// await waits until all limiters believe that the endpoint states a cap, or that it states none.
+// await waits until all limiters have learned that the endpoint states a cap, or that it states none.
 func (f *fleet) await(t *testing.T, stated bool) {
 	t.Helper()
 	all := func() bool {
@@ -73,12 +74,13 @@
 	}
 	for deadline := time.Now().Add(awaitTimeout); !all(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("waited in vain for all limiters")
+			t.Fatal("not all limiters learned of the change in time")
 		}
 	}
 }
 
-// What one node hears of an endpoint all know soon, also where the table takes no write at first, and that it has ended.
+// All nodes learn of a cap, and of its end, from the node that received the endpoint's answer, even if the first
+// writes to the store fail.
 func TestNodesShareRateCaps(t *testing.T) {
 	t.Parallel()
 	for _, failures := range []int{0, 2} {
@@ -99,7 +101,7 @@
 	}
 }
 
-// The cap of an endpoint that is gone is forgotten, in the table as well.
+// The cap of an endpoint that is no longer listed is removed on all nodes and from the store.
 func TestRateCapOfRemovedEndpointIsRemoved(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2)
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// sharersTTL is how long it counts which nodes share a cap. Those that no longer do say so.
+	// sharersTTL is how long the list of nodes that share a cap is cached. Nodes that no longer share it deny permits.
 	sharersTTL = 2 * time.Second
-	// permitTimeout bounds the question for a permit: many round trips between hosts, and less than callers notice.
+	// permitTimeout bounds a request for a permit. It allows for many round trips between hosts, and is too short for
+	// callers to notice.
 	permitTimeout = 100 * time.Millisecond
 )
 
-// MayRequestPermit tells whether another node is worth asking now for a permit to send to an endpoint.
+// MayRequestPermit reports whether another node can be asked now for a permit to send to an endpoint.
 func (l *Limiter) MayRequestPermit(now time.Time, incarnation string) bool {
 	at, ok := l.permitRequestAt(now, incarnation)
 	return ok && !now.Before(at)
 }
 
-// permitRequestAt returns when another node is worth asking for a permit; false where this node asks nobody.
+// permitRequestAt returns when another node can next be asked for a permit. It returns false if there is no node to
+// ask.
 func (l *Limiter) permitRequestAt(now time.Time, incarnation string) (at time.Time, ok bool) {
 	if l.deps.RequestPermit == nil {
 		return time.Time{}, false
@@ -40,8 +42,8 @@
 	return c.permits.Next()
 }
 
-// RequestPermit asks a node that shares an endpoint's cap for a permit to send one request in its rank, and tells whether it was
-// granted.
+// RequestPermit asks a node that shares an endpoint's cap for a permit to send one request in its place, and reports
+// whether it was granted.
 func (l *Limiter) RequestPermit(ctx context.Context, e model.Endpoint) bool {
 	incarnation := e.Incarnation()
 	sharer, ok := l.chooseSharer(l.now(), incarnation)
@@ -78,8 +80,9 @@
 	return c.permits.Choose(now, rand.Float64())
 }
 
-// Permit decides whether another node may send to an endpoint in this one's rank, which last sent there, or let another
-// node do so, at a time.
+// Permit decides whether another node may send one request to an endpoint in place of this node. sentAt is when
+// this node last sent to the endpoint or granted a permit for it. If the permit is denied, wait is the time until
+// the other node's turn.
 func (l *Limiter) Permit(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration) {
 	rank := l.Rank(now, incarnation)
 	l.mu.Lock()
