--- a/blame/blame.go
+++ b/blame/blame.go
@@ -1,5 +1,5 @@
-// Package blame reads the JSON lines that nodes wrote and says, by time and route, which requests were
-// refused, late or broken off, and which pool's wait or room decided it.
+// Package blame analyzes the JSON logs of nodes. It reports, by time window and route, which requests were refused,
+// late or broken off, and which pool's wait or room was the cause.
 package blame
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/go-faster/errors"
 )
 
-// maxLineBytes bounds a line that is read, in bytes; longer ones end the reading with an error.
+// maxLineBytes bounds the length of a log line. Reading fails at a longer line.
 const maxLineBytes = 1 << 20
 
 type (
-	// Line is what is read of a line that ends a request. Durations are in milliseconds, as written.
+	// Line is a log line on the end of a request. Durations are in milliseconds.
 	Line struct {
 		Time       time.Time
 		Route      string
@@ -33,7 +33,7 @@
 		Estimates  []Wait
 	}
 
-	// Stage is what became of one stage: the wait that was estimated for its pieces, and what it was.
+	// Stage is a stage of a request: the estimated wait of its pieces and the actual one, in milliseconds.
 	Stage struct {
 		Pool     string
 		Estimate float64
@@ -41,22 +41,23 @@
 		Fault    string
 	}
 
-	// Wait is what a request was refused for: the wait that a pool estimated, and the share of its room
-	// that was taken.
+	// Wait is an estimate for which a request was refused: the wait at a pool, in milliseconds, and the share of the
+	// pool's room that was taken, from 0 to 1.
 	Wait struct {
 		Pool      string
 		Wait      float64
 		RoomTaken float64
 	}
 
-	// Report collects lines. It changes in place.
+	// Report aggregates log lines. It is not safe for concurrent use.
 	Report struct {
 		window time.Duration
 		causes map[cause]int
 		pools  map[string]*waitSamples
-		// lines counts the lines that ended a request, skipped those that are no JSON.
+		// requestLines is the number of lines on the end of a request.
 		requestLines int
-		skipped      int
+		// skipped is the number of lines that are not valid JSON.
+		skipped int
 	}
 
 	cause struct {
@@ -65,20 +66,20 @@
 		description string
 	}
 
-	// waits are a pool's waits as estimated and as they were, of the same groups.
+	// waitSamples holds the estimated and the actual waits of the same groups of pieces at a pool, in milliseconds.
 	waitSamples struct {
 		estimated []float64
 		waited    []float64
 	}
 )
 
-// NewReport returns a report that counts by windows of a length.
+// NewReport returns an empty report that counts requests by windows of the given length.
 func NewReport(window time.Duration) *Report {
 	return &Report{window: window, causes: map[cause]int{}, pools: map[string]*waitSamples{}}
 }
 
-// Read takes lines in. What stands before the first brace of a line is passed over, so that lines that
-// were collected from several nodes with a prefix can be read as they are.
+// Read adds log lines to the report. It ignores any text before the first brace of a line, such as the prefix of a
+// log that was collected from several nodes.
 func (r *Report) Read(lines io.Reader) error {
 	scanner := bufio.NewScanner(lines)
 	scanner.Buffer(nil, maxLineBytes)
@@ -126,7 +127,7 @@
 	w.waited = append(w.waited, s.Waited)
 }
 
-// cause says what went wrong with a request and what decided it; empty where nothing did.
+// cause describes why a request was refused, late or broken off. It is empty if the request was none of these.
 func (l Line) cause() string {
 	switch {
 	case l.Outcome == "Refused" && len(l.Estimates) > 0:
@@ -142,7 +143,7 @@
 	}
 }
 
-// longest names the pool that estimated the longest wait, and whether its room was full.
+// longestWait names the pool with the longest estimated wait, and tells whether its room was nearly full.
 func (l Line) longestWait() string {
 	w := slices.MaxFunc(l.Estimates, func(a, b Wait) int { return int(a.Wait - b.Wait) })
 	if w.RoomTaken > 0.9 {
@@ -151,7 +152,7 @@
 	return "wait of " + w.Pool
 }
 
-// slowest names the pool whose pieces waited longest.
+// slowestPool names the pool whose pieces waited longest.
 func (l Line) slowestPool() string {
 	if len(l.Stages) == 0 {
 		return "no stages"
@@ -160,8 +161,7 @@
 	return "pieces in " + s.Pool
 }
 
-// Write prints what went wrong by window and route, the most frequent cause first, and for each pool how
-// long pieces were estimated to wait and how long they did.
+// Write prints the causes by window, the most frequent first, and the estimated and actual waits at each pool.
 func (r *Report) Write(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\troute\trequests\tcause")
@@ -169,7 +169,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", c.from.Format("15:04:05"), orDash(c.route), r.causes[c], c.description)
 	}
 	fmt.Fprintln(table, "\t\t\t")
-	fmt.Fprintln(table, "pool\tgroups\testimated ms (half, nine in ten)\twaited ms (half, nine in ten)")
+	fmt.Fprintln(table, "pool\tgroups\testimated ms (p50, p90)\twaited ms (p50, p90)")
 	names := make([]string, 0, len(r.pools))
 	for name := range r.pools {
 		names = append(names, name)
@@ -181,10 +181,10 @@
 			quantile(w.estimated, 0.5), quantile(w.estimated, 0.9), quantile(w.waited, 0.5), quantile(w.waited, 0.9))
 	}
 	if err := table.Flush(); err != nil {
-		return errors.Wrap(err, "unable to print")
+		return errors.Wrap(err, "unable to write the report")
 	}
-	if _, err := fmt.Fprintf(out, "\n%d lines that end a request; %d lines were no JSON\n", r.requestLines, r.skipped); err != nil {
-		return errors.Wrap(err, "unable to print")
+	if _, err := fmt.Fprintf(out, "\n%d lines on ended requests; %d lines skipped (not valid JSON)\n", r.requestLines, r.skipped); err != nil {
+		return errors.Wrap(err, "unable to write the report")
 	}
 	return nil
 }
@@ -206,12 +206,12 @@
 	return out
 }
 
-func quantile(values []float64, share float64) float64 {
+func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[int(share*float64(len(sorted)-1))]
+	return sorted[int(q*float64(len(sorted)-1))]
 }
 
 func orDash(s string) string {
--- a/blame/blame_test.go
+++ b/blame/blame_test.go
@@ -33,7 +33,7 @@
 		"03:04:06 r 1 late, pieces in p",
 		"03:04:06 r 1 broken off",
 		"p 1 10, 10 30, 30",
-		"6 lines that end a request; 1 lines were no JSON",
+		"6 lines on ended requests; 1 lines skipped (not valid JSON)",
 	} {
 		must.StrContains(t, got, want)
 	}
