--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -314,7 +314,7 @@
 	if err != nil {
 		detail = "stage " + a.job.Work.Stage.Name + ": " + err.Error()
 	}
-	return model.NewRefusal(verdict, reason, kernel.RetryAfter(a.d.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).Expected()), detail)
+	return model.NewRefusal(verdict, reason, kernel.ClampRetryAfter(a.d.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).Expected()), detail)
 }
 
 func asFault(err error) *endpoint.Fault {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -52,7 +52,7 @@
 
 	// Job is one stage of one request.
 	Job struct {
-		Work   kernel.Work
+		Work   kernel.StageContext
 		Plugin kernel.Plugin
 		// Later estimates the stages that still follow.
 		Later []kernel.StageEstimate
@@ -132,7 +132,7 @@
 	change := kernel.EvacuationChange{Evacuated: domains}
 	for _, domain := range d.evacuations.Domains() {
 		if !slices.Contains(domains, domain) {
-			change.TakenBack = append(change.TakenBack, domain)
+			change.Restored = append(change.Restored, domain)
 		}
 	}
 	evacuations, news := d.evacuations.With(now, change)
@@ -167,7 +167,7 @@
 }
 
 func (d *Dispatcher) estimate(req model.Request, weight int, stage model.Stage) kernel.StageEstimate {
-	return d.pool(stage.Pool).estimate(kernel.TokensOf(req, stage), newWaiter(req, weight))
+	return d.pool(stage.Pool).estimate(kernel.MaxTokens(req, stage), newWaiter(req, weight))
 }
 
 func newWaiter(req model.Request, weight int) kernel.Waiter {
@@ -208,7 +208,7 @@
 	estimate := d.estimate(req, job.Weight, job.Work.Stage)
 	waiter := newWaiter(req, job.Weight)
 	waiter.Cost = estimate.Cost()
-	waiter.LatestStart = estimate.Latest(kernel.StageDeadline(req.Deadline, job.Later))
+	waiter.LatestStart = estimate.LatestStart(kernel.StageDeadline(req.Deadline, job.Later))
 	if refusal := d.refuses(p); refusal != nil {
 		return Result{}, refusal
 	}
@@ -246,7 +246,7 @@
 	if ctx.Err() == context.Canceled {
 		return model.NewRefusal(model.NotRun, model.CallerGone, 0, "the caller went away")
 	}
-	return model.NewRefusal(model.NotRun, model.Overloaded, kernel.RetryAfter(e.Expected()),
+	return model.NewRefusal(model.NotRun, model.Overloaded, kernel.ClampRetryAfter(e.Expected()),
 		"pool "+p.name+" had no place in time")
 }
 
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -22,7 +22,7 @@
 		}
 		if a.d.AskPermit(ctx, a.pool.endpointOf(e)) {
 			a.pool.permitted(time.Now(), e)
-			a.connectBy = now.Add(kernel.PermitLasts)
+			a.connectBy = now.Add(kernel.PermitLifetime)
 			return e
 		}
 		a.pool.dropPick(e)
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -35,7 +35,7 @@
 			must.NoError(t, run(t, d))
 			must.EqOp(t, needsPermit, !target.ConnectBy.IsZero())
 			if needsPermit {
-				must.Between(t, before.Add(kernel.PermitLasts).UnixNano(), target.ConnectBy.UnixNano(), time.Now().Add(kernel.PermitLasts).UnixNano())
+				must.Between(t, before.Add(kernel.PermitLifetime).UnixNano(), target.ConnectBy.UnixNano(), time.Now().Add(kernel.PermitLifetime).UnixNano())
 			}
 		})
 	}
@@ -45,10 +45,10 @@
 func run(t *testing.T, d *dispatch.Dispatcher) error {
 	t.Helper()
 	_, err := d.Run(t.Context(), dispatch.Job{
-		Work: kernel.Work{Request: model.Request{ID: "r", Deadline: time.Now().Add(time.Minute)}, Stage: model.Stage{Name: "s", Pool: "p"}},
+		Work: kernel.StageContext{Request: model.Request{ID: "r", Deadline: time.Now().Add(time.Minute)}, Stage: model.Stage{Name: "s", Pool: "p"}},
 		Plugin: kernel.Plugin{
-			Prepare: func(kernel.Work) model.StageCall { return model.StageCall{} },
-			Accept:  func(kernel.Work, model.StageReply) (model.Carry, error) { return model.Carry{}, nil },
+			Prepare: func(kernel.StageContext) model.StageCall { return model.StageCall{} },
+			Accept:  func(kernel.StageContext, model.StageReply) (model.Carry, error) { return model.Carry{}, nil },
 		},
 	})
 	return err
--- a/dispatch/poolplaces.go
+++ b/dispatch/poolplaces.go
@@ -13,15 +13,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := kernel.StageEstimate{
-		Median: p.service.Quantile(medianQuantile, 0),
-		Long:   p.service.Quantile(longQuantile, 0),
-		Places: p.limit.Value,
+		Median:      p.service.Quantile(medianQuantile, 0),
+		Tail:        p.service.Quantile(longQuantile, 0),
+		MaxInFlight: p.limit.Value,
 	}
 	gap := p.gap.Quantile(medianQuantile, 0)
 	if tokens > 0 && gap > 0 {
 		generation := time.Duration(tokens) * gap
 		e.Median = p.first.Quantile(medianQuantile, 0) + generation
-		e.Long = p.first.Quantile(longQuantile, 0) + generation
+		e.Tail = p.first.Quantile(longQuantile, 0) + generation
 	}
 	w.Cost = e.Cost()
 	e.QueuedCost = p.queue.CostAhead(w)
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -80,7 +80,7 @@
 // be in time. It returns those that lack it.
 func (a *attempts) awaitAdapter(ctx context.Context) ([]string, bool) {
 	adapter := adapterName(a.job.Work.Stage)
-	latest := a.d.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).Latest(a.deadline)
+	latest := a.d.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
 	for {
 		names, all := a.pool.lacking(time.Now(), adapter)
 		if !all {
--- a/dispatch/verdict_test.go
+++ b/dispatch/verdict_test.go
@@ -39,8 +39,8 @@
 				return model.StageReply{}, &endpoint.Fault{Kind: endpoint.Cancelled, Verdict: model.MayHaveRun, Err: ctx.Err()}
 			}
 			_, err := d.Run(t.Context(), dispatch.Job{
-				Work:   kernel.Work{Request: model.Request{ID: "r", Deadline: deadline}, Stage: model.Stage{Name: "s", Pool: "p"}},
-				Plugin: kernel.Plugin{Prepare: func(kernel.Work) model.StageCall { return model.StageCall{} }},
+				Work:   kernel.StageContext{Request: model.Request{ID: "r", Deadline: deadline}, Stage: model.Stage{Name: "s", Pool: "p"}},
+				Plugin: kernel.Plugin{Prepare: func(kernel.StageContext) model.StageCall { return model.StageCall{} }},
 			})
 			time.Sleep(time.Second)
 			must.Greater(t, 1, calls.Load(), must.Sprint("a call beside the first"))
--- a/engine/client.go
+++ b/engine/client.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return errors.Wrap(err, "engine: unable to encode")
 	}
-	ctx, cancel := context.WithTimeout(ctx, kernel.LongestOrder)
+	ctx, cancel := context.WithTimeout(ctx, kernel.OrderTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+OrdersPath, bytes.NewReader(body))
 	if err != nil {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -18,17 +18,17 @@
 	})
 }
 
-func prepare(w kernel.Work) model.StageCall {
+func prepare(w kernel.StageContext) model.StageCall {
 	return model.StageCall{
 		Model:     w.Stage.Model,
 		Adapter:   w.Stage.Adapter,
 		Text:      prompt(w),
 		Prefix:    w.Request.Input.Prefix,
-		MaxTokens: kernel.TokensOf(w.Request, w.Stage),
+		MaxTokens: kernel.MaxTokens(w.Request, w.Stage),
 	}
 }
 
-func prompt(w kernel.Work) string {
+func prompt(w kernel.StageContext) string {
 	parts := append([]string{w.Request.Input.Text}, w.Carry.Items...)
 	return strings.Join(parts, "\n")
 }
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -64,7 +64,7 @@
 		reads atomic.Bool
 		// deciding guards reading.
 		deciding sync.Mutex
-		reading  *kernel.Reading
+		reading  *kernel.SourceSelector
 		// settled decides once, as soon as all tables are known, whether this node goes on to read.
 		settled sync.Once
 		// decided is true from then on: undated tables are read by those that go on to read only.
@@ -90,7 +90,7 @@
 // NewFollower follows tables until ctx ends.
 func NewFollower(ctx context.Context, options Options, store Store, r *relay.Relay, tables []Table, metrics *metric.Set, log zerolog.Logger) *Follower {
 	f := &Follower{options: options, store: store, relay: r, log: log, metrics: metrics, packer: newPacker(), news: newNews(), callTimeout: options.MostAge}
-	f.reading = kernel.NewReading(options.Name, options.Domain, options.MostAge)
+	f.reading = kernel.NewSourceSelector(options.Name, options.Domain, options.MostAge)
 	f.reads.Store(true)
 	for _, t := range tables {
 		f.tables = append(f.tables, &followed{Table: t, replica: kernel.NewReplica()})
@@ -115,7 +115,7 @@
 			continue
 		}
 		t.mu.Lock()
-		_, known := t.replica.Known()
+		_, known := t.replica.Version()
 		t.mu.Unlock()
 		if !known {
 			return false
@@ -187,7 +187,7 @@
 	}
 	if question.Node != "" && question.ProvenAgo > 0 && f.lost() && f.provenAgo() > question.ProvenAgo {
 		f.deciding.Lock()
-		f.reading.Heard(clock.Now(), question.Node)
+		f.reading.RecordFresherNode(clock.Now(), question.Node)
 		f.deciding.Unlock()
 	}
 	if question.Hold > 0 && f.knowsLittle() {
--- a/follow/read.go
+++ b/follow/read.go
@@ -47,7 +47,7 @@
 	if f.knowsAll() {
 		f.settled.Do(func() {
 			plan := f.plan()
-			f.setReads(plan.Reads, plan.Why)
+			f.setReads(plan.ReadStore, plan.Reason)
 			f.decided.Store(true)
 			settled = true
 		})
@@ -80,7 +80,7 @@
 func (f *Follower) ask(ctx context.Context, t *followed) error {
 	began := clock.Now()
 	t.mu.Lock()
-	after, known := t.replica.Known()
+	after, known := t.replica.Version()
 	t.mu.Unlock()
 	if !known {
 		answer, err := f.store.Whole(ctx, t.Name)
@@ -124,7 +124,7 @@
 func (f *Follower) take(t *followed, began time.Time, answer Answer, whole bool) {
 	came := clock.Now()
 	t.mu.Lock()
-	news := t.replica.Take(began, answer.Rows, answer.Version, whole)
+	news := t.replica.Apply(began, answer.Rows, answer.Version, whole)
 	t.Apply(t.replica.ProvenAt(), news)
 	t.mu.Unlock()
 	f.noteTaken(taken{
@@ -150,7 +150,7 @@
 		return
 	}
 	t.mu.Lock()
-	version, _ := t.replica.Known()
+	version, _ := t.replica.Version()
 	t.mu.Unlock()
 	if err != nil {
 		f.log.Warn().Str("Table", t.Name).Uint64("Version", version).Err(err).Msg("store lost")
--- a/follow/source.go
+++ b/follow/source.go
@@ -41,18 +41,18 @@
 	plan := f.plan()
 	for try := 0; try < sourceTries && plan.Source != ""; try++ {
 		hold := time.Duration(0)
-		if plan.Waits || try == sourceTries-1 {
+		if plan.LongPoll || try == sourceTries-1 {
 			hold, try = sourceHold, sourceTries
 		}
 		enough := f.askSource(ctx, plan.Source, hold)
 		plan = f.plan()
 		if enough {
-			f.setReads(plan.Reads, plan.Why)
+			f.setReads(plan.ReadStore, plan.Reason)
 			return peerEvery
 		}
 	}
-	f.setReads(plan.Reads, plan.Why)
-	if !plan.Reads {
+	f.setReads(plan.ReadStore, plan.Reason)
+	if !plan.ReadStore {
 		f.tryStore(ctx)
 	}
 	if plan.Source == "" {
@@ -62,7 +62,7 @@
 }
 
 // plan asks the kernel what to do next.
-func (f *Follower) plan() kernel.ReadingPlan {
+func (f *Follower) plan() kernel.SourcePlan {
 	f.deciding.Lock()
 	defer f.deciding.Unlock()
 	return f.reading.Plan(clock.Now(), f.relay.Reachable(), f.lost())
@@ -72,22 +72,22 @@
 func (f *Follower) askSource(ctx context.Context, source string, hold time.Duration) bool {
 	answer, err := f.askNode(ctx, source, hold)
 	// A node whose answer still comes is not silent, but another one may tell the news sooner.
-	answer.Slow = errors.Is(err, context.DeadlineExceeded)
-	answer.Failed = err != nil && !answer.Slow
-	f.callTimeout = kernel.CallTimeout(f.callTimeout, f.options.MostAge, peerMost, !answer.Slow)
+	answer.TimedOut = errors.Is(err, context.DeadlineExceeded)
+	answer.Failed = err != nil && !answer.TimedOut
+	f.callTimeout = kernel.CallTimeout(f.callTimeout, f.options.MostAge, peerMost, !answer.TimedOut)
 	if answer.Failed {
 		f.metrics.Event("ReaderFailed")
 		f.relay.Suspect(source, err)
 	}
 	f.deciding.Lock()
 	defer f.deciding.Unlock()
-	return f.reading.Took(clock.Now(), source, answer)
+	return f.reading.RecordAnswer(clock.Now(), source, answer)
 }
 
 // tryStore asks the store once where no other node could tell anything and it is this node's turn.
 func (f *Follower) tryStore(ctx context.Context) {
 	f.deciding.Lock()
-	tries := f.reading.TriesStore(f.relay.Reachable(), rand.Float64())
+	tries := f.reading.ShouldProbeStore(f.relay.Reachable(), rand.Float64())
 	f.deciding.Unlock()
 	if !tries {
 		return
@@ -95,11 +95,11 @@
 	f.metrics.Event("StoreTried")
 	err := f.ask(ctx, f.tables[0])
 	f.deciding.Lock()
-	f.reading.Tried(err == nil)
+	f.reading.RecordProbe(err == nil)
 	f.deciding.Unlock()
 	if err == nil {
 		plan := f.plan()
-		f.setReads(plan.Reads, plan.Why)
+		f.setReads(plan.ReadStore, plan.Reason)
 	}
 }
 
@@ -114,7 +114,7 @@
 	question := peer.Feed{After: map[string]uint64{}, Unpacks: true, Node: f.options.Name, Hold: hold}
 	for _, t := range f.tables {
 		t.mu.Lock()
-		question.After[t.Name], _ = t.replica.Known()
+		question.After[t.Name], _ = t.replica.Version()
 		t.mu.Unlock()
 	}
 	if f.knowsAll() {
@@ -127,7 +127,7 @@
 		return kernel.SourceAnswer{}, err
 	}
 	came := clock.Now()
-	answer := kernel.SourceAnswer{Lost: reply.Lost}
+	answer := kernel.SourceAnswer{StoreLost: reply.Lost}
 	for _, t := range f.tables {
 		d, ok := reply.Tables[t.Name]
 		if !ok && !t.Undated {
@@ -145,8 +145,8 @@
 			return kernel.SourceAnswer{}, err
 		}
 		t.mu.Lock()
-		if version, _ := t.replica.Known(); d.Version >= version {
-			news := t.replica.TakeDelta(asked, d)
+		if version, _ := t.replica.Version(); d.Version >= version {
+			news := t.replica.ApplyDelta(asked, d)
 			t.Apply(t.replica.ProvenAt(), news)
 		}
 		t.mu.Unlock()
--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -126,7 +126,7 @@
 
 func TestCanFinishRefusesWithRetryDelay(t *testing.T) {
 	stage := func(median time.Duration, queued, places float64) kernel.StageEstimate {
-		return kernel.StageEstimate{Median: median, QueuedCost: queued, Places: places}
+		return kernel.StageEstimate{Median: median, QueuedCost: queued, MaxInFlight: places}
 	}
 	cases := []struct {
 		name       string
@@ -191,19 +191,19 @@
 }
 
 func TestRateShareKeepsFleetRateAndBecomesIdle(t *testing.T) {
-	var share kernel.RateShare
+	var share kernel.RateBucket
 	permitted := 0
 	now := ledgerStart
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		var ok bool
-		if share, ok, _ = share.WithRequest(now, 90, 9); ok {
+		if share, ok, _ = share.Take(now, 90, 9); ok {
 			permitted++
 		}
 	}
 	must.Between(t, 100, permitted, 111)
-	must.False(t, share.Idle(now))
-	must.True(t, share.Idle(now.Add(2*time.Second)))
+	must.False(t, share.Full(now))
+	must.True(t, share.Full(now.Add(2*time.Second)))
 }
 
 func TestQuantilesFollowRecentValues(t *testing.T) {
--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -24,7 +24,7 @@
 	// Authenticated is true if the request was admitted by its API key.
 	Authenticated bool
 	// Homes are the regions in which the request may be served.
-	Homes Homes
+	Homes AllowedRegions
 	// Version is that of the routing table.
 	Version uint64
 	// Rank orders requests by priority, the customer's first, then the route's; 0 is served first.
@@ -53,18 +53,18 @@
 	if !f.Deadline.IsZero() && f.Deadline.Before(a.Deadline) {
 		a.Deadline = f.Deadline
 	}
-	a.Homes = HomesOf(route, model.KeyHolder{})
+	a.Homes = AllowedRegionsFor(route, model.KeyHolder{})
 	if !route.Public && view.Table.HasCustomers() {
 		holder, known := view.Table.Holder(f.Key)
 		if !known {
 			return Admission{}, model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key is not known")
 		}
-		if !view.Proven(now, maxAge) {
+		if !view.Fresh(now, maxAge) {
 			return Admission{}, model.NewRefusal(model.NotRun, model.StaleRouting, notReadyRetryAfter, "the API keys known here are too old to trust")
 		}
 		a.Customer = holder.Name
 		a.Authenticated = true
-		a.Homes = HomesOf(route, holder)
+		a.Homes = AllowedRegionsFor(route, holder)
 		if holder.Priority >= 0 {
 			a.Rank += holder.Priority * ranksPerCustomerPriority
 		}
@@ -88,7 +88,7 @@
 	if !known || holder.Name != a.Customer {
 		return model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key was taken away meanwhile")
 	}
-	if !view.Proven(now, maxAge) {
+	if !view.Fresh(now, maxAge) {
 		return model.NewRefusal(model.NotRun, model.StaleRouting, notReadyRetryAfter, "the API keys known here are too old to trust")
 	}
 	return nil
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -15,22 +15,22 @@
 	// one endpoint comes free on average. Calls take nearly the same time, so starts that fall
 	// together stay together, and pieces that just missed them wait for a whole call; spaced
 	// evenly, a piece waits for a part of the spacing.
-	spacing = 0.8
-	// workerPause is how long an endpoint that refused a call as full gets no other: a part of
+	spacingRatio = 0.8
+	// refusalBackoff is how long an endpoint that refused a call as full gets no other: a part of
 	// the shortest call.
-	workerPause = 60 * time.Millisecond
-	// pieceTries bounds how often a piece is asked for.
-	pieceTries = 3
+	refusalBackoff = 60 * time.Millisecond
+	// maxPieceAttempts bounds how often a piece is asked for.
+	maxPieceAttempts = 3
 	// slowdownWeight is the weight of the newest call in an endpoint's slowdown.
 	slowdownWeight = 0.3
 	// holdWeight is the weight of the newest result in the time that results are held.
 	holdWeight = 0.05
-	// formerMemory is how long it counts when a worker that is no longer listed got its last call: longer than the pause
+	// unlistedRetention is how long it counts when a worker that is no longer listed got its last call: longer than the pause
 	// between two calls under the smallest rate cap.
-	formerMemory = 30 * time.Second
-	// lateBacklog is how many full batches an endpoint may have waiting for work that comes
+	unlistedRetention = 30 * time.Second
+	// maxLateBacklog is how many full batches an endpoint may have waiting for work that comes
 	// late to be taken all the same.
-	lateBacklog = 0.5
+	maxLateBacklog = 0.5
 )
 
 type (
@@ -43,14 +43,14 @@
 		// workers holds the pool's endpoints by their incarnations.
 		workers map[string]*worker
 		// former holds when incarnations that are no longer listed got their last call.
-		former  map[string]time.Time
-		groups  map[uint64]*waitingGroup
-		running map[uint64]PieceBatch
+		unlistedCalledAt map[string]time.Time
+		groups           map[uint64]*waitingGroup
+		running          map[uint64]PieceBatch
 		// results holds what is known to occupy room, by handle.
-		results map[string]heldResult
-		batches uint64
+		results     map[string]heldResult
+		lastBatchID uint64
 		// hold is how long results occupy room, from the start of their call.
-		hold time.Duration
+		holdTime time.Duration
 		// lastStart is when the last call was handed out.
 		lastStart time.Time
 		// sharedUntil is until when calls of another batcher may be under way at the workers,
@@ -63,20 +63,20 @@
 		// overloadedAt is when it last showed that not all can be on time.
 		overloadedAt time.Time
 		// cold bounds the calls to cold workers.
-		cold ColdShare
+		coldShare ColdShare
 	}
 
 	worker struct {
-		endpoint model.Endpoint
-		calls    int
-		// calledAt is when it last got a call, or may have got one of another batcher.
-		calledAt time.Time
+		endpoint     model.Endpoint
+		runningCalls int
+		// lastCallAt is when it last got a call, or may have got one of another batcher.
+		lastCallAt time.Time
 		// used is the room taken by results and by calls under way.
-		used        int64
+		usedRoom    int64
 		pausedUntil time.Time
 		// foreign is the room that was taken at foreignAt by results that are not known here; they
 		// are gone at foreignUntil.
-		foreign      int64
+		foreignBytes int64
 		foreignAt    time.Time
 		foreignUntil time.Time
 		health       Health
@@ -92,13 +92,13 @@
 
 	waitingGroup struct {
 		PieceGroup
-		arrived time.Time
-		waiting []model.Piece
-		made    []MadePiece
-		tries   map[int]int
+		addedAt  time.Time
+		waiting  []model.Piece
+		results  []ResultRef
+		attempts map[int]int
 		// running counts the calls under way for each piece: a call that is overdue has a second one beside it.
-		running map[int]int
-		waited  time.Duration
+		runningCalls map[int]int
+		waited       time.Duration
 		// fetchedAt is when the calls under way have fetched the inputs.
 		fetchedAt   time.Time
 		inputsFreed bool
@@ -111,21 +111,21 @@
 		worker string
 		bytes  int64
 		// since is when its call started, until when its worker drops it.
-		since time.Time
-		until time.Time
+		callStartedAt time.Time
+		expiresAt     time.Time
 	}
 )
 
 // NewBatchQueue returns a batch queue for a pool.
 func NewBatchQueue(traits model.PieceTraits) *BatchQueue {
 	return &BatchQueue{
-		traits:  traits,
-		workers: map[string]*worker{},
-		former:  map[string]time.Time{},
-		groups:  map[uint64]*waitingGroup{},
-		running: map[uint64]PieceBatch{},
-		results: map[string]heldResult{},
-		hold:    2 * traits.CallTime,
+		traits:           traits,
+		workers:          map[string]*worker{},
+		unlistedCalledAt: map[string]time.Time{},
+		groups:           map[uint64]*waitingGroup{},
+		running:          map[uint64]PieceBatch{},
+		results:          map[string]heldResult{},
+		holdTime:         2 * traits.CallTime,
 	}
 }
 
@@ -139,9 +139,9 @@
 	g.traits = traits
 }
 
-// SetCold says how often one node may call a worker that is cold.
-func (g *BatchQueue) SetCold(share ColdShare) {
-	g.cold = share
+// SetColdShare says how often one node may call a worker that is cold.
+func (g *BatchQueue) SetColdShare(share ColdShare) {
+	g.coldShare = share
 }
 
 // SetRateCap says how many calls a second a worker takes of all batchers.
@@ -158,8 +158,8 @@
 		listed[e.Incarnation()] = true
 		m := g.workers[e.Incarnation()]
 		if m == nil {
-			m = &worker{slowdown: 1, calledAt: g.former[e.Incarnation()]}
-			delete(g.former, e.Incarnation())
+			m = &worker{slowdown: 1, lastCallAt: g.unlistedCalledAt[e.Incarnation()]}
+			delete(g.unlistedCalledAt, e.Incarnation())
 			g.workers[e.Incarnation()] = m
 		}
 		m.endpoint = e
@@ -168,7 +168,7 @@
 		if listed[incarnation] {
 			continue
 		}
-		g.former[incarnation] = m.calledAt
+		g.unlistedCalledAt[incarnation] = m.lastCallAt
 		delete(g.workers, incarnation)
 		for handle, r := range g.results {
 			if r.worker == incarnation {
@@ -180,37 +180,37 @@
 
 // Add takes a group in, or tells that it cannot be made in time and when to come back.
 func (g *BatchQueue) Add(now time.Time, group PieceGroup) (accepted bool, retryAfter time.Duration) {
-	if len(g.workers) > 0 && g.staying() == 0 {
-		return false, RetryAfter(evacuatedRetry)
+	if len(g.workers) > 0 && g.activeWorkers() == 0 {
+		return false, ClampRetryAfter(evacuatedRetry)
 	}
-	wait := g.Wait(now, group)
+	wait := g.EstimateWait(now, group)
 	finish := now.Add(wait + g.callTime(len(group.Pieces)))
-	overdue := finish.After(group.Due) && g.backlog() > lateBacklog
+	overdue := finish.After(group.Due) && g.backlog() > maxLateBacklog
 	if overdue || finish.After(group.Until) {
-		return false, RetryAfter(max(wait, g.callTime(g.traits.Batch)))
+		return false, ClampRetryAfter(max(wait, g.callTime(g.traits.Batch)))
 	}
 	if group.AskedAt.IsZero() {
 		group.AskedAt = now
 	}
 	g.groups[group.ID] = &waitingGroup{
-		PieceGroup: group,
-		arrived:    now,
-		waiting:    slices.Clone(group.Pieces),
-		tries:      map[int]int{},
-		running:    map[int]int{},
+		PieceGroup:   group,
+		addedAt:      now,
+		waiting:      slices.Clone(group.Pieces),
+		attempts:     map[int]int{},
+		runningCalls: map[int]int{},
 	}
 	return true, 0
 }
 
 // Cancel forgets a group and returns what was made for it; what is still being made turns up as
 // unwanted.
-func (g *BatchQueue) Cancel(id uint64) []MadePiece {
+func (g *BatchQueue) Cancel(id uint64) []ResultRef {
 	w := g.groups[id]
 	if w == nil {
 		return nil
 	}
 	delete(g.groups, id)
-	return w.made
+	return w.results
 }
 
 // Expire ends the groups that can no longer be made in time and forgets results that their
@@ -220,7 +220,7 @@
 	latest := now.Add(g.callTime(1))
 	for id, w := range g.groups {
 		if g.isLate(now, w) {
-			w.dropCopies()
+			w.dropDuplicates()
 		}
 		if len(w.waiting) == 0 || latest.Before(w.Until) {
 			continue
@@ -229,17 +229,17 @@
 		delete(g.groups, id)
 	}
 	ended = append(ended, g.endStarved(now)...)
-	maps.DeleteFunc(g.former, func(_ string, calledAt time.Time) bool { return now.Sub(calledAt) >= formerMemory })
+	maps.DeleteFunc(g.unlistedCalledAt, func(_ string, calledAt time.Time) bool { return now.Sub(calledAt) >= unlistedRetention })
 	for handle, r := range g.results {
-		if now.After(r.until) {
-			g.Release(now, MadePiece{Handle: handle, Worker: r.worker})
+		if now.After(r.expiresAt) {
+			g.Release(now, ResultRef{Handle: handle, Worker: r.worker})
 		}
 	}
 	return ended
 }
 
 // Waiting returns how many pieces wait and how many calls are under way.
-func (g *BatchQueue) Waiting() (pieces, calls int) {
+func (g *BatchQueue) Pending() (pieces, calls int) {
 	for _, w := range g.groups {
 		pieces += len(w.waiting)
 	}
@@ -248,10 +248,10 @@
 
 // Used returns how much room of an endpoint is taken, as far as is known here, and how many calls
 // it works on.
-func (g *BatchQueue) Used(incarnation string) (bytes int64, calls int) {
+func (g *BatchQueue) Usage(incarnation string) (bytes int64, calls int) {
 	m := g.workers[incarnation]
 	if m == nil {
 		return 0, 0
 	}
-	return m.used, m.calls
+	return m.usedRoom, m.runningCalls
 }
--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -87,7 +87,7 @@
 		g.Done(now, batch, results)
 	}
 	must.Len(t, 11, handles, must.Sprint("11 results of 1.5 MB fill 97% of 18 MB"))
-	g.Release(now, kernel.MadePiece{Handle: handles[0], Worker: "worker-0"})
+	g.Release(now, kernel.ResultRef{Handle: handles[0], Worker: "worker-0"})
 	batch, ok := g.Next(now)
 	must.True(t, ok)
 	must.Len(t, 1, batch.Pieces)
@@ -163,7 +163,7 @@
 	now := time.Unix(1000, 0)
 	g := newBatchQueue(1)
 	g.TakeOver(now)
-	g.NoteRoom(now, "worker-0", 4_000_000)
+	g.SetFreeRoom(now, "worker-0", 4_000_000)
 	g.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
 	batch, ok := g.Next(now)
 	must.True(t, ok)
@@ -171,7 +171,7 @@
 	g.Done(now, batch, madeAll(batch))
 	_, ok = g.Next(now.Add(g.Spacing()))
 	must.False(t, ok)
-	g.Release(now, kernel.MadePiece{Handle: "unknown here", Worker: "worker-0", Bytes: 3_000_000})
+	g.Release(now, kernel.ResultRef{Handle: "unknown here", Worker: "worker-0", Bytes: 3_000_000})
 	batch, ok = g.Next(now.Add(g.Spacing()))
 	must.True(t, ok)
 	must.Len(t, 2, batch.Pieces)
@@ -181,17 +181,17 @@
 	now := time.Unix(1000, 0)
 	g := newBatchQueue(1)
 	group := pieceGroup(9, 4, 1_500_000, now.Add(9*time.Second))
-	must.Eq(t, 0, g.Wait(now, group))
+	must.Eq(t, 0, g.EstimateWait(now, group))
 	g.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
 	batch, _ := g.Next(now)
 	results := madeAll(batch)
 	g.Done(now.Add(368*time.Millisecond), batch, results)
 	// 12 of 17.46 MB are taken; the slot is free.
-	must.Positive(t, g.Wait(now, group))
+	must.Positive(t, g.EstimateWait(now, group))
 	for _, r := range results {
-		g.Release(now.Add(900*time.Millisecond), kernel.MadePiece{Handle: r.Handle, Worker: "worker-0"})
+		g.Release(now.Add(900*time.Millisecond), kernel.ResultRef{Handle: r.Handle, Worker: "worker-0"})
 	}
-	must.Eq(t, 0, g.Wait(now, group))
+	must.Eq(t, 0, g.EstimateWait(now, group))
 }
 
 func TestLateWorkDoesNotGoBeforeWorkThatCanBeOnTime(t *testing.T) {
@@ -326,7 +326,7 @@
 		return groups, moved, longest
 	}
 	groups, moved, longest := play(kernel.Policy{})
-	_, before, _ := play(kernel.Policy{}.Without(kernel.NearInputs))
+	_, before, _ := play(kernel.Policy{}.Without(kernel.InputLocality))
 	t.Logf("%d groups, %d moved where they wait, %d where not; the longest wait was %v", groups, moved, before, longest)
 	must.Less(t, groups/10, moved)
 	must.Greater(t, groups/5, before)
@@ -359,7 +359,7 @@
 	must.True(t, ok, must.Sprint("the room went with the former incarnation"))
 	must.EqOp(t, again.Incarnation(), batch.Endpoint.Incarnation())
 	g.Release(now, made[0])
-	used, _ := g.Used(again.Incarnation())
+	used, _ := g.Usage(again.Incarnation())
 	must.EqOp(t, 800, used, must.Sprint("a result of the former incarnation frees nothing of the new one"))
 
 	accepted, _ := g.Add(now, kernel.PieceGroup{
--- a/kernel/batchcall.go
+++ b/kernel/batchcall.go
@@ -10,40 +10,40 @@
 
 // Next hands out a call that is to be made now; false means that none is.
 func (g *BatchQueue) Next(now time.Time) (PieceBatch, bool) {
-	order := g.order(now)
-	if len(order) == 0 || g.tooSoon(now, order) {
+	order := g.sortedGroups(now)
+	if len(order) == 0 || g.shouldDefer(now, order) {
 		return PieceBatch{}, false
 	}
-	usual := g.usualSlowdown()
+	usual := g.medianSlowdown()
 	var slow []*worker
-	for _, m := range g.idle(now) {
-		if g.slow(m, usual) {
+	for _, m := range g.availableWorkers(now) {
+		if g.isSlow(m, usual) {
 			slow = append(slow, m)
 			continue
 		}
-		if batch := g.fill(now, m, g.orderFor(now, m, order)); len(batch.Pieces) > 0 {
+		if batch := g.fill(now, m, g.sortedGroupsFor(now, m, order)); len(batch.Pieces) > 0 {
 			return g.start(now, m, batch), true
 		}
 	}
 	for _, m := range slow {
-		if batch := g.fillSlow(now, m, g.orderFor(now, m, order)); len(batch.Pieces) > 0 {
+		if batch := g.fillSlow(now, m, g.sortedGroupsFor(now, m, order)); len(batch.Pieces) > 0 {
 			return g.start(now, m, batch), true
 		}
 	}
 	return PieceBatch{}, false
 }
 
-// tooSoon tells whether the next call is better made a little later, with more pieces.
-func (g *BatchQueue) tooSoon(now time.Time, order []*waitingGroup) bool {
-	return g.policy.Uses(SpacedCalls) && now.Sub(g.lastStart) < g.Spacing() && g.pieces(order) < g.traits.Batch
+// shouldDefer tells whether the next call is better made a little later, with more pieces.
+func (g *BatchQueue) shouldDefer(now time.Time, order []*waitingGroup) bool {
+	return g.policy.Uses(SpacedCalls) && now.Sub(g.lastStart) < g.Spacing() && g.countWaiting(order) < g.traits.Batch
 }
 
 // Spacing is the least time between the starts of two calls that are not full.
 func (g *BatchQueue) Spacing() time.Duration {
-	return time.Duration(spacing * float64(g.callTime(g.traits.Batch/2)) / g.calls())
+	return time.Duration(spacingRatio * float64(g.callTime(g.traits.Batch/2)) / g.concurrency())
 }
 
-func (g *BatchQueue) pieces(order []*waitingGroup) int {
+func (g *BatchQueue) countWaiting(order []*waitingGroup) int {
 	n := 0
 	for _, w := range order {
 		n += len(w.waiting)
@@ -61,7 +61,7 @@
 	}
 	suspect := false
 	for _, w := range order {
-		if !g.suits(now, m, w) || w.suspect && suspect {
+		if !g.eligible(now, m, w) || w.suspect && suspect {
 			continue
 		}
 		fits := min(len(w.waiting), g.traits.Batch-len(batch.Pieces))
@@ -86,25 +86,25 @@
 }
 
 func (g *BatchQueue) start(now time.Time, m *worker, batch PieceBatch) PieceBatch {
-	g.batches++
-	batch.ID = g.batches
+	g.lastBatchID++
+	batch.ID = g.lastBatchID
 	batch.Endpoint = m.endpoint
 	batch.startedAt = now
-	batch.stated = g.callTime(len(batch.Pieces))
-	batch.fetching = g.fetchTime(batch)
-	m.calls++
-	m.calledAt = now
+	batch.statedTime = g.callTime(len(batch.Pieces))
+	batch.fetchTime = g.fetchTime(batch)
+	m.runningCalls++
+	m.lastCallAt = now
 	g.lastStart = now
 	if m.health.Ejected() {
 		m.health = m.health.WithProbe()
 	}
 	for i, p := range batch.Pieces {
-		m.used += batch.bytes[i]
+		m.usedRoom += batch.bytes[i]
 		w := g.groups[batch.groups[i]]
-		w.tries[p.Number]++
-		w.running[p.Number]++
-		w.waited = now.Sub(w.arrived)
-		w.fetchedAt = now.Add(batch.fetching)
+		w.attempts[p.Number]++
+		w.runningCalls[p.Number]++
+		w.waited = now.Sub(w.addedAt)
+		w.fetchedAt = now.Add(batch.fetchTime)
 		w.waiting = slices.DeleteFunc(w.waiting, func(q model.Piece) bool { return q.Number == p.Number })
 	}
 	g.running[batch.ID] = batch
@@ -118,5 +118,5 @@
 	if m := g.workers[batch.Endpoint.Incarnation()]; m != nil {
 		slowdown = max(1, m.slowdown)
 	}
-	return time.Duration(float64(batch.stated) * slowdown)
+	return time.Duration(float64(batch.statedTime) * slowdown)
 }
--- a/kernel/batchers.go
+++ b/kernel/batchers.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// capacityPower keeps a pool off small hosts while large ones are up, however many the small ones are: a host of four
+// capacityExponent keeps a pool off small hosts while large ones are up, however many the small ones are: a host of four
 // times another's capacity is chosen 4,096 times as often.
-const capacityPower = 6
+const capacityExponent = 6
 
 // Peer is a node as the choice of who works for others sees it.
 type Peer struct {
@@ -49,7 +49,7 @@
 	if capacity <= 0 {
 		capacity = 1
 	}
-	return -math.Pow(capacity, capacityPower) / math.Log(u)
+	return -math.Pow(capacity, capacityExponent) / math.Log(u)
 }
 
 // The answers to a node that batches for a pool or is about to.
@@ -70,8 +70,8 @@
 	PoolClaim struct {
 		Peer
 		// Batches is true for a node that does so already, Leaving for one that will soon be gone.
-		Batches bool
-		Leaving bool
+		Batching bool
+		Leaving  bool
 	}
 )
 
@@ -80,7 +80,7 @@
 // comes first for the pool does so alone. A leaving node gets no pool from one that stays.
 func AnswerClaim(pool string, own, other PoolClaim) PoolAnswer {
 	stays := other.Capacity <= own.Capacity
-	if other.Batches {
+	if other.Batching {
 		stays = NodesByHash(pool, []Peer{own.Peer, other.Peer})[0] == own.Name
 	}
 	switch {
--- a/kernel/batchers_test.go
+++ b/kernel/batchers_test.go
@@ -51,7 +51,7 @@
 
 func TestAnswerClaim(t *testing.T) {
 	claim := func(name string, capacity float64, batches, leaving bool) kernel.PoolClaim {
-		return kernel.PoolClaim{Peer: kernel.Peer{Name: name, Capacity: capacity}, Batches: batches, Leaving: leaving}
+		return kernel.PoolClaim{Peer: kernel.Peer{Name: name, Capacity: capacity}, Batching: batches, Leaving: leaving}
 	}
 	both := []kernel.Peer{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}}
 	first := kernel.NodesByHash("pool", both)[0]
--- a/kernel/batchfetch_test.go
+++ b/kernel/batchfetch_test.go
@@ -21,7 +21,7 @@
 	g := pieceGroup(id, pieces, 6000, now.Add(2*time.Second))
 	g.FreeInputs = free
 	for n := range 4 {
-		g.Inputs = append(g.Inputs, kernel.MadePiece{Number: n, Handle: "input", Worker: "before", Pool: "q", Bytes: 60_000})
+		g.Inputs = append(g.Inputs, kernel.ResultRef{Number: n, Handle: "input", Worker: "before", Pool: "q", Bytes: 60_000})
 	}
 	return g
 }
@@ -43,9 +43,9 @@
 	batch, ok := g.Next(now)
 	must.True(t, ok)
 	must.Less(t, 100*time.Millisecond, batch.FetchTime())
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime()-time.Millisecond)))
-	must.Len(t, 4, g.Fetched(now.Add(batch.FetchTime())))
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())), must.Sprint("each once"))
+	must.SliceEmpty(t, g.TakeFetchedInputs(now.Add(batch.FetchTime()-time.Millisecond)))
+	must.Len(t, 4, g.TakeFetchedInputs(now.Add(batch.FetchTime())))
+	must.SliceEmpty(t, g.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each once"))
 	ended, _ := g.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
 	must.Len(t, 1, ended)
 	must.True(t, ended[0].InputsFreed)
@@ -55,7 +55,7 @@
 	now := time.Unix(1000, 0)
 	g := fetchQueue(now, fetchingGroup(1, 10, now, false))
 	batch, _ := g.Next(now)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
+	must.SliceEmpty(t, g.TakeFetchedInputs(now.Add(batch.FetchTime())))
 	ended, _ := g.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
 	must.False(t, ended[0].InputsFreed)
 }
@@ -65,10 +65,10 @@
 	g := fetchQueue(now, fetchingGroup(1, 70, now, true))
 	batch, _ := g.Next(now)
 	must.Len(t, 62, batch.Pieces)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
+	must.SliceEmpty(t, g.TakeFetchedInputs(now.Add(batch.FetchTime())))
 	refused := g.Refused(now, batch)
 	must.SliceEmpty(t, refused)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
+	must.SliceEmpty(t, g.TakeFetchedInputs(now.Add(batch.FetchTime())))
 }
 
 // A piece whose inputs are freed can't be made again: asking would cost a call for nothing.
@@ -76,7 +76,7 @@
 	now := time.Unix(1000, 0)
 	g := fetchQueue(now, fetchingGroup(1, 10, now, true))
 	batch, _ := g.Next(now)
-	g.Fetched(now.Add(batch.FetchTime()))
+	g.TakeFetchedInputs(now.Add(batch.FetchTime()))
 	results := madeAll(batch)
 	results[3] = model.PieceResult{Fault: model.PieceFailed}
 	ended, _ := g.Done(now.Add(228*time.Millisecond), batch, results)
--- a/kernel/batchhandover_test.go
+++ b/kernel/batchhandover_test.go
@@ -37,6 +37,6 @@
 	g.Add(now, fetchingGroup(1, 10, now, true))
 	batch, ok := g.Next(now)
 	must.True(t, ok)
-	must.SliceEmpty(t, g.Fetched(now.Add(batch.FetchTime())))
-	must.Len(t, 4, g.Fetched(now.Add(5*time.Second)))
+	must.SliceEmpty(t, g.TakeFetchedInputs(now.Add(batch.FetchTime())))
+	must.Len(t, 4, g.TakeFetchedInputs(now.Add(5*time.Second)))
 }
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -61,7 +61,7 @@
 		// running and overdue hold calls by when they end and when they are overdue.
 		running map[time.Time][]kernel.PieceBatch
 		overdue map[time.Time][]kernel.PieceBatch
-		held    map[time.Time][]kernel.MadePiece
+		held    map[time.Time][]kernel.ResultRef
 		next    time.Time
 	}
 )
@@ -70,7 +70,7 @@
 	began := time.Unix(1000, 0)
 	p := &simulatedPool{
 		g: newBatchQueue(5), load: load, now: began, began: began, random: rand.New(rand.NewPCG(load.seed, 0)),
-		groups: map[uint64]*simulatedGroup{}, running: map[time.Time][]kernel.PieceBatch{}, overdue: map[time.Time][]kernel.PieceBatch{}, held: map[time.Time][]kernel.MadePiece{}, next: began,
+		groups: map[uint64]*simulatedGroup{}, running: map[time.Time][]kernel.PieceBatch{}, overdue: map[time.Time][]kernel.PieceBatch{}, held: map[time.Time][]kernel.ResultRef{}, next: began,
 	}
 	p.g.SetPolicy(policy)
 	for end := began.Add(load.length + load.slack + load.patience + time.Second); p.now.Before(end); p.now = p.now.Add(loadStep) {
@@ -169,7 +169,7 @@
 	}
 }
 
-func (p *simulatedPool) hold(made []kernel.MadePiece, held time.Duration) {
+func (p *simulatedPool) hold(made []kernel.ResultRef, held time.Duration) {
 	at := p.at(held)
 	p.held[at] = append(p.held[at], made...)
 }
@@ -204,7 +204,7 @@
 		}
 		groups := simulate(load, kernel.Policy{})
 		served, neverTold := onTime(groups)
-		servedWithout, heldWithout := onTime(simulate(load, kernel.Policy{}.Without(kernel.LateEnded)))
+		servedWithout, heldWithout := onTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
 		must.EqOp(t, 0, neverTold, must.Sprint("seed ", seed, ": callers that were told nothing"))
 		must.Positive(t, heldWithout, must.Sprint("seed ", seed, ": the load has callers to be told"))
 		onTimeWith += served
@@ -249,7 +249,7 @@
 		served, _ := onTime(groups)
 		onTimeWith += served
 		missedWith += len(groups) - served
-		groups = simulate(load, kernel.Policy{}.Without(kernel.SlowWorkers))
+		groups = simulate(load, kernel.Policy{}.Without(kernel.AvoidSlowWorkers))
 		served, _ = onTime(groups)
 		onTimeWithout += served
 		missedWithout += len(groups) - served
@@ -284,7 +284,7 @@
 					seed: seed, length: 10 * time.Second, perSecond: tc.perSecond, burst: 1, slack: 700 * time.Millisecond,
 					patience: 5 * time.Second, held: 300 * time.Millisecond, ranks: []int{0, 10},
 				}
-				groups, without := simulate(load, kernel.Policy{}), simulate(load, kernel.Policy{}.Without(kernel.RankedWhenOverloaded))
+				groups, without := simulate(load, kernel.Policy{}), simulate(load, kernel.Policy{}.Without(kernel.RankOnlyWhenOverloaded))
 				highWith += onTimeOf(groups, 0)
 				lowWith += onTimeOf(groups, 10)
 				highWithout += onTimeOf(without, 0)
--- a/kernel/batchorder.go
+++ b/kernel/batchorder.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// urgencyStep is how much later a group counts as due for each rank of its priority: about
+	// rankPenalty is how much later a group counts as due for each rank of its priority: about
 	// what a group waits under load.
-	urgencyStep = 200 * time.Millisecond
-	// overloadCalls is for how many full calls after the last sign of overload priority counts: what waits then was
+	rankPenalty = 200 * time.Millisecond
+	// overloadHoldCalls is for how many full calls after the last sign of overload priority counts: what waits then was
 	// admitted under it.
-	overloadCalls = 4
+	overloadHoldCalls = 4
 )
 
 // order returns the groups with waiting pieces: those that can still be on time by when they
 // are due, then the late ones.
-func (g *BatchQueue) order(now time.Time) []*waitingGroup {
+func (g *BatchQueue) sortedGroups(now time.Time) []*waitingGroup {
 	var out []*waitingGroup
 	for _, w := range g.groups {
 		if g.isLate(now, w) {
-			w.dropCopies()
+			w.dropDuplicates()
 		}
 		if len(w.waiting) > 0 {
 			out = append(out, w)
@@ -30,9 +30,9 @@
 	}
 	shortest := now.Add(g.callTime(1))
 	byOrder := func(a, b *waitingGroup) int { return g.compareGroups(shortest, a, b, 0, 0) }
-	g.byRank = g.ranked(now)
+	g.byRank = g.usesRank(now)
 	slices.SortFunc(out, byOrder)
-	if !g.byRank && g.overfull(now, out) {
+	if !g.byRank && g.overloaded(now, out) {
 		g.overloadedAt = now
 		g.byRank = true
 		slices.SortFunc(out, byOrder)
@@ -43,17 +43,17 @@
 // ranked tells whether priority counts in the order of what waits: while not all can be on time, and a little longer,
 // since what is refused or given up makes room for the rest. While all can be on time, priority would make the lower ones
 // late for nothing.
-func (g *BatchQueue) ranked(now time.Time) bool {
-	if !g.policy.Uses(RankedWhenOverloaded) {
+func (g *BatchQueue) usesRank(now time.Time) bool {
+	if !g.policy.Uses(RankOnlyWhenOverloaded) {
 		return true
 	}
-	return !g.overloadedAt.IsZero() && now.Sub(g.overloadedAt) < overloadCalls*g.callTime(g.traits.Batch)
+	return !g.overloadedAt.IsZero() && now.Sub(g.overloadedAt) < overloadHoldCalls*g.callTime(g.traits.Batch)
 }
 
 // overfull tells whether, of the groups that could be on time by themselves, some would not be in the order of their due
 // times.
-func (g *BatchQueue) overfull(now time.Time, order []*waitingGroup) bool {
-	each := float64(g.callTime(g.traits.Batch)) / g.calls()
+func (g *BatchQueue) overloaded(now time.Time, order []*waitingGroup) bool {
+	each := float64(g.callTime(g.traits.Batch)) / g.concurrency()
 	shortest := now.Add(g.callTime(1))
 	pieces := 0
 	for _, w := range order {
@@ -69,9 +69,9 @@
 	return false
 }
 
-// orderFor returns the groups in the order in which a worker is to take them: those whose inputs lie
+// sortedGroupsFor returns the groups in the order in which a worker is to take them: those whose inputs lie
 // in another failure domain count as due later, by how long they would wait for their own.
-func (g *BatchQueue) orderFor(now time.Time, m *worker, order []*waitingGroup) []*waitingGroup {
+func (g *BatchQueue) sortedGroupsFor(now time.Time, m *worker, order []*waitingGroup) []*waitingGroup {
 	shortest := now.Add(g.callTime(1))
 	later := func(w *waitingGroup) time.Duration {
 		if w.Domain == "" || w.Domain == m.endpoint.FailureDomain {
@@ -94,14 +94,14 @@
 		}
 		return -1
 	}
-	if c := g.countsAsDue(a).Add(laterA).Compare(g.countsAsDue(b).Add(laterB)); c != 0 {
+	if c := g.effectiveDue(a).Add(laterA).Compare(g.effectiveDue(b).Add(laterB)); c != 0 {
 		return c
 	}
 	return int(int64(a.ID) - int64(b.ID))
 }
 
-// countsAsDue is when a group counts as due in the order that is in force.
-func (g *BatchQueue) countsAsDue(w *waitingGroup) time.Time {
+// effectiveDue is when a group counts as due in the order that is in force.
+func (g *BatchQueue) effectiveDue(w *waitingGroup) time.Time {
 	if !g.byRank {
 		return w.Due
 	}
@@ -110,20 +110,20 @@
 
 // rankedDue is when a group counts as due beside others.
 func (p PieceGroup) rankedDue() time.Time {
-	return p.Due.Add(time.Duration(p.Rank) * urgencyStep)
+	return p.Due.Add(time.Duration(p.Rank) * rankPenalty)
 }
 
 // idle returns the workers that may get a call, those that have most room first.
-func (g *BatchQueue) idle(now time.Time) []*worker {
+func (g *BatchQueue) availableWorkers(now time.Time) []*worker {
 	var out []*worker
 	for _, m := range g.workers {
-		if m.calls >= max(1, g.traits.Slots) || !m.endpoint.TakesWork() {
+		if m.runningCalls >= max(1, g.traits.Slots) || !m.endpoint.TakesWork() {
 			continue
 		}
-		if g.cold.Senders > 0 && IsCold(now, m.endpoint) && !g.cold.Due(now, m.calledAt) {
+		if g.coldShare.Senders > 0 && IsCold(now, m.endpoint) && !g.coldShare.Due(now, m.lastCallAt) {
 			continue
 		}
-		if m.atCap(now) {
+		if m.atRateCap(now) {
 			continue
 		}
 		if !now.Before(m.pausedUntil) && m.health.Usable(now) {
@@ -141,11 +141,11 @@
 
 // suits tells whether a worker may make a group: in the domain where the inputs lie, or
 // anywhere once the group has waited.
-func (g *BatchQueue) suits(now time.Time, m *worker, w *waitingGroup) bool {
+func (g *BatchQueue) eligible(now time.Time, m *worker, w *waitingGroup) bool {
 	if w.Domain == "" || m.endpoint.FailureDomain == w.Domain {
 		return true
 	}
-	if now.Sub(w.arrived) >= w.LocalityWait || !g.policy.Uses(NearInputs) {
+	if now.Sub(w.addedAt) >= w.LocalityWait || !g.policy.Uses(InputLocality) {
 		return true
 	}
 	for _, other := range g.workers {
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -26,13 +26,13 @@
 	g       *kernel.BatchQueue
 	lapses  map[string][]time.Time
 	running []kernel.PieceBatch
-	held    map[string][]kernel.MadePiece
+	held    map[string][]kernel.ResultRef
 	made    int
 	wasted  int
 }
 
 func newLostBatcher(start time.Time, policy kernel.Policy) *lostBatcher {
-	l := &lostBatcher{g: kernel.NewBatchQueue(roomTraits), lapses: map[string][]time.Time{}, held: map[string][]kernel.MadePiece{}}
+	l := &lostBatcher{g: kernel.NewBatchQueue(roomTraits), lapses: map[string][]time.Time{}, held: map[string][]kernel.ResultRef{}}
 	l.g.SetPolicy(policy)
 	l.g.SetEndpoints(workers(5))
 	l.g.TakeOver(start)
@@ -117,7 +117,7 @@
 	start := time.Unix(1000, 0)
 	learnt := newLostBatcher(start, kernel.Policy{})
 	with := learnt.play(start, 6)
-	aside := newLostBatcher(start, kernel.Policy{}.Without(kernel.RoomLearnt))
+	aside := newLostBatcher(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
 	without := aside.play(start, 6)
 	t.Logf("requests made by second: learnt %v (%d pieces without room), put aside %v (%d)", with, learnt.wasted, without, aside.wasted)
 	must.GreaterEq(t, without[2], with[2])
@@ -128,10 +128,10 @@
 	now := time.Unix(1000, 0)
 	g := newBatchQueue(1)
 	g.TakeOver(now)
-	must.True(t, g.Inherits(now))
-	g.NoteRoom(now, "worker-0", 0)
+	must.True(t, g.MayHoldForeignResults(now))
+	g.SetFreeRoom(now, "worker-0", 0)
 	must.EqOp(t, 1, g.RoomTaken(now))
-	g.NoteRoom(now.Add(time.Second), "worker-0", batchTraits.Room)
+	g.SetFreeRoom(now.Add(time.Second), "worker-0", batchTraits.Room)
 	must.EqOp(t, 0, g.RoomTaken(now.Add(time.Second)))
-	must.False(t, g.Inherits(now.Add(2*batchTraits.Keep)))
+	must.False(t, g.MayHoldForeignResults(now.Add(2*batchTraits.Keep)))
 }
--- a/kernel/batchslow.go
+++ b/kernel/batchslow.go
@@ -13,31 +13,31 @@
 	overdueFactor = 1.5
 	// slowFactor is how many times as long as the pool's usual endpoint one takes to count as slow.
 	slowFactor = 1.5
-	// slowProbe is how often a slow endpoint gets a piece that it is too slow for, to find out whether it still
+	// slowProbeInterval is how often a slow endpoint gets a piece that it is too slow for, to find out whether it still
 	// is; the piece is made elsewhere, too, once it is overdue.
-	slowProbe = time.Second
-	// recoverWeight is the weight of the newest call in a slow endpoint's slowdown, and of the first that tells that it
+	slowProbeInterval = time.Second
+	// recoveryWeight is the weight of the newest call in a slow endpoint's slowdown, and of the first that tells that it
 	// is slow: two calls bring it back.
-	recoverWeight = 0.7
+	recoveryWeight = 0.7
 )
 
 // Overdue takes in that a call takes longer than it should. Where nothing queues, its pieces that another endpoint
 // could still make on time wait again; whichever is made first counts. It returns how many.
 func (g *BatchQueue) Overdue(now time.Time, batch PieceBatch) int {
-	if _, runs := g.running[batch.ID]; !runs || !g.policy.Uses(SlowWorkers) {
+	if _, runs := g.running[batch.ID]; !runs || !g.policy.Uses(AvoidSlowWorkers) {
 		return 0
 	}
 	if m := g.workers[batch.Endpoint.Incarnation()]; m != nil {
 		m.unanswered = true
 	}
-	if g.backlog() > lateBacklog {
+	if g.backlog() > maxLateBacklog {
 		// A second call would take an endpoint from pieces that wait for their first.
 		return 0
 	}
 	again := 0
 	for i, p := range batch.Pieces {
 		w := g.groups[batch.groups[i]]
-		if w == nil || w.inputsFreed || w.tries[p.Number] >= pieceTries || w.waitsFor(p.Number) || g.isLate(now, w) {
+		if w == nil || w.inputsFreed || w.attempts[p.Number] >= maxPieceAttempts || w.isWaiting(p.Number) || g.isLate(now, w) {
 			continue
 		}
 		w.waiting = append(w.waiting, p)
@@ -50,28 +50,28 @@
 func (g *BatchQueue) OverdueAfter(batch PieceBatch) time.Duration {
 	expected := g.Expected(batch)
 	if batch.probe {
-		expected = batch.stated
+		expected = batch.statedTime
 	}
-	return time.Duration(overdueFactor*float64(expected)) + fetchGrace
+	return time.Duration(overdueFactor*float64(expected)) + maxFetchDelay
 }
 
-// noteSlowdown takes in how long a call took.
-func (m *worker) noteSlowdown(now time.Time, batch PieceBatch, usual float64) {
+// updateSlowdown takes in how long a call took.
+func (m *worker) updateSlowdown(now time.Time, batch PieceBatch, usual float64) {
 	weight := slowdownWeight
 	if m.unanswered || m.slowdown > slowFactor*usual {
-		weight = recoverWeight
+		weight = recoveryWeight
 	}
-	m.slowdown += weight * (batch.took(now) - m.slowdown)
+	m.slowdown += weight * (batch.relativeDuration(now) - m.slowdown)
 	m.unanswered = false
 }
 
 // took is how long a call has taken, relative to what is stated.
-func (b PieceBatch) took(now time.Time) float64 {
-	return float64(now.Sub(b.startedAt)) / float64(max(1, b.stated))
+func (b PieceBatch) relativeDuration(now time.Time) float64 {
+	return float64(now.Sub(b.startedAt)) / float64(max(1, b.statedTime))
 }
 
-// usualSlowdown is the median of the endpoints' slowdowns: where all are slow, none is to be spared.
-func (g *BatchQueue) usualSlowdown() float64 {
+// medianSlowdown is the median of the endpoints' slowdowns: where all are slow, none is to be spared.
+func (g *BatchQueue) medianSlowdown() float64 {
 	slowdowns := make([]float64, 0, len(g.workers))
 	for _, m := range g.workers {
 		if m.endpoint.TakesWork() {
@@ -86,8 +86,8 @@
 }
 
 // slow tells whether an endpoint takes much longer than the usual one, or has yet to answer a call that was overdue.
-func (g *BatchQueue) slow(m *worker, usual float64) bool {
-	return g.policy.Uses(SlowWorkers) && (m.unanswered || m.slowdown > slowFactor*usual)
+func (g *BatchQueue) isSlow(m *worker, usual float64) bool {
+	return g.policy.Uses(AvoidSlowWorkers) && (m.unanswered || m.slowdown > slowFactor*usual)
 }
 
 // fillSlow collects the pieces that a slow worker is to make next: of groups that it makes on time, or that are late
@@ -100,7 +100,7 @@
 			return batch
 		}
 	}
-	if now.Sub(m.probedAt) < slowProbe {
+	if now.Sub(m.probedAt) < slowProbeInterval {
 		return PieceBatch{}
 	}
 	batch := g.fill(now, m, order)
@@ -113,22 +113,22 @@
 	return batch
 }
 
-// dropCopies takes back the pieces of a late group that wait for a second endpoint beside a call under way.
-func (w *waitingGroup) dropCopies() {
-	w.waiting = slices.DeleteFunc(w.waiting, func(p model.Piece) bool { return w.running[p.Number] > 0 })
+// dropDuplicates takes back the pieces of a late group that wait for a second endpoint beside a call under way.
+func (w *waitingGroup) dropDuplicates() {
+	w.waiting = slices.DeleteFunc(w.waiting, func(p model.Piece) bool { return w.runningCalls[p.Number] > 0 })
 }
 
-// waitsFor tells whether a piece waits for a call.
-func (w *waitingGroup) waitsFor(number int) bool {
+// isWaiting tells whether a piece waits for a call.
+func (w *waitingGroup) isWaiting(number int) bool {
 	return slices.ContainsFunc(w.waiting, func(p model.Piece) bool { return p.Number == number })
 }
 
 // has tells whether a piece was made.
-func (w *waitingGroup) has(number int) bool {
-	return slices.ContainsFunc(w.made, func(m MadePiece) bool { return m.Number == number })
+func (w *waitingGroup) hasResult(number int) bool {
+	return slices.ContainsFunc(w.results, func(m ResultRef) bool { return m.Number == number })
 }
 
 // elsewhere tells whether a piece needs no other call: it was made, waits already or is under way.
-func (w *waitingGroup) elsewhere(number int) bool {
-	return w.has(number) || w.waitsFor(number) || w.running[number] > 0
+func (w *waitingGroup) madeOrPending(number int) bool {
+	return w.hasResult(number) || w.isWaiting(number) || w.runningCalls[number] > 0
 }
--- a/kernel/batchslow_test.go
+++ b/kernel/batchslow_test.go
@@ -57,7 +57,7 @@
 	g.Overdue(now, first)
 	second, _ := g.Next(now)
 	must.SliceEmpty(t, g.Failed(now.Add(50*time.Millisecond), first))
-	pieces, calls := g.Waiting()
+	pieces, calls := g.Pending()
 	must.EqOp(t, 0, pieces)
 	must.EqOp(t, 1, calls)
 	ended, _ := g.Done(now.Add(250*time.Millisecond), second, madeAll(second))
--- a/kernel/batchstarved.go
+++ b/kernel/batchstarved.go
@@ -6,23 +6,23 @@
 	"basilstall.example/basilstall/model"
 )
 
-// mostStarved is for how many full calls a group may wait on that can no longer be on time. Each worker has turned
+// maxStarvedCalls is for how many full calls a group may wait on that can no longer be on time. Each worker has turned
 // to the queue as often meanwhile, and found work that could still be on time, or no room.
-const mostStarved = 1
+const maxStarvedCalls = 1
 
 // endStarved ends the groups that starved for too long. They would wait on until they are useless, and
 // their callers with them, who are better told at once and come back when the queue has drained.
 func (g *BatchQueue) endStarved(now time.Time) []GroupOutcome {
-	if !g.policy.Uses(LateEnded) {
+	if !g.policy.Uses(EndStarvedGroups) {
 		return nil
 	}
 	var ended []GroupOutcome
 	for _, w := range g.groups {
-		if len(w.waiting) == 0 || now.Before(g.lateSince(w).Add(mostStarved*g.callTime(g.traits.Batch))) {
+		if len(w.waiting) == 0 || now.Before(g.lateSince(w).Add(maxStarvedCalls*g.callTime(g.traits.Batch))) {
 			continue
 		}
 		outcome := w.outcome(model.PieceStarved)
-		outcome.Wait = g.Wait(now, w.PieceGroup)
+		outcome.Wait = g.EstimateWait(now, w.PieceGroup)
 		ended = append(ended, outcome)
 	}
 	for _, o := range ended {
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-// leastCalls keeps the time that a queue needs finite where its workers take nearly nothing.
-const leastCalls = 0.01
+// minConcurrency keeps the time that a queue needs finite where its workers take nearly nothing.
+const minConcurrency = 0.01
 
 // Wait estimates how long the pieces of a group that comes now wait until their call starts: the
 // work that goes before them, by the time of full batches and by room. One that only the wait makes late is a sign of
 // overload.
-func (g *BatchQueue) Wait(now time.Time, group PieceGroup) time.Duration {
+func (g *BatchQueue) EstimateWait(now time.Time, group PieceGroup) time.Duration {
 	wait := g.estimate(now, group)
 	alone := now.Add(g.callTime(len(group.Pieces)))
 	if !alone.After(group.Due) && alone.Add(wait).After(group.Due) {
@@ -20,17 +20,17 @@
 }
 
 func (g *BatchQueue) estimate(now time.Time, group PieceGroup) time.Duration {
-	workers := g.staying()
+	workers := g.activeWorkers()
 	if workers == 0 {
 		return lapsedGrace
 	}
-	total, free := g.room(now)
-	ahead, aheadBytes := g.ahead(now, group, free)
+	total, free := g.roomTotals(now)
+	ahead, aheadBytes := g.workAhead(now, group, free)
 	full := g.callTime(g.traits.Batch)
-	calls := g.calls()
+	calls := g.concurrency()
 	// With all endpoints busy, one comes free after a call's share on average.
 	first := float64(full) / (2 * calls)
-	if g.free(now) > 0 {
+	if g.freeWorkers(now) > 0 {
 		first = 0
 	}
 	bySlots := first + float64(ahead)/float64(max(1, g.traits.Batch))/calls*float64(full)
@@ -39,20 +39,20 @@
 		return time.Duration(bySlots)
 	}
 	// What is not free comes free as fast as results were held lately.
-	byRoom := time.Duration(missing / total * float64(g.hold))
+	byRoom := time.Duration(missing / total * float64(g.holdTime))
 	return max(time.Duration(bySlots), byRoom)
 }
 
 // ahead returns how many pieces are made before those of a group, and how many bytes of results find
 // room before its last one has. Work that is late goes after all that is not. Results that are larger
 // wait for room while smaller ones pass them by, so they count as far as there is room for them.
-func (g *BatchQueue) ahead(now time.Time, group PieceGroup, free float64) (pieces int, bytes int64) {
+func (g *BatchQueue) workAhead(now time.Time, group PieceGroup, free float64) (pieces int, bytes int64) {
 	bytes = int64(len(group.Pieces)) * group.ResultBytes
 	shortest := now.Add(g.callTime(1))
 	own := &waitingGroup{PieceGroup: group}
 	heavyRoom := free
 	for _, w := range g.groups {
-		if !g.policy.Uses(OwnWait) {
+		if !g.policy.Uses(WaitPerRequest) {
 			if !w.rankedDue().After(group.rankedDue()) {
 				pieces += len(w.waiting)
 				bytes += int64(len(w.waiting)) * w.ResultBytes
@@ -80,10 +80,10 @@
 	for _, w := range g.groups {
 		waiting += len(w.waiting)
 	}
-	return float64(waiting) / (float64(max(1, g.traits.Batch)) * g.calls() / float64(max(1, g.traits.Slots)))
+	return float64(waiting) / (float64(max(1, g.traits.Batch)) * g.concurrency() / float64(max(1, g.traits.Slots)))
 }
 
-func (g *BatchQueue) staying() int {
+func (g *BatchQueue) activeWorkers() int {
 	n := 0
 	for _, m := range g.workers {
 		if m.endpoint.TakesWork() {
@@ -95,18 +95,18 @@
 
 // calls is how many calls the workers carry out at one time; one that takes only so many a second counts for as much of
 // its slots as those keep busy.
-func (g *BatchQueue) calls() float64 {
+func (g *BatchQueue) concurrency() float64 {
 	full := g.callTime(g.traits.Batch)
 	calls := 0.0
 	for _, m := range g.workers {
 		if m.endpoint.TakesWork() {
-			calls += m.parallel(full, g.traits.Slots)
+			calls += m.concurrency(full, g.traits.Slots)
 		}
 	}
-	return max(leastCalls, calls)
+	return max(minConcurrency, calls)
 }
 
-func (m *worker) parallel(full time.Duration, slots int) float64 {
+func (m *worker) concurrency(full time.Duration, slots int) float64 {
 	all := float64(max(1, slots))
 	if !m.rateCap.Stated {
 		return all
@@ -114,15 +114,15 @@
 	return min(all, float64(full)/float64(CapBatcherPause(m.rateCap)))
 }
 
-// atCap tells whether a worker takes no call now because of what it got lately.
-func (m *worker) atCap(now time.Time) bool {
-	return m.rateCap.Stated && now.Sub(m.calledAt) < CapBatcherPause(m.rateCap)
+// atRateCap tells whether a worker takes no call now because of what it got lately.
+func (m *worker) atRateCap(now time.Time) bool {
+	return m.rateCap.Stated && now.Sub(m.lastCallAt) < CapBatcherPause(m.rateCap)
 }
 
-func (g *BatchQueue) free(now time.Time) int {
+func (g *BatchQueue) freeWorkers(now time.Time) int {
 	n := 0
 	for _, m := range g.workers {
-		if m.endpoint.TakesWork() && m.calls < max(1, g.traits.Slots) && !m.atCap(now) {
+		if m.endpoint.TakesWork() && m.runningCalls < max(1, g.traits.Slots) && !m.atRateCap(now) {
 			n++
 		}
 	}
--- a/kernel/budget.go
+++ b/kernel/budget.go
@@ -6,13 +6,13 @@
 
 const (
 	// timeoutFactor is how far above the 99th percentile a progress timeout lies.
-	timeoutFactor = 3
-	leastTimeout  = 100 * time.Millisecond
+	timeoutFactor      = 3
+	minProgressTimeout = 100 * time.Millisecond
 	// typicalStage is assumed of a pool that has not answered yet.
 	typicalStage = 20 * time.Millisecond
-	// leastRetryAfter and mostRetryAfter bound what callers are told.
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound what callers are told.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
 // StageEstimate is what a node expects of one stage of a request.
@@ -21,11 +21,11 @@
 	Median time.Duration
 	// Long is a service time that few calls exceed: a call that has less time left is not
 	// worth its start. Zero if unknown.
-	Long time.Duration
+	Tail time.Duration
 	// QueuedCost is the work waiting before this request, in seconds of an endpoint.
 	QueuedCost float64
 	// Places is how many calls the pool may have in flight.
-	Places float64
+	MaxInFlight float64
 }
 
 // Cost returns the expected work in seconds of an endpoint.
@@ -34,8 +34,8 @@
 }
 
 // Latest returns when the call must start at the latest to be done at the deadline.
-func (e StageEstimate) Latest(deadline time.Time) time.Time {
-	return deadline.Add(-max(e.Long, e.Median))
+func (e StageEstimate) LatestStart(deadline time.Time) time.Time {
+	return deadline.Add(-max(e.Tail, e.Median))
 }
 
 // Expected returns how long the stage should take, wait included.
@@ -44,10 +44,10 @@
 }
 
 func (e StageEstimate) wait() time.Duration {
-	if e.Places <= 0 || e.QueuedCost <= 0 {
+	if e.MaxInFlight <= 0 || e.QueuedCost <= 0 {
 		return 0
 	}
-	return time.Duration(e.QueuedCost / e.Places * float64(time.Second))
+	return time.Duration(e.QueuedCost / e.MaxInFlight * float64(time.Second))
 }
 
 func (e StageEstimate) service() time.Duration {
@@ -70,12 +70,12 @@
 	if need <= left {
 		return true, 0
 	}
-	return false, RetryAfter(min(need-left, wait))
+	return false, ClampRetryAfter(min(need-left, wait))
 }
 
-// RetryAfter brings a time to come back within what callers are told.
-func RetryAfter(d time.Duration) time.Duration {
-	return min(max(d, leastRetryAfter), mostRetryAfter)
+// ClampRetryAfter brings a time to come back within what callers are told.
+func ClampRetryAfter(d time.Duration) time.Duration {
+	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
 // StageDeadline returns when a stage must be done for the later ones to fit in, by their
@@ -94,5 +94,5 @@
 	if p99 <= 0 {
 		return left
 	}
-	return min(left, max(leastTimeout, timeoutFactor*p99))
+	return min(left, max(minProgressTimeout, timeoutFactor*p99))
 }
--- a/kernel/claims.go
+++ b/kernel/claims.go
@@ -68,7 +68,7 @@
 }
 
 // Newest returns the era that is open; the zero era if there is none.
-func (c Claims) Newest() Era {
+func (c Claims) NewestEra() Era {
 	if len(c.Eras) == 0 {
 		return Era{}
 	}
@@ -87,7 +87,7 @@
 // WithEra returns the row with a new era. It starts at from, which is above all that was run
 // beyond Firm, and not below Firm.
 func (c Claims) WithEra(members []Member, from, firm, horizon time.Time, writer string) Claims {
-	era := Era{Number: c.Newest().Number + 1, From: later(c.Firm, from), Members: sortedMembers(members)}
+	era := Era{Number: c.NewestEra().Number + 1, From: later(c.Firm, from), Members: sortedMembers(members)}
 	c.Eras = append(slices.Clone(c.Eras), era)
 	return c.WithHorizon(firm, horizon, writer)
 }
@@ -144,16 +144,16 @@
 	if !ok {
 		return Member{}, false
 	}
-	return c.heir(rendezvous(k.ID, era.Members)), true
+	return c.successor(rendezvous(k.ID, era.Members)), true
 }
 
 // Ahead tells whether the key's time is beyond the horizon of this row.
-func (c Claims) Ahead(k Key) bool {
+func (c Claims) BeyondHorizon(k Key) bool {
 	return !k.Issued.Before(c.Horizon)
 }
 
 // heir follows the transfers. A member that left never comes back, so the chain ends.
-func (c Claims) heir(m Member) Member {
+func (c Claims) successor(m Member) Member {
 	for range c.Transfers {
 		i := slices.IndexFunc(c.Transfers, func(t Transfer) bool { return t.From == m.ID() })
 		if i < 0 {
@@ -165,7 +165,7 @@
 }
 
 // Left tells whether the member has given its keys away.
-func (c Claims) Left(id string) bool {
+func (c Claims) HasLeft(id string) bool {
 	return slices.ContainsFunc(c.Transfers, func(t Transfer) bool { return t.From == id })
 }
 
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -165,7 +165,7 @@
 	give := func(i, until int) bool {
 		granted, ok := grants[i].Grant(row, 1, at(until))
 		if ok {
-			grants[0].Take(all[i].ID(), 1, granted)
+			grants[0].Record(all[i].ID(), 1, granted)
 		}
 		return ok
 	}
--- a/kernel/cold.go
+++ b/kernel/cold.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// mostColdSenders is how many nodes may send to one cold endpoint. Few nodes with several sends each keep a bound
+	// maxColdSenders is how many nodes may send to one cold endpoint. Few nodes with several sends each keep a bound
 	// on the sum closer than many with less than one.
-	mostColdSenders = 3
-	// coldViews is how many different choices of senders may be in force at one time: of nodes that have heard who
+	maxColdSenders = 3
+	// maxColdViews is how many different choices of senders may be in force at one time: of nodes that have heard who
 	// joined or left and of those that have not.
-	coldViews = 2
+	maxColdViews = 2
 	// coldWindow is the time in whose sends may arrive within one second: opening a connection may take 0.7 s.
 	coldWindow = 1800 * time.Millisecond
-	// coldDutyMemory is how long it counts whether a node may send to a cold endpoint: about as long as nodes take to learn
+	// coldRoleTTL is how long it counts whether a node may send to a cold endpoint: about as long as nodes take to learn
 	// of each other.
-	coldDutyMemory = 500 * time.Millisecond
-	// coldReport is how long after the end of an evacuation an endpoint's own entry may not yet say that it is cold:
+	coldRoleTTL = 500 * time.Millisecond
+	// coldReportDelay is how long after the end of an evacuation an endpoint's own entry may not yet say that it is cold:
 	// an interval of entries, and the ways through the store, a reader and its followers.
-	coldReport = 3 * time.Second
+	coldReportDelay = 3 * time.Second
 )
 
 type (
-	// ColdTerms bound what all nodes together send to a cold endpoint: in any second at most Excess times the rate that
+	// ColdLimits bound what all nodes together send to a cold endpoint: in any second at most Excess times the rate that
 	// its pool states, and Slack.
-	ColdTerms struct {
+	ColdLimits struct {
 		Excess float64
 		Slack  float64
 	}
@@ -38,41 +38,41 @@
 		// Senders is how many nodes may send, the first ones by the endpoint's hash; 0 means that there is no bound.
 		Senders int
 		// Pause is the least time between two sends of one node.
-		Pause time.Duration
+		MinInterval time.Duration
 	}
 
-	// ColdDuty is whether a node is one of those that may send to a cold endpoint, as it decided last. It is immutable.
-	ColdDuty struct {
-		sends bool
+	// ColdRole is whether a node is one of those that may send to a cold endpoint, as it decided last. It is immutable.
+	ColdRole struct {
+		sender bool
 		// since is from when on it is, or may have forgotten that it was.
-		since     time.Time
-		decidedAt time.Time
+		senderSince time.Time
+		decidedAt   time.Time
 	}
 )
 
 // Share returns what each sender may send to a cold endpoint of a pool with a stated rate a second. The bound holds
 // where two choices of senders are in force at once.
-func (t ColdTerms) Share(rate float64) ColdShare {
+func (t ColdLimits) Share(rate float64) ColdShare {
 	if rate <= 0 {
 		return ColdShare{}
 	}
-	each := max(1, max(rate, rate*t.Excess+t.Slack)/coldViews)
-	senders := min(mostColdSenders, int(each))
+	each := max(1, max(rate, rate*t.Excess+t.Slack)/maxColdViews)
+	senders := min(maxColdSenders, int(each))
 	sends := math.Floor(each / float64(senders))
-	return ColdShare{Senders: senders, Pause: time.Duration(float64(coldWindow)/sends) + time.Millisecond}
+	return ColdShare{Senders: senders, MinInterval: time.Duration(float64(coldWindow)/sends) + time.Millisecond}
 }
 
-// PartShare returns what each sender may send where all of them may use only a part of what a cold endpoint bears, from
+// FractionalShare returns what each sender may send where all of them may use only a part of what a cold endpoint bears, from
 // 0 to 1.
-func (t ColdTerms) PartShare(part, rate float64) ColdShare {
+func (t ColdLimits) FractionalShare(part, rate float64) ColdShare {
 	t.Slack *= part
 	return t.Share(rate * part)
 }
 
 // Single returns the share of a node that alone sends to the endpoints of a pool.
-func (s ColdShare) Single() ColdShare {
+func (s ColdShare) ForSingleSender() ColdShare {
 	if s.Senders > 1 {
-		s.Pause /= time.Duration(s.Senders)
+		s.MinInterval /= time.Duration(s.Senders)
 		s.Senders = 1
 	}
 	return s
@@ -81,7 +81,7 @@
 // Sends tells whether a node is one of those that may send to an endpoint while it is cold, by all nodes that have
 // announced themselves, reachable or not: nodes that are cut off from each other would else all take themselves for
 // the first. A node that knows of none yet does not send.
-func (s ColdShare) Sends(self string, endpoint model.Endpoint, nodes []Peer) bool {
+func (s ColdShare) IsSender(self string, endpoint model.Endpoint, nodes []Peer) bool {
 	own := rendezvousScore(endpoint.Incarnation(), self)
 	before := 0
 	for _, n := range nodes {
@@ -89,11 +89,11 @@
 			before++
 		}
 	}
-	return len(nodes) > 0 && s.SendsFrom(before)
+	return len(nodes) > 0 && s.IsSenderAtRank(before)
 }
 
-// SendsFrom tells whether a node before which so many come by the endpoint's hash is one of those that may send to it.
-func (s ColdShare) SendsFrom(place int) bool {
+// IsSenderAtRank tells whether a node before which so many come by the endpoint's hash is one of those that may send to it.
+func (s ColdShare) IsSenderAtRank(place int) bool {
 	return place < s.Senders
 }
 
@@ -109,28 +109,28 @@
 
 // Due tells whether a sender may send to a cold endpoint again.
 func (s ColdShare) Due(now, sentAt time.Time) bool {
-	return sentAt.IsZero() || now.Sub(sentAt) >= s.Pause
+	return sentAt.IsZero() || now.Sub(sentAt) >= s.MinInterval
 }
 
-// DueOn tells whether a node with a duty that last sent to a cold endpoint at a time may send there now. A sender that is new
+// DueForRole tells whether a node with a duty that last sent to a cold endpoint at a time may send there now. A sender that is new
 // waits for a pause first: the one whose place it takes, or itself before it started again, may just have sent.
-func (s ColdShare) DueOn(now time.Time, duty ColdDuty, sentAt time.Time) bool {
-	return duty.sends && now.Sub(duty.since) >= s.Pause && s.Due(now, sentAt)
+func (s ColdShare) DueForRole(now time.Time, duty ColdRole, sentAt time.Time) bool {
+	return duty.sender && now.Sub(duty.senderSince) >= s.MinInterval && s.Due(now, sentAt)
 }
 
 // Outdated tells whether the duty is to be decided anew.
-func (d ColdDuty) Outdated(now time.Time) bool {
-	return d.decidedAt.IsZero() || now.Sub(d.decidedAt) >= coldDutyMemory
+func (d ColdRole) Expired(now time.Time) bool {
+	return d.decidedAt.IsZero() || now.Sub(d.decidedAt) >= coldRoleTTL
 }
 
 // With returns the duty after it was decided anew, by a node that started at a time.
-func (d ColdDuty) With(now, startedAt time.Time, sends bool) ColdDuty {
-	next := ColdDuty{sends: sends, since: d.since, decidedAt: now}
+func (d ColdRole) With(now, startedAt time.Time, sends bool) ColdRole {
+	next := ColdRole{sender: sends, senderSince: d.senderSince, decidedAt: now}
 	switch {
 	case d.decidedAt.IsZero():
-		next.since = startedAt
-	case sends && !d.sends:
-		next.since = now
+		next.senderSince = startedAt
+	case sends && !d.sender:
+		next.senderSince = now
 	}
 	return next
 }
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -23,7 +23,7 @@
 	// coldFleet is nodes that all have more requests for one cold endpoint than it may get.
 	coldFleet struct {
 		rng   *rand.Rand
-		terms kernel.ColdTerms
+		terms kernel.ColdLimits
 		rate  float64
 		nodes []coldNode
 	}
@@ -37,7 +37,7 @@
 	}
 )
 
-func newColdFleet(seed uint64, nodes int, terms kernel.ColdTerms, rate float64) *coldFleet {
+func newColdFleet(seed uint64, nodes int, terms kernel.ColdLimits, rate float64) *coldFleet {
 	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, rate: rate}
 	all := peersNamed("node", nodes)
 	for _, p := range all {
@@ -67,7 +67,7 @@
 		for i := range f.nodes {
 			n := &f.nodes[i]
 			if elapsed == 0 || elapsed == coldTrouble {
-				n.sends = share.Sends(n.name, e, n.knows)
+				n.sends = share.IsSender(n.name, e, n.knows)
 			}
 			if !n.sends || !share.Due(now, n.sentAt) {
 				continue
@@ -151,7 +151,7 @@
 // them knows of the others, no second brings it more than the bound, and it is not left without work.
 func TestAColdEndpointGetsWhatItBears(t *testing.T) {
 	const length = 10 * time.Second
-	terms, rate := kernel.ColdTerms{Excess: 1.5, Slack: 5}, 9.4
+	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
 	bound := int(rate*terms.Excess + terms.Slack)
 	for name, trouble := range coldTroubles {
 		t.Run(name, func(t *testing.T) {
@@ -172,15 +172,15 @@
 }
 
 func TestAPoolWithoutAStatedRateHasNoBound(t *testing.T) {
-	must.EqOp(t, 0, kernel.ColdTerms{Excess: 1.5, Slack: 5}.Share(0).Senders)
+	must.EqOp(t, 0, kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(0).Senders)
 }
 
 // The bound is kept by pools of all rates, also where the settings state no excess.
 func TestTheSharesOfAColdEndpointFitItsBound(t *testing.T) {
-	for _, terms := range []kernel.ColdTerms{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{2, 3, 5, 9.4, 50, 1000} {
 			share := terms.Share(rate)
-			perView := share.Senders * int((1800*time.Millisecond+share.Pause-1)/share.Pause)
+			perView := share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
 			must.LessEq(t, max(2, int(max(rate, rate*terms.Excess+terms.Slack))), 2*perView, must.Sprint(terms, rate, share))
 		}
 	}
@@ -206,7 +206,7 @@
 	now := time.Unix(1000, 0)
 	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuated(now, "a"))
 	ended := now.Add(10 * time.Second)
-	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{TakenBack: []string{"a"}})
+	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
 	r = r.WithEvacuations(back)
 	for _, e := range r.Endpoints("p") {
 		must.EqOp(t, e.FailureDomain == "a", kernel.IsCold(ended, e))
@@ -222,8 +222,8 @@
 	warm, cold := in("a", "warm", "workers"), in("a", "cold", "workers")
 	cold.ColdUntil = start.Add(time.Minute)
 	g := kernel.NewBatchQueue(batchTraits)
-	share := kernel.ColdTerms{}.Share(4).Single()
-	g.SetCold(share)
+	share := kernel.ColdLimits{}.Share(4).ForSingleSender()
+	g.SetColdShare(share)
 	g.SetEndpoints([]model.Endpoint{warm, cold})
 	calls := map[string]int{}
 	id := uint64(0)
@@ -244,6 +244,6 @@
 		}
 	}
 	must.Positive(t, calls["cold"])
-	must.LessEq(t, int(length/share.Pause)+1, calls["cold"])
+	must.LessEq(t, int(length/share.MinInterval)+1, calls["cold"])
 	must.Greater(t, 2*calls["cold"], calls["warm"])
 }
--- a/kernel/coldseries_test.go
+++ b/kernel/coldseries_test.go
@@ -34,7 +34,7 @@
 		// lag is after which time it hears who joined and left; heard is what it has heard.
 		lag  time.Duration
 		news []cappedNews
-		duty kernel.ColdDuty
+		duty kernel.ColdRole
 		// sender is true while it is one of those that send.
 		sender bool
 		sentAt time.Time
@@ -51,7 +51,7 @@
 )
 
 func newColdSeries(nodes int, rate float64) *coldSeries {
-	f := &coldSeries{rng: rand.New(rand.NewPCG(uint64(nodes), 1)), share: kernel.ColdTerms{Excess: 1.5, Slack: 5}.Share(rate)}
+	f := &coldSeries{rng: rand.New(rand.NewPCG(uint64(nodes), 1)), share: kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(rate)}
 	for _, p := range peersNamed("node", nodes) {
 		f.nodes = append(f.nodes, &coldSeriesNode{name: p.Name, lag: time.Duration(f.rng.IntN(1200)) * time.Millisecond})
 	}
@@ -94,7 +94,7 @@
 func (f *coldSeries) step(now time.Time, n *coldSeriesNode) bool {
 	draining := n.leaving && now.Before(n.downUntil.Add(-coldSeriesDown))
 	if now.Before(n.downUntil) && !draining {
-		n.duty, n.sentAt, n.startedAt = kernel.ColdDuty{}, time.Time{}, n.downUntil
+		n.duty, n.sentAt, n.startedAt = kernel.ColdRole{}, time.Time{}, n.downUntil
 		return false
 	}
 	if n.leaving && !draining {
@@ -103,11 +103,11 @@
 		// It reads the store as it starts.
 		n.news[len(n.news)-1].at = now
 	}
-	if n.duty.Outdated(now) {
-		n.sender = !n.leaving && f.share.Sends(n.name, model.Endpoint{Name: "cold"}, n.heard(now))
+	if n.duty.Expired(now) {
+		n.sender = !n.leaving && f.share.IsSender(n.name, model.Endpoint{Name: "cold"}, n.heard(now))
 		n.duty = n.duty.With(now, n.startedAt, n.sender)
 	}
-	if !f.share.DueOn(now, n.duty, n.sentAt) {
+	if !f.share.DueForRole(now, n.duty, n.sentAt) {
 		return false
 	}
 	n.sentAt = now
--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -56,8 +56,8 @@
 		}
 		return CreateClaims
 	}
-	if !sameMembers(row.Newest().Members, alive) {
-		if waited >= c.StabilityTime && !row.Newest().From.After(now.Add(c.Horizon)) {
+	if !sameMembers(row.NewestEra().Members, alive) {
+		if waited >= c.StabilityTime && !row.NewestEra().From.After(now.Add(c.Horizon)) {
 			return StartEra
 		}
 		// The key time must not run out while the set of members keeps changing.
--- a/kernel/evacuation.go
+++ b/kernel/evacuation.go
@@ -12,9 +12,9 @@
 const (
 	// evacuatedRetry is when a caller may come back whose request only evacuated endpoints could serve.
 	evacuatedRetry = time.Second
-	// noHomeRetry is when a caller may come back whose request no endpoint in an allowed region could serve: new ones
+	// noRegionRetry is when a caller may come back whose request no endpoint in an allowed region could serve: new ones
 	// are listed, or another routing is in force.
-	noHomeRetry = 2 * time.Second
+	noRegionRetry = 2 * time.Second
 )
 
 // Evacuations is which failure domains operators keep work off. It is immutable.
@@ -29,7 +29,7 @@
 // most.
 type EvacuationChange struct {
 	Evacuated []string
-	TakenBack []string
+	Restored  []string
 }
 
 // With returns the evacuations after a change that this node learned of at a time, and the domains whose state is a
@@ -45,11 +45,11 @@
 			news.Evacuated = append(news.Evacuated, domain)
 		}
 	}
-	for _, domain := range change.TakenBack {
+	for _, domain := range change.Restored {
 		if e.Holds(domain) {
 			delete(after.since, domain)
 			after.ended[domain] = now
-			news.TakenBack = append(news.TakenBack, domain)
+			news.Restored = append(news.Restored, domain)
 		}
 	}
 	return after, news
@@ -77,7 +77,7 @@
 	if !known {
 		return time.Time{}
 	}
-	return ended.Add(coldReport)
+	return ended.Add(coldReportDelay)
 }
 
 // AdmitPools refuses a request at once where no endpoint of a pool that it needs may get work: of its stages' pools or
@@ -87,7 +87,7 @@
 		return refusal
 	}
 	for i, stage := range a.Route.Stages {
-		if PiecesOf(f, i) == 0 {
+		if PieceCount(f, i) == 0 {
 			continue
 		}
 		if refusal := admitPool(r, stage.Pool, a.Homes); refusal != nil {
@@ -98,10 +98,10 @@
 }
 
 // admitPool refuses only for what is known: a pool without any listed endpoint may have some in a moment.
-func admitPool(r Registry, pool string, homes Homes) *model.Refusal {
-	atHome := homes.AtHome(r.Endpoints(pool))
+func admitPool(r Registry, pool string, homes AllowedRegions) *model.Refusal {
+	atHome := homes.AllowedEndpoints(r.Endpoints(pool))
 	if len(atHome) == 0 && len(r.Endpoints(pool)) > 0 {
-		return model.NewRefusal(model.NotRun, model.NoHome, RetryAfter(noHomeRetry), fmt.Sprintf("pool %s has no endpoint in the allowed regions %s", pool, homes))
+		return model.NewRefusal(model.NotRun, model.NoHome, ClampRetryAfter(noRegionRetry), fmt.Sprintf("pool %s has no endpoint in the allowed regions %s", pool, homes))
 	}
 	evacuated := false
 	for _, e := range atHome {
@@ -113,5 +113,5 @@
 	if !evacuated {
 		return nil
 	}
-	return model.NewRefusal(model.NotRun, model.PoolEvacuated, RetryAfter(evacuatedRetry), fmt.Sprintf("all endpoints of pool %s are in evacuated failure domains", pool))
+	return model.NewRefusal(model.NotRun, model.PoolEvacuated, ClampRetryAfter(evacuatedRetry), fmt.Sprintf("all endpoints of pool %s are in evacuated failure domains", pool))
 }
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -67,11 +67,11 @@
 	for _, r := range m.store {
 		rows = append(rows, r)
 	}
-	m.reader.Take(m.now, rows, m.version, true)
+	m.reader.Apply(m.now, rows, m.version, true)
 }
 
 func (m *evacuationMachine) readChanges() {
-	after, known := m.reader.Known()
+	after, known := m.reader.Version()
 	if !known {
 		m.readWhole()
 		return
@@ -82,19 +82,19 @@
 			rows = append(rows, r)
 		}
 	}
-	m.reader.Take(m.now, rows, m.version, false)
+	m.reader.Apply(m.now, rows, m.version, false)
 }
 
 func (m *evacuationMachine) ask() {
-	after, _ := m.follower.Known()
+	after, _ := m.follower.Version()
 	d, known := m.reader.Since(m.now, after)
 	if !known {
 		return
 	}
 	var change kernel.EvacuationChange
-	for _, r := range m.follower.TakeDelta(m.now, d) {
+	for _, r := range m.follower.ApplyDelta(m.now, d) {
 		if r.Removed {
-			change.TakenBack = append(change.TakenBack, r.Key)
+			change.Restored = append(change.Restored, r.Key)
 		} else {
 			change.Evacuated = append(change.Evacuated, r.Key)
 		}
@@ -209,7 +209,7 @@
 		home := kernel.AffinityDomain(key, registry.Endpoints("engines"))
 		away := registry.WithEvacuations(evacuated(now, home))
 		must.NotEq(t, home, kernel.AffinityDomain(key, away.Endpoints("engines")))
-		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{TakenBack: []string{home}})
+		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
 		must.EqOp(t, home, kernel.AffinityDomain(key, away.WithEvacuations(back).Endpoints("engines")))
 		for _, other := range []string{"a", "b", "c"} {
 			if other != home {
--- a/kernel/explorer_actions_test.go
+++ b/kernel/explorer_actions_test.go
@@ -39,7 +39,7 @@
 	if firm := row.Firm.Add(time.Millisecond); !firm.After(time.UnixMilli(exploreMaxTime)) {
 		out = append(out, row.WithHorizon(firm, firm, "w"))
 	}
-	if p == leaver && s.procs[p].stopped && s.handed && !row.Left(exploreMember(p).ID()) {
+	if p == leaver && s.procs[p].stopped && s.handed && !row.HasLeft(exploreMember(p).ID()) {
 		out = append(out, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.heir(s)), "w"))
 	}
 	return out
@@ -54,13 +54,13 @@
 	}
 	row := s.rows[known]
 	next := s.clone()
-	if has(row.Newest().Members, exploreMember(p)) {
+	if has(row.NewestEra().Members, exploreMember(p)) {
 		e.sendEras(next, known, next.grants[p].BeginEra(row))
 		return
 	}
 	e.sendEras(next, known, row.Horizon)
 	for q := range exploreProcs {
-		if q != p && s.procs[q].alive && s.procs[q].known >= known && has(row.Newest().Members, exploreMember(q)) {
+		if q != p && s.procs[q].alive && s.procs[q].known >= known && has(row.NewestEra().Members, exploreMember(q)) {
 			asked := s.clone()
 			e.sendEras(asked, known, asked.grants[q].Seal(s.rows[s.procs[q].known], row.Number))
 		}
@@ -117,7 +117,7 @@
 		return
 	}
 	row := s.rows[s.procs[p].known]
-	era := row.Newest().Number
+	era := row.NewestEra().Number
 	for q := range exploreProcs {
 		if !s.procs[q].alive || s.procs[q].known < 0 {
 			continue
@@ -134,11 +134,11 @@
 		if q != p {
 			e.push(next)
 			next = next.clone()
-			next.grants[p].Take(exploreMember(q).ID(), era, until)
+			next.grants[p].Record(exploreMember(q).ID(), era, until)
 		}
 		if e.fault == oneGrantIsEnough {
-			for _, m := range row.Newest().Members {
-				next.grants[p].Take(m.ID(), era, until)
+			for _, m := range row.NewestEra().Members {
+				next.grants[p].Record(m.ID(), era, until)
 			}
 		}
 		e.push(next)
--- a/kernel/grants.go
+++ b/kernel/grants.go
@@ -19,74 +19,74 @@
 	// era is the number of the era that given and got belong to.
 	era uint64
 	// given is how far this member itself has granted.
-	given time.Time
+	granted time.Time
 	// sealed and writing are the numbers of the rows against which another node and this one
 	// are writing an era: nothing is granted while the row that this member knows is not
 	// newer.
-	sealed  uint64
-	writing uint64
+	sealedRow  uint64
+	writingRow uint64
 	// got is how far the others have granted.
-	got map[string]time.Time
+	received map[string]time.Time
 }
 
 // NewGrants returns the grants of a member that gave and got none.
 func NewGrants(self Member) *Grants {
-	return &Grants{self: self.ID(), got: map[string]time.Time{}}
+	return &Grants{self: self.ID(), received: map[string]time.Time{}}
 }
 
 // Grant extends what this member grants, up to the row's horizon. It refuses where the era is
 // not the newest that it knows, where it is not of it, or where an era may be under way.
 func (g *Grants) Grant(row Claims, era uint64, until time.Time) (time.Time, bool) {
-	newest := row.Newest()
-	if newest.Number != era || row.Number <= max(g.sealed, g.writing) || !newest.has(g.self) {
+	newest := row.NewestEra()
+	if newest.Number != era || row.Number <= max(g.sealedRow, g.writingRow) || !newest.hasMember(g.self) {
 		return time.Time{}, false
 	}
-	g.enter(era)
+	g.enterEra(era)
 	if until.After(row.Horizon) {
 		until = row.Horizon
 	}
-	g.given = later(g.given, until)
-	return g.given, true
+	g.granted = later(g.granted, until)
+	return g.granted, true
 }
 
 // Take notes what another member has granted.
-func (g *Grants) Take(member string, era uint64, until time.Time) {
+func (g *Grants) Record(member string, era uint64, until time.Time) {
 	if era < g.era {
 		return
 	}
-	g.enter(era)
-	g.got[member] = later(g.got[member], until)
+	g.enterEra(era)
+	g.received[member] = later(g.received[member], until)
 }
 
 // Seal stops the grants until a row newer than number is known, for another node that writes
 // an era against that row. It returns the key time at or above which that era must start.
 func (g *Grants) Seal(row Claims, number uint64) time.Time {
-	g.sealed = max(g.sealed, number)
-	return g.lowest(row)
+	g.sealedRow = max(g.sealedRow, number)
+	return g.lowestEraStart(row)
 }
 
 // BeginEra does the same for an era that this member itself writes.
 func (g *Grants) BeginEra(row Claims) time.Time {
-	g.writing = row.Number
-	return g.lowest(row)
+	g.writingRow = row.Number
+	return g.lowestEraStart(row)
 }
 
 // CancelEra lets grants go on after a write of this member's that certainly had no effect.
 func (g *Grants) CancelEra() {
-	g.writing = 0
+	g.writingRow = 0
 }
 
-func (g *Grants) lowest(row Claims) time.Time {
-	if g.era != row.Newest().Number {
+func (g *Grants) lowestEraStart(row Claims) time.Time {
+	if g.era != row.NewestEra().Number {
 		return row.Firm
 	}
-	return later(row.Firm, g.given)
+	return later(row.Firm, g.granted)
 }
 
 // Clone returns an independent copy.
 func (g *Grants) Clone() *Grants {
 	c := *g
-	c.got = maps.Clone(g.got)
+	c.received = maps.Clone(g.received)
 	return &c
 }
 
@@ -95,32 +95,32 @@
 	text := []byte("era ")
 	text = strconv.AppendUint(text, g.era, 10)
 	text = append(text, " given "...)
-	text = strconv.AppendInt(text, g.given.UnixMilli(), 10)
+	text = strconv.AppendInt(text, g.granted.UnixMilli(), 10)
 	text = append(text, " sealed "...)
-	text = strconv.AppendUint(text, max(g.sealed, g.writing), 10)
-	for _, m := range slices.Sorted(maps.Keys(g.got)) {
+	text = strconv.AppendUint(text, max(g.sealedRow, g.writingRow), 10)
+	for _, m := range slices.Sorted(maps.Keys(g.received)) {
 		text = append(text, " "+m+" "...)
-		text = strconv.AppendInt(text, g.got[m].UnixMilli(), 10)
+		text = strconv.AppendInt(text, g.received[m].UnixMilli(), 10)
 	}
 	return string(text)
 }
 
 // Bound returns up to what key time an owner may run keys now.
 func (g *Grants) Bound(row Claims) time.Time {
-	newest := row.Newest()
+	newest := row.NewestEra()
 	if g.era != newest.Number {
 		return row.Firm
 	}
 	bound := row.Horizon
 	granted := 0
 	for _, m := range newest.Members {
-		if row.Left(m.ID()) {
+		if row.HasLeft(m.ID()) {
 			continue
 		}
 		granted++
-		until := g.got[m.ID()]
+		until := g.received[m.ID()]
 		if m.ID() == g.self {
-			until = g.given
+			until = g.granted
 		}
 		if until.Before(bound) {
 			bound = until
@@ -133,16 +133,16 @@
 }
 
 // enter forgets what belongs to an earlier era.
-func (g *Grants) enter(era uint64) {
+func (g *Grants) enterEra(era uint64) {
 	if g.era == era {
 		return
 	}
 	g.era = era
-	g.given = time.Time{}
-	g.got = map[string]time.Time{}
+	g.granted = time.Time{}
+	g.received = map[string]time.Time{}
 }
 
-func (e Era) has(id string) bool {
+func (e Era) hasMember(id string) bool {
 	for _, m := range e.Members {
 		if m.ID() == id {
 			return true
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -26,7 +26,7 @@
 		{[]string{"north", "south"}, []string{"south", "west"}, []string{"south"}},
 		{[]string{"north"}, []string{"south"}, nil},
 	} {
-		homes := kernel.HomesOf(model.Route{Homes: tc.route}, model.KeyHolder{Homes: tc.customer})
+		homes := kernel.AllowedRegionsFor(model.Route{Homes: tc.route}, model.KeyHolder{Homes: tc.customer})
 		var allowed []string
 		for _, region := range []string{"north", "south", "west"} {
 			if homes.Allows(region) {
@@ -42,12 +42,12 @@
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
 		inRegion("north", "n", "workers"), inRegion("south", "s", "workers"), inRegion("west", "w", "workers"),
 	}, nil, nil)
-	anywhere := kernel.HomesOf(model.Route{}, model.KeyHolder{})
-	southOrWest := kernel.HomesOf(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
+	anywhere := kernel.AllowedRegionsFor(model.Route{}, model.KeyHolder{})
+	southOrWest := kernel.AllowedRegionsFor(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
 	for _, tc := range []struct {
 		name      string
 		evacuated []string
-		homes     kernel.Homes
+		homes     kernel.AllowedRegions
 		want      string
 	}{
 		{"own", nil, anywhere, "north"},
@@ -67,7 +67,7 @@
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{inRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
 	must.Nil(t, kernel.AdmitPools(registry, model.Forward{}, a))
-	a.Homes = kernel.HomesOf(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
+	a.Homes = kernel.AllowedRegionsFor(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
 	refusal := kernel.AdmitPools(registry, model.Forward{}, a)
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.NoHome, refusal.Reason)
--- a/kernel/idle_test.go
+++ b/kernel/idle_test.go
@@ -14,11 +14,11 @@
 func TestNodesTogetherKeepNoMoreIdleConnectionsThanAccepted(t *testing.T) {
 	for _, connections := range []int{1, 52, 110, 370, 620} {
 		for _, nodes := range []int{1, 8, 76, 300, 400} {
-			must.LessEq(t, connections, nodes*kernel.MostIdle(connections, nodes))
+			must.LessEq(t, connections, nodes*kernel.MaxIdleConnections(connections, nodes))
 		}
 	}
-	must.EqOp(t, 8, kernel.MostIdle(0, 400))
-	must.EqOp(t, 8, kernel.MostIdle(370, 8))
-	must.EqOp(t, 1, kernel.MostIdle(620, 400))
-	must.EqOp(t, 0, kernel.MostIdle(620, 0), must.Sprint("each node of a fleet may know of none yet"))
+	must.EqOp(t, 8, kernel.MaxIdleConnections(0, 400))
+	must.EqOp(t, 8, kernel.MaxIdleConnections(370, 8))
+	must.EqOp(t, 1, kernel.MaxIdleConnections(620, 400))
+	must.EqOp(t, 0, kernel.MaxIdleConnections(620, 0), must.Sprint("each node of a fleet may know of none yet"))
 }
--- a/kernel/key.go
+++ b/kernel/key.go
@@ -14,7 +14,7 @@
 const (
 	maxKeyLength = 128
 	uuidLength   = 36
-	uuidTimed    = 7
+	uuidVersion7 = 7
 )
 
 // ErrBadKey is returned for a key that no request may carry.
@@ -44,7 +44,7 @@
 		return key, nil
 	}
 	id, err := uuid.Parse(raw)
-	if err != nil || id.Version() != uuidTimed || id.Variant() != uuid.RFC4122 {
+	if err != nil || id.Version() != uuidVersion7 || id.Variant() != uuid.RFC4122 {
 		return key, nil //nolint:nilerr // any other form is a key without a time
 	}
 	var millis int64
--- a/kernel/lease.go
+++ b/kernel/lease.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// LeaseLength is how long a lease holds after the moment its write was sent.
-	LeaseLength = 6 * time.Second
-	// LongestOrder bounds how long an order may be under way to an engine.
-	LongestOrder = 2 * time.Second
+	// LeaseDuration is how long a lease holds after the moment its write was sent.
+	LeaseDuration = 6 * time.Second
+	// OrderTimeout bounds how long an order may be under way to an engine.
+	OrderTimeout = 2 * time.Second
 	// leaseMargin is what a holder keeps clear of the end of its lease.
 	leaseMargin = 500 * time.Millisecond
-	// leaseRanks is how many members stand by for a pool's lease.
-	leaseRanks = 3
+	// leaseCandidates is how many members stand by for a pool's lease.
+	leaseCandidates = 3
 )
 
 type (
@@ -26,13 +26,13 @@
 		Writer string
 	}
 
-	// LeaseWatch is what a node knows of a lease, by its own monotonic clock alone.
-	LeaseWatch struct {
+	// LeaseView is what a node knows of a lease, by its own monotonic clock alone.
+	LeaseView struct {
 		Lease Lease
 		// Version is the row's; it changes with each renewal.
 		Version uint64
 		// Since is when this version was first seen.
-		Since time.Time
+		FirstSeen time.Time
 		// HeldUntil is set while this node holds the lease: the moment its last write was
 		// sent plus the length of a lease.
 		HeldUntil time.Time
@@ -40,8 +40,8 @@
 )
 
 // WithRead returns the watch after the row was read.
-func (w LeaseWatch) WithRead(now time.Time, lease Lease, version uint64) LeaseWatch {
-	if version == w.Version && !w.Since.IsZero() {
+func (w LeaseView) WithRead(now time.Time, lease Lease, version uint64) LeaseView {
+	if version == w.Version && !w.FirstSeen.IsZero() {
 		return w
 	}
 	if lease.Number != w.Lease.Number || lease.Holder != w.Lease.Holder {
@@ -49,42 +49,42 @@
 	}
 	w.Lease = lease
 	w.Version = version
-	w.Since = now
+	w.FirstSeen = now
 	return w
 }
 
-// WithWritten returns the watch after this node's write took effect. What counts is when it
+// WithWrite returns the watch after this node's write took effect. What counts is when it
 // was sent, not when the answer came.
-func (w LeaseWatch) WithWritten(now, sent time.Time, lease Lease, version uint64) LeaseWatch {
+func (w LeaseView) WithWrite(now, sent time.Time, lease Lease, version uint64) LeaseView {
 	w.Lease = lease
 	w.Version = version
-	w.Since = now
-	w.HeldUntil = sent.Add(LeaseLength)
+	w.FirstSeen = now
+	w.HeldUntil = sent.Add(LeaseDuration)
 	return w
 }
 
 // MayOrder tells whether this node may send an order now. It is asked just before each order.
-func (w LeaseWatch) MayOrder(now time.Time) bool {
+func (w LeaseView) MayOrder(now time.Time) bool {
 	return !w.HeldUntil.IsZero() && now.Before(w.HeldUntil.Add(-leaseMargin))
 }
 
 // ShouldRenew tells whether the holder should write the row again.
-func (w LeaseWatch) ShouldRenew(now time.Time) bool {
-	return w.MayOrder(now) && now.After(w.HeldUntil.Add(-LeaseLength*2/3))
+func (w LeaseView) ShouldRenew(now time.Time) bool {
+	return w.MayOrder(now) && now.After(w.HeldUntil.Add(-LeaseDuration*2/3))
 }
 
-// MayTake tells whether a node that stands by at a rank may take the lease: the row has not
+// MayAcquire tells whether a node that stands by at a rank may take the lease: the row has not
 // changed for a lease and the longest order, so that whatever the old holder sent is over,
 // even if its engines ignore fencing numbers.
-func (w LeaseWatch) MayTake(now time.Time, rank int) bool {
-	if w.Since.IsZero() || w.MayOrder(now) {
+func (w LeaseView) MayAcquire(now time.Time, rank int) bool {
+	if w.FirstSeen.IsZero() || w.MayOrder(now) {
 		return false
 	}
-	wait := time.Duration(rank) * LeaseLength
+	wait := time.Duration(rank) * LeaseDuration
 	if w.Lease.Number > 0 {
-		wait += LeaseLength + LongestOrder
+		wait += LeaseDuration + OrderTimeout
 	}
-	return now.Sub(w.Since) >= wait
+	return now.Sub(w.FirstSeen) >= wait
 }
 
 // LeaseRank returns a member's place among those that stand by for a pool's lease; false for
@@ -98,5 +98,5 @@
 		return 1
 	})
 	rank := slices.IndexFunc(ranked, func(m Member) bool { return m.ID() == self.ID() })
-	return rank, rank >= 0 && rank < leaseRanks
+	return rank, rank >= 0 && rank < leaseCandidates
 }
--- a/kernel/leaving.go
+++ b/kernel/leaving.go
@@ -23,7 +23,7 @@
 		needed = min(streamAllowance, route.Timeout)
 	}
 	if now.Add(needed).After(stopsAt) {
-		return model.NewRefusal(model.NotRun, model.Draining, RetryAfter(0), "the node is leaving")
+		return model.NewRefusal(model.NotRun, model.Draining, ClampRetryAfter(0), "the node is leaving")
 	}
 	return nil
 }
--- a/kernel/ledger.go
+++ b/kernel/ledger.go
@@ -15,11 +15,11 @@
 	KeyRunning KeyState = iota + 1
 	// KeyDone: it ran and its answer is kept.
 	KeyDone
-	// KeyOpen: it ended without an answer and its non-idempotent call was never sent, so
+	// KeyRetryable: it ended without an answer and its non-idempotent call was never sent, so
 	// that an attempt above those that were told NotRun may run.
-	KeyOpen
-	// KeyUnknown: the non-idempotent call was sent; it is never sent again.
-	KeyUnknown
+	KeyRetryable
+	// KeyOutcomeUnknown: the non-idempotent call was sent; it is never sent again.
+	KeyOutcomeUnknown
 )
 
 // noAttempt is below every attempt's number.
@@ -54,7 +54,7 @@
 		LowestRunning int
 		Issued        time.Time
 		Answer        model.Answer
-		// Refusal is set in the states KeyOpen and KeyUnknown.
+		// Refusal is set in the states KeyRetryable and KeyOutcomeUnknown.
 		Refusal *model.Refusal
 		// Pending names the member that left and still runs the key; it alone may tell how
 		// the key ended.
@@ -112,9 +112,9 @@
 		answer := entry.Answer
 		answer.Repeated = true
 		return LedgerDecision{Action: LedgerAnswer, Answer: answer}
-	case KeyOpen:
+	case KeyRetryable:
 		if attempt <= entry.RefusedAttempt {
-			return refuseKey(model.NewRefusal(entry.verdictOf(attempt), model.KeyClosed, entry.Refusal.RetryAfter,
+			return refuseKey(model.NewRefusal(entry.refusalVerdict(attempt), model.KeyClosed, entry.Refusal.RetryAfter,
 				"the key was refused before ("+string(entry.Refusal.Reason)+"); send a new key or a higher Basilstall-Attempt"))
 		}
 		entry.State = KeyRunning
@@ -143,12 +143,12 @@
 func (l *Ledger) Refuse(key Key, refusal *model.Refusal, sent bool) *model.Refusal {
 	entry := l.entries[key.ID]
 	if refusal.Verdict == model.NotRun {
-		refusal = refusal.WithVerdict(entry.verdictOf(entry.LowestRunning))
+		refusal = refusal.WithVerdict(entry.refusalVerdict(entry.LowestRunning))
 	}
 	entry.Refusal = refusal
-	entry.State = KeyOpen
+	entry.State = KeyRetryable
 	if sent {
-		entry.State = KeyUnknown
+		entry.State = KeyOutcomeUnknown
 	}
 	if refusal.Verdict == model.NotRun {
 		entry.RefusedAttempt = max(entry.RefusedAttempt, entry.Attempt)
@@ -159,8 +159,8 @@
 	return refusal
 }
 
-// verdictOf returns what may be said of an attempt that is refused before anything runs.
-func (e LedgerEntry) verdictOf(attempt int) model.Verdict {
+// refusalVerdict returns what may be said of an attempt that is refused before anything runs.
+func (e LedgerEntry) refusalVerdict(attempt int) model.Verdict {
 	if attempt <= e.ReachedAttempt {
 		return model.MayHaveRun
 	}
@@ -257,7 +257,7 @@
 // withPending returns the entry as a successor holds it while the member that leaves still
 // runs it.
 func (e LedgerEntry) withPending(by string) LedgerEntry {
-	e.State = KeyUnknown
+	e.State = KeyOutcomeUnknown
 	e.Refusal = unknownOutcome()
 	e.Pending = by
 	return e
--- a/kernel/limit.go
+++ b/kernel/limit.go
@@ -54,7 +54,7 @@
 func SumPoolLoad(now time.Time, reports []Candidate) PoolLoad {
 	var sum PoolLoad
 	for _, c := range reports {
-		if !c.Endpoint.TakesWork() || now.Sub(c.LoadAt) > loadMemory {
+		if !c.Endpoint.TakesWork() || now.Sub(c.LoadAt) > loadReportTTL {
 			continue
 		}
 		sum.Queued += c.Load.Queued
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -14,7 +14,7 @@
 // Found in review: a pool may get requests of a route and pieces of a stage. The nodes that share what an endpoint takes use
 // it up with requests, and the pool's batcher sends pieces besides, 1.6 times the rate in all, 2.2 times with two batchers.
 // Cause: a bound on what all nodes send together, of which two kinds of senders each took the whole. Proved by: these tests
-// with mixedPart at 1.
+// with mixedShare at 1.
 
 // mixedTable returns a routing whose pool gets requests and pieces.
 func mixedTable() *kernel.RouteTable {
@@ -35,16 +35,16 @@
 func TestOnlyPoolsThatGetRequestsAndPiecesDivideWhatTheirEndpointsBear(t *testing.T) {
 	t.Parallel()
 	table := mixedTable()
-	must.Less(t, 1.0, table.Part("mixed"))
-	must.EqOp(t, 1.0, table.Part("stage"))
-	must.EqOp(t, 1.0, table.Part("engines"))
-	must.EqOp(t, 1.0, table.Part("unknown"))
+	must.Less(t, 1.0, table.Share("mixed"))
+	must.EqOp(t, 1.0, table.Share("stage"))
+	must.EqOp(t, 1.0, table.Share("engines"))
+	must.EqOp(t, 1.0, table.Share("unknown"))
 }
 
 // Requests and pieces together keep within the rate cap of an endpoint that gets both, also where a second batcher begins.
 func TestRequestsAndPiecesTogetherKeepWithinARateCap(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Part("mixed")
+	part := mixedTable().Share("mixed")
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			t.Parallel()
@@ -69,12 +69,12 @@
 // A cold endpoint that gets requests and pieces bears what both bring, also while two choices of senders are in force.
 func TestRequestsAndPiecesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Part("mixed")
-	for _, terms := range []kernel.ColdTerms{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+	part := mixedTable().Share("mixed")
+	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{4, 9.4, 50, 1000} {
 			perView := 0
-			for _, share := range []kernel.ColdShare{terms.PartShare(part, rate), terms.PartShare(part, rate).Single()} {
-				perView += share.Senders * int((1800*time.Millisecond+share.Pause-1)/share.Pause)
+			for _, share := range []kernel.ColdShare{terms.FractionalShare(part, rate), terms.FractionalShare(part, rate).ForSingleSender()} {
+				perView += share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
 			}
 			must.LessEq(t, int(max(rate, rate*terms.Excess+terms.Slack)), 2*perView, must.Sprint(terms, rate))
 		}
--- a/kernel/orders.go
+++ b/kernel/orders.go
@@ -8,8 +8,8 @@
 const (
 	// adapterCopies is on how many engines an adapter is kept that is in use.
 	adapterCopies = 2
-	// AdapterIdle is how long an adapter stays loaded that nobody uses.
-	AdapterIdle = time.Minute
+	// AdapterIdleTimeout is how long an adapter stays loaded that nobody uses.
+	AdapterIdleTimeout = time.Minute
 )
 
 type (
@@ -27,7 +27,7 @@
 		Name     string
 		Adapters []string
 		// Most is how many adapters it has room for.
-		Most int
+		MaxAdapters int
 	}
 
 	// Order tells an engine to load or evict an adapter.
@@ -39,24 +39,24 @@
 
 	// Orders is the level-triggered planner of one pool: it compares what is wanted with
 	// what the engines report. It changes in place.
-	Orders struct {
+	OrderPlanner struct {
 		demands map[string]Demand
 		// sent has the orders under way and until when they are not repeated.
-		sent map[Order]time.Time
+		inFlight map[Order]time.Time
 		// loads is when the weight store next gives a load.
 		nextLoad time.Time
-		// LoadEvery is the weight store's rate.
-		LoadEvery time.Duration
+		// LoadInterval is the weight store's rate.
+		LoadInterval time.Duration
 	}
 )
 
-// NewOrders returns a planner that keeps to the weight store's rate.
-func NewOrders(loadEvery time.Duration) *Orders {
-	return &Orders{demands: map[string]Demand{}, sent: map[Order]time.Time{}, LoadEvery: loadEvery}
+// NewOrderPlanner returns a planner that keeps to the weight store's rate.
+func NewOrderPlanner(loadEvery time.Duration) *OrderPlanner {
+	return &OrderPlanner{demands: map[string]Demand{}, inFlight: map[Order]time.Time{}, LoadInterval: loadEvery}
 }
 
 // Want takes a demand in.
-func (o *Orders) Want(now time.Time, d Demand) {
+func (o *OrderPlanner) AddDemand(now time.Time, d Demand) {
 	known, ok := o.demands[d.Adapter]
 	if !ok || known.Used.Before(d.Used) {
 		known.Used = d.Used
@@ -70,58 +70,58 @@
 
 // Ended notes that an order's outcome is known: it was obeyed, refused or failed. What was
 // obeyed shows in the engine's report; the rest may be ordered again.
-func (o *Orders) Ended(order Order) {
-	delete(o.sent, order)
+func (o *OrderPlanner) OrderEnded(order Order) {
+	delete(o.inFlight, order)
 }
 
 // Plan returns the orders to send now, the most urgent first. An order under way is not
 // repeated before it has had its time.
-func (o *Orders) Plan(now time.Time, engines []EngineView) []Order {
-	o.forgetIdle(now)
-	loads := o.loadsUnderWay(now)
+func (o *OrderPlanner) Plan(now time.Time, engines []EngineView) []Order {
+	o.dropIdleDemands(now)
+	loads := o.loadsInFlight(now)
 	var plan []Order
 	for _, d := range o.byUrgency() {
 		for copies := o.copies(d.Adapter, engines, loads); copies < min(adapterCopies, len(engines)); copies++ {
 			if now.Before(o.nextLoad) {
 				break
 			}
-			engine, evict := o.place(d.Adapter, engines, loads)
+			engine, evict := o.chooseEngine(d.Adapter, engines, loads)
 			if engine < 0 {
 				break
 			}
 			if evict != "" {
-				plan = o.send(now, plan, Order{Engine: engines[engine].Name, Adapter: evict, Evict: true})
+				plan = o.addOrder(now, plan, Order{Engine: engines[engine].Name, Adapter: evict, Evict: true})
 			}
-			plan = o.send(now, plan, Order{Engine: engines[engine].Name, Adapter: d.Adapter})
+			plan = o.addOrder(now, plan, Order{Engine: engines[engine].Name, Adapter: d.Adapter})
 			loads[engines[engine].Name] = append(loads[engines[engine].Name], d.Adapter)
-			o.nextLoad = now.Add(o.LoadEvery)
+			o.nextLoad = now.Add(o.LoadInterval)
 		}
 	}
 	return o.evictIdle(now, plan, engines)
 }
 
-func (o *Orders) send(now time.Time, plan []Order, order Order) []Order {
-	if until, underWay := o.sent[order]; underWay && now.Before(until) {
+func (o *OrderPlanner) addOrder(now time.Time, plan []Order, order Order) []Order {
+	if until, underWay := o.inFlight[order]; underWay && now.Before(until) {
 		return plan
 	}
-	o.sent[order] = now.Add(LongestOrder)
+	o.inFlight[order] = now.Add(OrderTimeout)
 	return append(plan, order)
 }
 
-func (o *Orders) forgetIdle(now time.Time) {
+func (o *OrderPlanner) dropIdleDemands(now time.Time) {
 	for adapter, d := range o.demands {
-		if now.Sub(d.Used) > AdapterIdle {
+		if now.Sub(d.Used) > AdapterIdleTimeout {
 			delete(o.demands, adapter)
 		}
 	}
 }
 
-// loadsUnderWay returns by engine the adapters that orders under way will load.
-func (o *Orders) loadsUnderWay(now time.Time) map[string][]string {
+// loadsInFlight returns by engine the adapters that orders under way will load.
+func (o *OrderPlanner) loadsInFlight(now time.Time) map[string][]string {
 	loads := map[string][]string{}
-	for order, until := range o.sent {
+	for order, until := range o.inFlight {
 		if !now.Before(until) {
-			delete(o.sent, order)
+			delete(o.inFlight, order)
 			continue
 		}
 		if !order.Evict {
@@ -131,7 +131,7 @@
 	return loads
 }
 
-func (o *Orders) byUrgency() []Demand {
+func (o *OrderPlanner) byUrgency() []Demand {
 	out := make([]Demand, 0, len(o.demands))
 	for _, d := range o.demands {
 		out = append(out, d)
@@ -154,7 +154,7 @@
 	return out
 }
 
-func (o *Orders) copies(adapter string, engines []EngineView, loads map[string][]string) int {
+func (o *OrderPlanner) copies(adapter string, engines []EngineView, loads map[string][]string) int {
 	n := 0
 	for _, e := range engines {
 		if slices.Contains(e.Adapters, adapter) || slices.Contains(loads[e.Name], adapter) {
@@ -166,17 +166,17 @@
 
 // place returns the engine with the fewest adapters that lacks this one, and what it must
 // evict for it: an adapter that nobody wants, or the one that was used longest ago.
-func (o *Orders) place(adapter string, engines []EngineView, loads map[string][]string) (engine int, evict string) {
+func (o *OrderPlanner) chooseEngine(adapter string, engines []EngineView, loads map[string][]string) (engine int, evict string) {
 	engine = -1
 	for i, e := range engines {
 		if slices.Contains(e.Adapters, adapter) || slices.Contains(loads[e.Name], adapter) {
 			continue
 		}
-		if engine < 0 || held(e, loads) < held(engines[engine], loads) {
+		if engine < 0 || adapterCount(e, loads) < adapterCount(engines[engine], loads) {
 			engine = i
 		}
 	}
-	if engine < 0 || held(engines[engine], loads) < engines[engine].Most {
+	if engine < 0 || adapterCount(engines[engine], loads) < engines[engine].MaxAdapters {
 		return engine, ""
 	}
 	e := engines[engine]
@@ -188,16 +188,16 @@
 	return engine, evict
 }
 
-func held(e EngineView, loads map[string][]string) int {
+func adapterCount(e EngineView, loads map[string][]string) int {
 	return len(e.Adapters) + len(loads[e.Name])
 }
 
 // evictIdle adds orders for what engines hold and nobody has wanted for long.
-func (o *Orders) evictIdle(now time.Time, plan []Order, engines []EngineView) []Order {
+func (o *OrderPlanner) evictIdle(now time.Time, plan []Order, engines []EngineView) []Order {
 	for _, e := range engines {
 		for _, adapter := range e.Adapters {
 			if _, wanted := o.demands[adapter]; !wanted {
-				plan = o.send(now, plan, Order{Engine: e.Name, Adapter: adapter, Evict: true})
+				plan = o.addOrder(now, plan, Order{Engine: e.Name, Adapter: adapter, Evict: true})
 			}
 		}
 	}
--- a/kernel/orders_test.go
+++ b/kernel/orders_test.go
@@ -32,14 +32,14 @@
 func TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing(t *testing.T) {
 	at := func(s int) time.Time { return ledgerStart.Add(time.Duration(s) * time.Second) }
 	lease := kernel.Lease{Holder: members(2)[0], Number: 1}
-	holder := kernel.LeaseWatch{}.WithRead(at(0), kernel.Lease{}, 0).WithWritten(at(3), at(1), lease, 1)
+	holder := kernel.LeaseView{}.WithRead(at(0), kernel.Lease{}, 0).WithWrite(at(3), at(1), lease, 1)
 	must.True(t, holder.MayOrder(at(3)))
 	must.True(t, holder.MayOrder(at(6)))
 	must.False(t, holder.MayOrder(at(7)), must.Sprint("a lease counts from when its write was sent"))
-	other := kernel.LeaseWatch{}.WithRead(at(2), lease, 1)
-	must.False(t, other.MayTake(at(9), 0), must.Sprint("the last order may still be under way"))
-	must.True(t, other.MayTake(at(10), 0))
-	must.False(t, other.MayTake(at(10), 1), must.Sprint("the next in rank waits longer"))
+	other := kernel.LeaseView{}.WithRead(at(2), lease, 1)
+	must.False(t, other.MayAcquire(at(9), 0), must.Sprint("the last order may still be under way"))
+	must.True(t, other.MayAcquire(at(10), 0))
+	must.False(t, other.MayAcquire(at(10), 1), must.Sprint("the next in rank waits longer"))
 }
 
 type leaseModel struct {
@@ -47,7 +47,7 @@
 	nodes   []kernel.Member
 	row     kernel.Lease
 	version uint64
-	watches [2]kernel.LeaseWatch
+	watches [2]kernel.LeaseView
 	// latest is by fencing number the latest arrival of an order.
 	latest map[uint64]time.Time
 	first  map[uint64]time.Time
@@ -63,7 +63,7 @@
 	next := kernel.Lease{Holder: m.nodes[i], Number: w.Lease.Number}
 	switch {
 	case w.ShouldRenew(m.now):
-	case w.MayTake(m.now, i):
+	case w.MayAcquire(m.now, i):
 		next.Number++
 	default:
 		t.Skip("may not write")
@@ -78,7 +78,7 @@
 		return
 	}
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "answer ms")) * time.Millisecond)
-	m.watches[i] = w.WithWritten(m.now, sent, next, m.version)
+	m.watches[i] = w.WithWrite(m.now, sent, next, m.version)
 }
 
 func (m *leaseModel) order(t *rapid.T) {
@@ -91,7 +91,7 @@
 		m.latest, m.first = map[uint64]time.Time{}, map[uint64]time.Time{}
 	}
 	number := w.Lease.Number
-	arrival := m.now.Add(kernel.LongestOrder)
+	arrival := m.now.Add(kernel.OrderTimeout)
 	if _, known := m.first[number]; !known {
 		m.first[number] = m.now
 	}
@@ -107,14 +107,14 @@
 }
 
 func TestOrdersReachTheWantedStateWithoutRepeats(t *testing.T) {
-	o := kernel.NewOrders(100 * time.Millisecond)
-	engines := []kernel.EngineView{{Name: "e1", Most: 2}, {Name: "e2", Most: 2}, {Name: "e3", Most: 2}}
+	o := kernel.NewOrderPlanner(100 * time.Millisecond)
+	engines := []kernel.EngineView{{Name: "e1", MaxAdapters: 2}, {Name: "e2", MaxAdapters: 2}, {Name: "e3", MaxAdapters: 2}}
 	sent := map[kernel.Order]int{}
 	now := ledgerStart
 	for i := range 60 {
 		now = now.Add(100 * time.Millisecond)
-		o.Want(now, kernel.Demand{Adapter: "a", Used: now})
-		o.Want(now, kernel.Demand{Adapter: "b", Used: now, Deadline: now.Add(time.Second)})
+		o.AddDemand(now, kernel.Demand{Adapter: "a", Used: now})
+		o.AddDemand(now, kernel.Demand{Adapter: "b", Used: now, Deadline: now.Add(time.Second)})
 		loads := 0
 		for _, order := range o.Plan(now, engines) {
 			sent[order]++
@@ -122,7 +122,7 @@
 			// The engine obeys some time later; every third order is lost.
 			if (i+loads)%3 != 0 {
 				obey(engines, order)
-				o.Ended(order)
+				o.OrderEnded(order)
 			}
 		}
 		must.LessEq(t, 1, loads, must.Sprint("the weight store's rate"))
@@ -138,22 +138,22 @@
 }
 
 func TestOrdersLoadTheMostUrgentAndEvictTheIdle(t *testing.T) {
-	o := kernel.NewOrders(time.Second)
+	o := kernel.NewOrderPlanner(time.Second)
 	now := ledgerStart
 	for i, name := range []string{"late", "soon", "calm"} {
 		d := kernel.Demand{Adapter: name, Used: now}
 		if name != "calm" {
 			d.Deadline = now.Add(time.Duration(5-i) * time.Second)
 		}
-		o.Want(now, d)
+		o.AddDemand(now, d)
 	}
-	engines := []kernel.EngineView{{Name: "e1", Most: 1, Adapters: []string{"old"}}}
+	engines := []kernel.EngineView{{Name: "e1", MaxAdapters: 1, Adapters: []string{"old"}}}
 	plan := o.Plan(now, engines)
 	must.Eq(t, []kernel.Order{
 		{Engine: "e1", Adapter: "old", Evict: true},
 		{Engine: "e1", Adapter: "soon"},
 	}, plan)
-	idle := o.Plan(now.Add(2*kernel.AdapterIdle), []kernel.EngineView{{Name: "e1", Most: 1, Adapters: []string{"soon"}}})
+	idle := o.Plan(now.Add(2*kernel.AdapterIdleTimeout), []kernel.EngineView{{Name: "e1", MaxAdapters: 1, Adapters: []string{"soon"}}})
 	must.Eq(t, []kernel.Order{{Engine: "e1", Adapter: "soon", Evict: true}}, idle)
 }
 
--- a/kernel/permits.go
+++ b/kernel/permits.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// PermitLasts is how long after it was asked for a permit may be used: what it lets through arrives about when
+	// PermitLifetime is how long after it was asked for a permit may be used: what it lets through arrives about when
 	// the sends of its giver do.
-	PermitLasts = 300 * time.Millisecond
-	// permitSilence is how long a node is not asked again that did not answer, or does not share the cap.
-	permitSilence = time.Second
-	// mostPermitWait is the longest that a node has to wait for its turn. Together with the turns it bounds
+	PermitLifetime = 300 * time.Millisecond
+	// permitRetryPause is how long a node is not asked again that did not answer, or does not share the cap.
+	permitRetryPause = time.Second
+	// maxPermitWait is the longest that a node has to wait for its turn. Together with the turns it bounds
 	// the questions that one node gets.
-	mostPermitWait = 5 * time.Second
+	maxPermitWait = 5 * time.Second
 )
 
 type (
@@ -27,9 +27,9 @@
 		deniedUntil map[string]time.Time
 	}
 
-	// PermitDesk counts, at a node that shares an endpoint's rate cap, who was turned away since it last sent or let
+	// PermitIssuer counts, at a node that shares an endpoint's rate cap, who was turned away since it last sent or let
 	// another node send. It is immutable.
-	PermitDesk struct {
+	PermitIssuer struct {
 		sentAt time.Time
 		denied int
 	}
@@ -58,7 +58,7 @@
 // WithDenial returns the permits after a sharer let this node wait for a time; none stands for one that did not answer.
 func (p Permits) WithDenial(now time.Time, sharer string, wait time.Duration) Permits {
 	if wait <= 0 {
-		wait = permitSilence
+		wait = permitRetryPause
 	}
 	out := Permits{sharers: p.sharers, deniedUntil: map[string]time.Time{}}
 	maps.Copy(out.deniedUntil, p.deniedUntil)
@@ -88,20 +88,20 @@
 // Permit decides whether a node lets another one send a request to the endpoint in its place, given when it last did so
 // or sent one itself, and its place by the endpoint's hash. Who has to wait learns when its turn comes, after all that
 // were turned away before, so that few ask in vain.
-func (d PermitDesk) Permit(now time.Time, b CapBelief, sentAt time.Time, place int) (next PermitDesk, granted bool, wait time.Duration) {
+func (d PermitIssuer) Permit(now time.Time, b CapView, sentAt time.Time, place int) (next PermitIssuer, granted bool, wait time.Duration) {
 	switch {
 	case !b.Cap.Stated:
 		// What this node does not know of, the other one may have learned since: it sends as little as before.
-		return d, false, permitSilence
+		return d, false, permitRetryPause
 	case place >= capSenders:
-		return d, false, permitSilence
+		return d, false, permitRetryPause
 	case b.Due(now, sentAt, place):
-		return PermitDesk{sentAt: now}, true, 0
+		return PermitIssuer{sentAt: now}, true, 0
 	}
 	if !d.sentAt.Equal(sentAt) {
-		d = PermitDesk{sentAt: sentAt}
+		d = PermitIssuer{sentAt: sentAt}
 	}
 	wait = sentAt.Add(b.pause()).Sub(now) + time.Duration(d.denied)*b.pause()
 	d.denied++
-	return d, false, min(wait, mostPermitWait)
+	return d, false, min(wait, maxPermitWait)
 }
--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -19,7 +19,7 @@
 type askingFleet struct {
 	*cappedFleet
 	permits   map[string]kernel.Permits
-	desks     map[string]kernel.PermitDesk
+	desks     map[string]kernel.PermitIssuer
 	questions int
 }
 
@@ -93,7 +93,7 @@
 }
 
 func newAskingFleet(nodes int, perSecond float64) *askingFleet {
-	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, desks: map[string]kernel.PermitDesk{}}
+	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, desks: map[string]kernel.PermitIssuer{}}
 }
 
 // Requests that come to any node of a fleet use most of what an endpoint with a rate cap takes, and no more, whoever joins,
@@ -149,8 +149,8 @@
 func TestPermitDesk(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	one := kernel.CapBelief{}.WithNotice(now, model.NewRateCap(1))
-	desk, granted, _ := kernel.PermitDesk{}.Permit(now, one, now.Add(-4*time.Second), 0)
+	one := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
+	desk, granted, _ := kernel.PermitIssuer{}.Permit(now, one, now.Add(-4*time.Second), 0)
 	must.True(t, granted)
 	for _, want := range []time.Duration{3 * time.Second, 5 * time.Second, 5 * time.Second} {
 		var wait time.Duration
@@ -163,7 +163,7 @@
 	must.EqOp(t, 3*time.Second, wait, must.Sprint("who was turned away before the last send is not waited for"))
 	_, granted, _ = desk.Permit(now.Add(time.Hour), one, now, 4)
 	must.False(t, granted)
-	_, granted, _ = desk.Permit(now.Add(time.Hour), kernel.CapBelief{}, now, 0)
+	_, granted, _ = desk.Permit(now.Add(time.Hour), kernel.CapView{}, now, 0)
 	must.False(t, granted)
 }
 
--- a/kernel/pieces.go
+++ b/kernel/pieces.go
@@ -17,7 +17,7 @@
 		ResultBytes int64
 		// Inputs are the results that each of the pieces is made from. With FreeInputs nothing else
 		// needs them, and they may be freed once the calls have fetched them.
-		Inputs     []MadePiece
+		Inputs     []ResultRef
 		FreeInputs bool
 		// Domain is the failure domain where the inputs lie or the results are wanted; empty
 		// where it does not matter. After LocalityWait other domains are as good.
@@ -43,15 +43,15 @@
 		bytes  []int64
 		// startedAt is when the call was handed out, stated what it should take, fetching until
 		// when its endpoint needs the inputs at most.
-		startedAt time.Time
-		stated    time.Duration
-		fetching  time.Duration
+		startedAt  time.Time
+		statedTime time.Duration
+		fetchTime  time.Duration
 		// probe is true for a call that finds out whether a slow endpoint still is.
 		probe bool
 	}
 
-	// MadePiece is a result with its place.
-	MadePiece struct {
+	// ResultRef is a result with its place.
+	ResultRef struct {
 		Number int
 		Handle string
 		// Worker is the incarnation of the endpoint that holds the result, of a pool and in a failure domain.
@@ -66,7 +66,7 @@
 	// fault.
 	GroupOutcome struct {
 		Group uint64
-		Made  []MadePiece
+		Made  []ResultRef
 		Fault model.PieceFault
 		// Waited is how long the last of its pieces waited for a call.
 		Waited time.Duration
--- a/kernel/placement.go
+++ b/kernel/placement.go
@@ -103,12 +103,12 @@
 }
 
 func (e EngineCandidate) loadTokens(now time.Time) float64 {
-	return float64(e.PendingPrefillTokens) + decodeLoadTokens*loadOf(now, e.Candidate, e.Endpoint.FailureDomain)
+	return float64(e.PendingPrefillTokens) + decodeLoadTokens*estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain)
 }
 
 func (e EngineCandidate) nearlyFull(now time.Time) bool {
 	if e.Load.Slots == 0 {
 		return false
 	}
-	return loadOf(now, e.Candidate, e.Endpoint.FailureDomain) >= maxSlotShare*float64(e.Load.Slots)
+	return estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain) >= maxSlotShare*float64(e.Load.Slots)
 }
--- a/kernel/plugin.go
+++ b/kernel/plugin.go
@@ -17,7 +17,7 @@
 
 type (
 	// Work is what a plug-in knows of the stage that it prepares.
-	Work struct {
+	StageContext struct {
 		Request model.Request
 		Stage   model.Stage
 		Carry   model.Carry
@@ -32,9 +32,9 @@
 		// Streams is true where the endpoint answers with a stream of tokens.
 		Streams bool
 		// Prepare fills the call's fields beyond its identity and deadline.
-		Prepare func(Work) model.StageCall
+		Prepare func(StageContext) model.StageCall
 		// Accept turns a whole reply into what the next stage gets.
-		Accept func(Work, model.StageReply) (model.Carry, error)
+		Accept func(StageContext, model.StageReply) (model.Carry, error)
 		// Check returns what is wrong with a stage's settings, or "".
 		Check func(model.Stage) string
 	}
@@ -70,9 +70,9 @@
 	return kinds
 }
 
-// TokensOf returns how many tokens a stage may generate for a request; zero for a stage that
+// MaxTokens returns how many tokens a stage may generate for a request; zero for a stage that
 // generates none.
-func TokensOf(req model.Request, stage model.Stage) int {
+func MaxTokens(req model.Request, stage model.Stage) int {
 	if stage.Kind != model.Generate {
 		return 0
 	}
--- a/kernel/policy.go
+++ b/kernel/policy.go
@@ -8,35 +8,35 @@
 	SpacedCalls Mechanism = iota
 	// LateLast orders work that can no longer be on time after all that can.
 	LateLast
-	// NearInputs lets pieces wait for a worker in the failure domain where their inputs lie.
-	NearInputs
-	// FreedOnceFetched frees the inputs of a call once it has fetched them.
-	FreedOnceFetched
-	// ReleasedAtFirstEvent frees the inputs of a stream that may be resumed at its first event, where
+	// InputLocality lets pieces wait for a worker in the failure domain where their inputs lie.
+	InputLocality
+	// FreeInputsOnceFetched frees the inputs of a call once it has fetched them.
+	FreeInputsOnceFetched
+	// FreeInputsAtFirstEvent frees the inputs of a stream that may be resumed at its first event, where
 	// their pool's room is scarce.
-	ReleasedAtFirstEvent
-	// RoomLearnt takes what workers refuse for lack of room as a measure of what others left there.
-	RoomLearnt
-	// OneBatcher keeps a pool with the node that batches for it until that one leaves or is lost, and
+	FreeInputsAtFirstEvent
+	// LearnRoomFromRefusals takes what workers refuse for lack of room as a measure of what others left there.
+	LearnRoomFromRefusals
+	// SingleBatcher keeps a pool with the node that batches for it until that one leaves or is lost, and
 	// sends groups on to it that come elsewhere.
-	OneBatcher
-	// NextProbed asks several nodes at once which of them is there when a batcher was lost.
-	NextProbed
-	// OwnWait tells each request the wait of its own pieces: by their size and by when they are due.
-	OwnWait
-	// KnownReturns counts the objective of callers that come back from their first attempt.
-	KnownReturns
+	SingleBatcher
+	// ProbeSuccessors asks several nodes at once which of them is there when a batcher was lost.
+	ProbeSuccessors
+	// WaitPerRequest tells each request the wait of its own pieces: by their size and by when they are due.
+	WaitPerRequest
+	// ObjectiveFromFirstAttempt counts the objective of callers that come back from their first attempt.
+	ObjectiveFromFirstAttempt
 	// PrefixAffinity sends prompts that share their beginning to the same engine.
 	PrefixAffinity
 	// HedgedReads sends a repeatable request without an answer to a second endpoint.
 	HedgedReads
-	// LateEnded ends work that can no longer be on time once others have passed it by for too long.
-	LateEnded
-	// SlowWorkers gives workers that have turned slow only what they make in time, and has what they hold up made
+	// EndStarvedGroups ends work that can no longer be on time once others have passed it by for too long.
+	EndStarvedGroups
+	// AvoidSlowWorkers gives workers that have turned slow only what they make in time, and has what they hold up made
 	// elsewhere.
-	SlowWorkers
-	// RankedWhenOverloaded has priority count in the order of pieces only while not all can be on time.
-	RankedWhenOverloaded
+	AvoidSlowWorkers
+	// RankOnlyWhenOverloaded has priority count in the order of pieces only while not all can be on time.
+	RankOnlyWhenOverloaded
 )
 
 type (
--- a/kernel/quantiles.go
+++ b/kernel/quantiles.go
@@ -9,9 +9,9 @@
 	quantileBuckets = 72
 	quantileFloor   = 100 * time.Microsecond
 	quantileGrowth  = 1.2
-	// quantileMemory is the count at which all buckets are halved, so that old
+	// quantileDecayCount is the count at which all buckets are halved, so that old
 	// observations lose weight.
-	quantileMemory = 512
+	quantileDecayCount = 512
 )
 
 // Quantiles estimates quantiles of recent durations from 100 µs to about 50 s, within a
@@ -25,7 +25,7 @@
 func (q *Quantiles) Observe(d time.Duration) {
 	q.counts[quantileBucket(d)]++
 	q.total++
-	if q.total < quantileMemory {
+	if q.total < quantileDecayCount {
 		return
 	}
 	q.total = 0
--- a/kernel/ratecap_test.go
+++ b/kernel/ratecap_test.go
@@ -35,7 +35,7 @@
 	cappedFleet struct {
 		rng    *rand.Rand
 		now    time.Time
-		belief kernel.CapBelief
+		belief kernel.CapView
 		nodes  []*cappedNode
 	}
 
@@ -159,7 +159,7 @@
 		}
 	}
 	n.settled = n.settled.With(now, n.known)
-	n.place = n.settled.Place(now, n.name, "engine")
+	n.place = n.settled.Rank(now, n.name, "engine")
 }
 
 // restart has a node forget all but what it reads of the others.
@@ -271,7 +271,7 @@
 		"stated by an answer that was under way": {[]answer{{0, 1, two}, {2, 3, none}, {2.5, 4, one}}, one},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var b kernel.CapBelief
+			var b kernel.CapView
 			for _, a := range tc.answers {
 				b = b.WithAnswer(at(a.asked), at(a.came), a.stated)
 			}
@@ -286,10 +286,10 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one, none := model.NewRateCap(1), model.RateCap{}
-	noticed := kernel.CapBelief{}.WithNotice(now, one)
+	noticed := kernel.CapView{}.WithNotice(now, one)
 	must.Eq(t, one, noticed.Cap)
 	must.Eq(t, none, noticed.WithNotice(now.Add(time.Second), none).Cap)
-	answered := kernel.CapBelief{}.WithAnswer(now, now, one)
+	answered := kernel.CapView{}.WithAnswer(now, now, one)
 	must.Eq(t, one, answered.WithNotice(now.Add(time.Second), none).Cap)
 	must.Eq(t, none, answered.WithNotice(now.Add(time.Minute), none).Cap)
 	two, half := model.NewRateCap(2), model.NewRateCap(0.5)
@@ -304,16 +304,16 @@
 	start := time.Unix(1000, 0)
 	published := map[int]int{}
 	for place := range 3 {
-		var news kernel.CapNews
+		var news kernel.CapPublisher
 		for i := range 600 {
 			now := start.Add(time.Duration(i) * 200 * time.Millisecond)
-			news.Belief = news.Belief.WithAnswer(now, now, model.NewRateCap(1+float64(i%7)/10))
+			news.View = news.View.WithAnswer(now, now, model.NewRateCap(1+float64(i%7)/10))
 			if place > 0 && i == 0 {
-				news.Notice(now, news.Belief.Cap)
+				news.ApplyNotice(now, news.View.Cap)
 			}
-			if news.Publishes(now, place, 0.5) {
+			if news.ShouldPublish(now, place, 0.5) {
 				published[place]++
-				news.Wrote(now, news.Belief.Cap, true)
+				news.RecordWrite(now, news.View.Cap, true)
 			}
 		}
 	}
@@ -329,22 +329,22 @@
 	const length, look = 2 * time.Minute, 200 * time.Millisecond
 	start := time.Unix(1000, 0)
 	published := 0
-	var news kernel.CapNews
+	var news kernel.CapPublisher
 	for elapsed := time.Duration(0); elapsed < length; elapsed += look {
 		now := start.Add(elapsed)
 		stated := model.RateCap{}
 		if elapsed/look%2 == 0 {
 			stated = model.NewRateCap(1)
 		}
-		news.Belief = news.Belief.WithAnswer(now, now, stated)
-		if news.Publishes(now, 0, 0.5) {
+		news.View = news.View.WithAnswer(now, now, stated)
+		if news.ShouldPublish(now, 0, 0.5) {
 			published++
-			news.Wrote(now, news.Belief.Cap, true)
+			news.RecordWrite(now, news.View.Cap, true)
 		}
 	}
 	must.Between(t, 2, published, int(length/(2*time.Second))+1)
-	news.Belief = news.Belief.WithAnswer(start.Add(length), start.Add(length), model.NewRateCap(1))
-	must.True(t, news.Published.Stated || news.Publishes(start.Add(length+2*time.Second), 0, 0.5), must.Sprint("the last change is published"))
+	news.View = news.View.WithAnswer(start.Add(length), start.Add(length), model.NewRateCap(1))
+	must.True(t, news.Published.Stated || news.ShouldPublish(start.Add(length+2*time.Second), 0, 0.5), must.Sprint("the last change is published"))
 }
 
 // The first node by hash publishes a cap at once, the others only where nobody has; one that cannot tries on, less and less
@@ -353,54 +353,54 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one, none := model.NewRateCap(1), model.RateCap{}
-	first := kernel.CapNews{Belief: kernel.CapBelief{}.WithAnswer(now, now, one)}
-	must.True(t, first.Publishes(now, 0, 0.5))
-	first.Wrote(now, one, false)
-	must.False(t, first.Publishes(now, 0, 0.5))
-	must.True(t, first.Publishes(now.Add(time.Second), 0, 0.5))
-	first.Wrote(now.Add(time.Second), one, false)
-	must.False(t, first.Publishes(now.Add(2*time.Second), 0, 0.5))
-	must.True(t, first.Publishes(now.Add(3*time.Second), 0, 0.5))
-	first.Wrote(now.Add(3*time.Second), one, true)
-	must.False(t, first.Publishes(now.Add(time.Hour), 0, 0.5))
+	first := kernel.CapPublisher{View: kernel.CapView{}.WithAnswer(now, now, one)}
+	must.True(t, first.ShouldPublish(now, 0, 0.5))
+	first.RecordWrite(now, one, false)
+	must.False(t, first.ShouldPublish(now, 0, 0.5))
+	must.True(t, first.ShouldPublish(now.Add(time.Second), 0, 0.5))
+	first.RecordWrite(now.Add(time.Second), one, false)
+	must.False(t, first.ShouldPublish(now.Add(2*time.Second), 0, 0.5))
+	must.True(t, first.ShouldPublish(now.Add(3*time.Second), 0, 0.5))
+	first.RecordWrite(now.Add(3*time.Second), one, true)
+	must.False(t, first.ShouldPublish(now.Add(time.Hour), 0, 0.5))
 
-	other := kernel.CapNews{Belief: kernel.CapBelief{}.WithAnswer(now, now, one)}
-	must.False(t, other.Publishes(now, 7, 0))
-	must.False(t, other.Publishes(now.Add(400*time.Millisecond), 7, 0))
-	other.Notice(now.Add(450*time.Millisecond), one)
-	must.False(t, other.Publishes(now.Add(time.Hour), 7, 0))
+	other := kernel.CapPublisher{View: kernel.CapView{}.WithAnswer(now, now, one)}
+	must.False(t, other.ShouldPublish(now, 7, 0))
+	must.False(t, other.ShouldPublish(now.Add(400*time.Millisecond), 7, 0))
+	other.ApplyNotice(now.Add(450*time.Millisecond), one)
+	must.False(t, other.ShouldPublish(now.Add(time.Hour), 7, 0))
 
-	first.Belief = first.Belief.WithAnswer(now.Add(time.Minute), now.Add(time.Minute), none)
-	must.True(t, first.Publishes(now.Add(time.Minute), 0, 0.5))
-	must.False(t, first.Forgettable())
-	first.Wrote(now.Add(time.Minute), none, true)
-	must.True(t, first.Forgettable())
+	first.View = first.View.WithAnswer(now.Add(time.Minute), now.Add(time.Minute), none)
+	must.True(t, first.ShouldPublish(now.Add(time.Minute), 0, 0.5))
+	must.False(t, first.Removable())
+	first.RecordWrite(now.Add(time.Minute), none, true)
+	must.True(t, first.Removable())
 
-	other.Listed(now.Add(time.Hour), false)
-	must.Eq(t, one, other.Belief.Cap)
-	other.Listed(now.Add(time.Hour+time.Minute), false)
-	must.Eq(t, none, other.Belief.Cap)
-	must.False(t, other.Forgettable())
+	other.SetListed(now.Add(time.Hour), false)
+	must.Eq(t, one, other.View.Cap)
+	other.SetListed(now.Add(time.Hour+time.Minute), false)
+	must.Eq(t, none, other.View.Cap)
+	must.False(t, other.Removable())
 }
 
 // A request that only endpoints at their caps could serve is refused at once, as not run and with when to come back.
 func TestARequestThatOnlyCappedEndpointsCouldServeIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	one := kernel.CapBelief{}.WithNotice(now.Add(-time.Minute), model.NewRateCap(1))
-	sender := kernel.CappedEndpoint{Belief: one, SentAt: now.Add(-time.Second)}
-	other := kernel.CappedEndpoint{Belief: one, SentAt: now.Add(-time.Second), Place: 9}
+	one := kernel.CapView{}.WithNotice(now.Add(-time.Minute), model.NewRateCap(1))
+	sender := kernel.CappedEndpoint{View: one, SentAt: now.Add(-time.Second)}
+	other := kernel.CappedEndpoint{View: one, SentAt: now.Add(-time.Second), Rank: 9}
 	for name, tc := range map[string]struct {
 		endpoints []kernel.CappedEndpoint
 		refused   bool
 		retry     time.Duration
 	}{
 		"none":                            {nil, false, 0},
-		"one that may be sent to":         {[]kernel.CappedEndpoint{sender, {Belief: one}}, false, 0},
+		"one that may be sent to":         {[]kernel.CappedEndpoint{sender, {View: one}}, false, 0},
 		"this node sends later":           {[]kernel.CappedEndpoint{other, sender}, true, 3 * time.Second},
 		"other nodes send":                {[]kernel.CappedEndpoint{other, other}, true, 500 * time.Millisecond},
 		"other nodes send, many at once":  {slices.Repeat([]kernel.CappedEndpoint{other}, 100), true, 150 * time.Millisecond},
-		"other nodes send, hardly at all": {[]kernel.CappedEndpoint{{Belief: kernel.CapBelief{}.WithNotice(now, model.NewRateCap(0)), Place: 9}}, true, time.Second},
+		"other nodes send, hardly at all": {[]kernel.CappedEndpoint{{View: kernel.CapView{}.WithNotice(now, model.NewRateCap(0)), Rank: 9}}, true, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			refusal := kernel.AdmitCapped(now, "engines", tc.endpoints)
--- a/kernel/ratecapnews.go
+++ b/kernel/ratecapnews.go
@@ -20,15 +20,15 @@
 	// capPublishAgain is the pause after a first failure to write; each is twice the one before, up to capPublishMost.
 	capPublishAgain = time.Second
 	capPublishMost  = 15 * time.Second
-	// capGone is how long an endpoint may be missing from the list before its cap is forgotten.
-	capGone = 10 * time.Second
+	// capUnlistedTTL is how long an endpoint may be missing from the list before its cap is forgotten.
+	capUnlistedTTL = 10 * time.Second
 )
 
-// CapNews is what one node has to tell the others of an endpoint's rate cap, through a table that all follow. It changes
+// CapPublisher is what one node has to tell the others of an endpoint's rate cap, through a table that all follow. It changes
 // in place.
-type CapNews struct {
+type CapPublisher struct {
 	// Belief is what the node itself believes.
-	Belief CapBelief
+	View CapView
 	// Published is what the table says.
 	Published model.RateCap
 
@@ -41,33 +41,33 @@
 }
 
 // Notice takes in what the table says from now on.
-func (n *CapNews) Notice(now time.Time, stated model.RateCap) {
+func (n *CapPublisher) ApplyNotice(now time.Time, stated model.RateCap) {
 	n.Published, n.publishedAt = stated, now
-	n.Belief = n.Belief.WithNotice(now, stated)
+	n.View = n.View.WithNotice(now, stated)
 }
 
 // Listed takes in whether the endpoint is still listed.
-func (n *CapNews) Listed(now time.Time, listed bool) {
+func (n *CapPublisher) SetListed(now time.Time, listed bool) {
 	switch {
 	case listed:
 		n.goneFrom = time.Time{}
 	case n.goneFrom.IsZero():
 		n.goneFrom = now
-	case now.Sub(n.goneFrom) >= capGone:
-		n.Belief = n.Belief.WithoutEndpoint(now)
+	case now.Sub(n.goneFrom) >= capUnlistedTTL:
+		n.View = n.View.WithoutEndpoint(now)
 	}
 }
 
 // Publishes tells whether the node is to write its belief into the table now. The draw is evenly between 0 and 1.
-func (n *CapNews) Publishes(now time.Time, place int, draw float64) bool {
-	if n.Belief.Cap == n.Published {
+func (n *CapPublisher) ShouldPublish(now time.Time, place int, draw float64) bool {
+	if n.View.Cap == n.Published {
 		n.publishAt, n.pause = time.Time{}, 0
 		return false
 	}
 	if !n.wroteAt.IsZero() && now.Sub(n.wroteAt) < capPublishPause {
 		return false
 	}
-	if n.Belief.Cap.Stated && n.Published.Stated && (place > 0 || now.Sub(n.publishedAt) < capPublishRate) {
+	if n.View.Cap.Stated && n.Published.Stated && (place > 0 || now.Sub(n.publishedAt) < capPublishRate) {
 		return false
 	}
 	if n.publishAt.IsZero() {
@@ -80,7 +80,7 @@
 }
 
 // Wrote takes in whether the belief could be written.
-func (n *CapNews) Wrote(now time.Time, written model.RateCap, ok bool) {
+func (n *CapPublisher) RecordWrite(now time.Time, written model.RateCap, ok bool) {
 	if ok {
 		n.Published, n.publishedAt, n.wroteAt = written, now, now
 		return
@@ -90,6 +90,6 @@
 }
 
 // Forgettable tells whether there is nothing to remember.
-func (n *CapNews) Forgettable() bool {
-	return !n.Belief.Cap.Stated && !n.Published.Stated
+func (n *CapPublisher) Removable() bool {
+	return !n.View.Cap.Stated && !n.Published.Stated
 }
--- a/kernel/ratelimit.go
+++ b/kernel/ratelimit.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// mostHoldersAsked is how many of the nodes that hold a customer's rate are asked for one request: each costs a round
+	// maxHoldersAsked is how many of the nodes that hold a customer's rate are asked for one request: each costs a round
 	// trip, and one may have used up its part while others have not.
-	mostHoldersAsked = 3
+	maxHoldersAsked = 3
 	// rateBurst is how many seconds of its rate a customer may use at once.
 	rateBurst = 1.0
 )
@@ -36,12 +36,12 @@
 	}
 	first := min(int(draw*float64(len(holders))), len(holders)-1)
 	ask := slices.Concat(holders[first:], holders[:first])
-	return ask[:min(mostHoldersAsked, len(ask))]
+	return ask[:min(maxHoldersAsked, len(ask))]
 }
 
-// RateShare is the part of a customer's fleet-wide rate that one of several nodes holds. A customer that idles has no
-// RateShare at all.
-type RateShare struct {
+// RateBucket is the part of a customer's fleet-wide rate that one of several nodes holds. A customer that idles has no
+// RateBucket at all.
+type RateBucket struct {
 	// Tokens is at most the burst.
 	Tokens float64
 	// Rate is the node's share, in requests a second.
@@ -49,9 +49,9 @@
 	At   time.Time
 }
 
-// WithRequest returns the share after one request, whether it is within the customer's
+// Take returns the share after one request, whether it is within the customer's
 // rate, and when to come back if not.
-func (s RateShare) WithRequest(now time.Time, fleetRate float64, nodes int) (RateShare, bool, time.Duration) {
+func (s RateBucket) Take(now time.Time, fleetRate float64, nodes int) (RateBucket, bool, time.Duration) {
 	s.Rate = fleetRate / float64(max(1, nodes))
 	if s.At.IsZero() {
 		s.Tokens = s.burst()
@@ -61,21 +61,21 @@
 	s.At = now
 	if s.Tokens < 1 {
 		wait := time.Duration((1 - s.Tokens) / s.Rate * float64(time.Second))
-		return s, false, RetryAfter(wait)
+		return s, false, ClampRetryAfter(wait)
 	}
 	s.Tokens--
 	return s, true, 0
 }
 
 // Idle tells whether the share is as good as new, so that it can be dropped.
-func (s RateShare) Idle(now time.Time) bool {
+func (s RateBucket) Full(now time.Time) bool {
 	return s.tokensAt(now) >= s.burst()
 }
 
-func (s RateShare) burst() float64 {
+func (s RateBucket) burst() float64 {
 	return max(1, s.Rate*rateBurst)
 }
 
-func (s RateShare) tokensAt(now time.Time) float64 {
+func (s RateBucket) tokensAt(now time.Time) float64 {
 	return min(s.burst(), s.Tokens+s.Rate*now.Sub(s.At).Seconds())
 }
--- a/kernel/ratelimit_test.go
+++ b/kernel/ratelimit_test.go
@@ -21,12 +21,12 @@
 	rate    float64
 	nodes   []string
 	holders []string
-	shares  map[string]kernel.RateShare
+	shares  map[string]kernel.RateBucket
 	asked   int
 }
 
 func newRateFleet(nodes int, rate float64) *rateFleet {
-	f := &rateFleet{rng: rand.New(rand.NewPCG(uint64(nodes), 1)), rate: rate, shares: map[string]kernel.RateShare{}}
+	f := &rateFleet{rng: rand.New(rand.NewPCG(uint64(nodes), 1)), rate: rate, shares: map[string]kernel.RateBucket{}}
 	for _, p := range peersNamed("node", nodes) {
 		f.nodes = append(f.nodes, p.Name)
 	}
@@ -40,7 +40,7 @@
 		if holder != node {
 			f.asked++
 		}
-		share, ok, _ := f.shares[holder].WithRequest(now, f.rate, len(f.holders))
+		share, ok, _ := f.shares[holder].Take(now, f.rate, len(f.holders))
 		f.shares[holder] = share
 		if ok {
 			return true
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -42,7 +42,7 @@
 
 	readingNode struct {
 		kernel.Peer
-		reading  *kernel.Reading
+		reading  *kernel.SourceSelector
 		provenAt time.Time
 		reads    bool
 		down     bool
@@ -65,7 +65,7 @@
 			p := kernel.Peer{Name: fmt.Sprintf("node-%d-%d", d, n), Domain: fmt.Sprint("domain-", d), Capacity: 1}
 			f.peers = append(f.peers, p)
 			f.nodes[p.Name] = &readingNode{
-				Peer: p, reading: kernel.NewReading(p.Name, p.Domain, readingMostAge), provenAt: f.now, suspects: map[string]bool{},
+				Peer: p, reading: kernel.NewSourceSelector(p.Name, p.Domain, readingMostAge), provenAt: f.now, suspects: map[string]bool{},
 				round: f.now.Add(time.Duration(f.random.Int64N(int64(readingRound)))),
 			}
 		}
@@ -109,7 +109,7 @@
 	n.call = f.now.Add(readingPause)
 }
 
-func (f *readingFleet) plan(n *readingNode) kernel.ReadingPlan {
+func (f *readingFleet) plan(n *readingNode) kernel.SourcePlan {
 	var reachable []kernel.Peer
 	for _, p := range f.peers {
 		if !n.suspects[p.Name] {
@@ -132,7 +132,7 @@
 			return
 		}
 		f.hear(source, n)
-		if (plan.Waits || tried == readingTries-1) && f.knowsLittle(source) {
+		if (plan.LongPoll || tried == readingTries-1) && f.knowsLittle(source) {
 			n.holds, n.until = source.Name, f.now.Add(readingHold)
 			return
 		}
@@ -146,15 +146,15 @@
 }
 
 // endInVain ends a look around in which no node's word was enough.
-func (f *readingFleet) endInVain(n *readingNode, plan kernel.ReadingPlan) {
+func (f *readingFleet) endInVain(n *readingNode, plan kernel.SourcePlan) {
 	pause := readingRound
 	if plan.Source != "" {
 		pause = readingTrouble
 	}
 	f.end(n, plan, pause)
-	if !plan.Reads && n.reading.TriesStore(f.peers, f.random.Float64()) {
+	if !plan.ReadStore && n.reading.ShouldProbeStore(f.peers, f.random.Float64()) {
 		f.askStore(n)
-		n.reading.Tried(!n.down)
+		n.reading.RecordProbe(!n.down)
 		f.end(n, f.plan(n), pause)
 	}
 }
@@ -166,7 +166,7 @@
 // hear tells a node that is asked who asks it.
 func (f *readingFleet) hear(asked, by *readingNode) {
 	if asked.lost() && by.provenAt.After(asked.provenAt) {
-		asked.reading.Heard(f.now, by.Name)
+		asked.reading.RecordFresherNode(f.now, by.Name)
 	}
 }
 
@@ -187,17 +187,17 @@
 	if source.provenAt.After(n.provenAt) {
 		n.provenAt = source.provenAt
 	}
-	return n.reading.Took(f.now, source.Name, kernel.SourceAnswer{Lost: source.lost(), Age: f.now.Sub(source.provenAt)})
+	return n.reading.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.lost(), Age: f.now.Sub(source.provenAt)})
 }
 
-func (f *readingFleet) end(n *readingNode, plan kernel.ReadingPlan, pause time.Duration) {
-	if plan.Reads && !n.reads {
+func (f *readingFleet) end(n *readingNode, plan kernel.SourcePlan, pause time.Duration) {
+	if plan.ReadStore && !n.reads {
 		n.call = f.now
 	}
-	if !plan.Reads {
+	if !plan.ReadStore {
 		n.down = false
 	}
-	n.reads = plan.Reads
+	n.reads = plan.ReadStore
 	n.round = f.now.Add(pause)
 }
 
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -13,10 +13,10 @@
 	// lapsedGrace is how long after the store's return an entry that lapsed while it was away
 	// may take to come back: the platform promises about two seconds.
 	lapsedGrace = 2200 * time.Millisecond
-	// outageGap is how long nothing may have been proven of the list for entries to have lapsed
+	// outageThreshold is how long nothing may have been proven of the list for entries to have lapsed
 	// meanwhile: an entry outlives three heartbeat intervals of more than a second, and the list
 	// is proven anew each second, or each two where an answer is lost.
-	outageGap = 2400 * time.Millisecond
+	outageThreshold = 2400 * time.Millisecond
 )
 
 type (
@@ -51,7 +51,7 @@
 // were written, those that were removed, and those that were overwritten by what names no endpoint.
 // An older report of a process that has started again since changes nothing.
 func (r Registry) WithChanges(now, provenAt time.Time, listed []model.Endpoint, removed, unreadable []string) Registry {
-	if !r.provenAt.IsZero() && provenAt.Sub(r.provenAt) > outageGap {
+	if !r.provenAt.IsZero() && provenAt.Sub(r.provenAt) > outageThreshold {
 		r.returnedAt = now
 	}
 	r.provenAt = provenAt
@@ -168,8 +168,8 @@
 type RegistryChange struct {
 	Endpoint model.Endpoint
 	// Before is the former incarnation of a process that started again; empty for other changes.
-	Before model.Endpoint
-	What   string
+	Before  model.Endpoint
+	Message string
 }
 
 // Changes returns what changed since an earlier registry.
@@ -179,18 +179,18 @@
 		old, known := before.entries[name]
 		switch {
 		case !known:
-			out = append(out, RegistryChange{Endpoint: e.endpoint, What: "endpoint listed"})
+			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint listed"})
 		case old.endpoint.Incarnation() != e.endpoint.Incarnation():
-			out = append(out, RegistryChange{Endpoint: e.endpoint, Before: old.endpoint, What: "endpoint started again"})
+			out = append(out, RegistryChange{Endpoint: e.endpoint, Before: old.endpoint, Message: "endpoint started again"})
 		case old.endpoint.State != e.endpoint.State:
-			out = append(out, RegistryChange{Endpoint: e.endpoint, What: "endpoint changed its state"})
+			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint changed its state"})
 		case e.missing && !old.missing:
-			out = append(out, RegistryChange{Endpoint: e.endpoint, What: "endpoint lapsed while the store was away"})
+			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint lapsed while the store was away"})
 		}
 	}
 	for name, old := range before.entries {
 		if _, still := r.entries[name]; !still {
-			out = append(out, RegistryChange{Endpoint: old.endpoint, What: "endpoint gone"})
+			out = append(out, RegistryChange{Endpoint: old.endpoint, Message: "endpoint gone"})
 		}
 	}
 	return out
--- a/kernel/replica.go
+++ b/kernel/replica.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	// replicaForgets is how many removed rows a replica remembers; who is further behind gets the
+	// maxRememberedRemovals is how many removed rows a replica remembers; who is further behind gets the
 	// whole table.
-	replicaForgets = 256
+	maxRememberedRemovals = 256
 )
 
 type (
@@ -37,10 +37,10 @@
 		removed []Row
 		// known is true once the whole table was read; version is what it is known at; forgotten
 		// is up to which version removals are no longer remembered.
-		known     bool
-		version   uint64
-		forgotten uint64
-		provenAt  time.Time
+		known            bool
+		version          uint64
+		forgottenVersion uint64
+		provenAt         time.Time
 	}
 )
 
@@ -50,7 +50,7 @@
 }
 
 // Known tells whether the table was ever read, and up to which version.
-func (m *Replica) Known() (version uint64, known bool) {
+func (m *Replica) Version() (version uint64, known bool) {
 	return m.version, m.known
 }
 
@@ -61,7 +61,7 @@
 
 // Take takes in what the store answered to a call that began at a time. It returns the rows that
 // are news, removed ones among them, each key once.
-func (m *Replica) Take(began time.Time, rows []Row, version uint64, whole bool) []Row {
+func (m *Replica) Apply(began time.Time, rows []Row, version uint64, whole bool) []Row {
 	if m.known && version < m.version {
 		return nil
 	}
@@ -69,7 +69,7 @@
 		rows = append(rows, m.missing(rows, version)...)
 		m.known = true
 		// What was removed before is not known: others may still hold it.
-		m.forgotten = version
+		m.forgottenVersion = version
 		m.removed = nil
 	}
 	var news []Row
@@ -82,7 +82,7 @@
 			news = append(news, r)
 			continue
 		}
-		m.remember(r)
+		m.rememberRemoval(r)
 		if _, held := m.rows[r.Key]; held {
 			delete(m.rows, r.Key)
 			news = append(news, r)
@@ -128,10 +128,10 @@
 	return out
 }
 
-func (m *Replica) remember(r Row) {
+func (m *Replica) rememberRemoval(r Row) {
 	m.removed = append(m.removed, r)
-	if len(m.removed) > replicaForgets {
-		m.forgotten = m.removed[0].Version
+	if len(m.removed) > maxRememberedRemovals {
+		m.forgottenVersion = m.removed[0].Version
 		m.removed = m.removed[1:]
 	}
 }
@@ -141,7 +141,7 @@
 	if !m.known {
 		return Delta{}, false
 	}
-	d := Delta{Version: m.version, Age: now.Sub(m.provenAt), Whole: after == 0 || after < m.forgotten}
+	d := Delta{Version: m.version, Age: now.Sub(m.provenAt), Whole: after == 0 || after < m.forgottenVersion}
 	for _, r := range m.rows {
 		if d.Whole || r.Version > after {
 			d.Rows = append(d.Rows, r)
@@ -157,9 +157,9 @@
 	return d, true
 }
 
-// TakeDelta takes in what another node answered to a question that was asked at a time. What it
+// ApplyDelta takes in what another node answered to a question that was asked at a time. What it
 // proves is as old as the other node's proof was when it answered, counted from the question: the
 // answer may have been long under way.
-func (m *Replica) TakeDelta(asked time.Time, d Delta) []Row {
-	return m.Take(asked.Add(-d.Age), d.Rows, d.Version, d.Whole)
+func (m *Replica) ApplyDelta(asked time.Time, d Delta) []Row {
+	return m.Apply(asked.Add(-d.Age), d.Rows, d.Version, d.Whole)
 }
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -14,12 +14,12 @@
 func TestAReplicaTellsOnlyNews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
-	must.Len(t, 2, m.Take(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
-	must.SliceEmpty(t, m.Take(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
-	must.Len(t, 1, m.Take(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
-	news := m.Take(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
+	must.Len(t, 2, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
+	must.Len(t, 1, m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
+	news := m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
 	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, news, must.Sprint("a whole table tells what is gone"))
-	must.SliceEmpty(t, m.Take(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer changes nothing"))
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer changes nothing"))
 }
 
 // A row that came and went between two questions is no news: an endpoint that was listed and removed
@@ -27,11 +27,11 @@
 func TestARowThatCameAndWentIsNoNews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := kernel.NewReplica()
-	m.Take(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
-	must.SliceEmpty(t, m.Take(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
-	news := m.Take(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
+	m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
+	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
+	news := m.Apply(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
 	must.Eq(t, []kernel.Row{{Key: "a", Version: 5}}, news)
-	news = m.Take(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
+	news = m.Apply(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
 	must.Eq(t, []kernel.Row{{Key: "a", Version: 7, Removed: true}}, news)
 	d, _ := m.Since(now, 1)
 	must.Len(t, 2, d.Rows, must.Sprint("both removals are passed on"))
@@ -40,12 +40,12 @@
 func TestAProofThroughAnotherNodeIsAsOldAsItsOwn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	source, copied := kernel.NewReplica(), kernel.NewReplica()
-	source.Take(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
+	source.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
 	asked := now.Add(2 * time.Second)
 	answered := asked.Add(700 * time.Millisecond)
 	d, ok := source.Since(answered, 0)
 	must.True(t, ok)
-	copied.TakeDelta(asked, d)
+	copied.ApplyDelta(asked, d)
 	must.False(t, copied.ProvenAt().After(now), must.Sprint("never younger than the store's own answer"))
 	must.Eq(t, now.Add(-700*time.Millisecond), copied.ProvenAt())
 	_, ok = kernel.NewReplica().Since(now, 0)
@@ -111,7 +111,7 @@
 }
 
 func (m *replicaMachine) read(source int) {
-	after, known := m.sources[source].Known()
+	after, known := m.sources[source].Version()
 	var rows []kernel.Row
 	if known {
 		for _, r := range m.log {
@@ -124,12 +124,12 @@
 			rows = append(rows, r)
 		}
 	}
-	m.sources[source].Take(m.now, rows, m.version, !known)
+	m.sources[source].Apply(m.now, rows, m.version, !known)
 }
 
 // copyFromStore lets the copy read the store itself.
 func (m *replicaMachine) copyFromStore(t *rapid.T) {
-	after, known := m.copied.Known()
+	after, known := m.copied.Version()
 	if !known {
 		return
 	}
@@ -139,15 +139,15 @@
 			rows = append(rows, r)
 		}
 	}
-	m.hear(t, m.copied.Take(m.now, rows, m.version, false))
+	m.hear(t, m.copied.Apply(m.now, rows, m.version, false))
 }
 
 func (m *replicaMachine) ask(t *rapid.T, source int) {
-	before, _ := m.copied.Known()
+	before, _ := m.copied.Version()
 	if d, ok := m.sources[source].Since(m.now, before); ok {
-		m.hear(t, m.copied.TakeDelta(m.now, d))
+		m.hear(t, m.copied.ApplyDelta(m.now, d))
 	}
-	if after, _ := m.copied.Known(); after < before || after > m.version {
+	if after, _ := m.copied.Version(); after < before || after > m.version {
 		t.Fatalf("version went from %d to %d, the store is at %d", before, after, m.version)
 	}
 }
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -84,7 +84,7 @@
 	}
 	admitted := b.admission
 	admitted.Deadline = now.Add(6 * time.Second)
-	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.Wait(now, pieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
+	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.EstimateWait(now, pieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
 	plan := kernel.PlanStages(f, admitted, estimates, engineTime)
 	refusal := kernel.AdmitStages(now, f, admitted, plan, estimates)
 	if refusal == nil {
--- a/kernel/routes.go
+++ b/kernel/routes.go
@@ -10,9 +10,9 @@
 	"basilstall.example/basilstall/model"
 )
 
-// mixedPart is the part of what an endpoint bears that requests may use, and pieces as well, where its pool gets both: nodes
+// mixedShare is the part of what an endpoint bears that requests may use, and pieces as well, where its pool gets both: nodes
 // that send requests and batchers that send pieces do not know of each other's sends.
-const mixedPart = 0.5
+const mixedShare = 0.5
 
 type (
 	// RouteTable answers which route a request takes and whose key it bears, by one version of
@@ -109,11 +109,11 @@
 
 // Part returns which part of what an endpoint of a pool bears requests may use, and pieces as well: all of it, but where the
 // pool gets both.
-func (t *RouteTable) Part(pool string) float64 {
+func (t *RouteTable) Share(pool string) float64 {
 	if t == nil || !t.mixed[pool] {
 		return 1
 	}
-	return mixedPart
+	return mixedShare
 }
 
 // HasCustomers tells whether callers must show keys on routes that are not public.
@@ -173,6 +173,6 @@
 
 // Proven tells whether the view is young enough to trust an API key by it: a key that was taken
 // away must stop working within the limit.
-func (v RoutingView) Proven(now time.Time, limit time.Duration) bool {
+func (v RoutingView) Fresh(now time.Time, limit time.Duration) bool {
 	return v.Table != nil && now.Sub(v.ProvenAt) <= limit
 }
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -96,7 +96,7 @@
 	must.Eq(t, now.Add(time.Second), view.ProvenAt)
 	view = view.With(now, nil)
 	must.Eq(t, now.Add(time.Second), view.ProvenAt, must.Sprint("an older call's proof must not set the age back"))
-	must.False(t, kernel.RoutingView{}.With(now, nil).Proven(now, time.Hour), must.Sprint("no routing proves nothing"))
+	must.False(t, kernel.RoutingView{}.With(now, nil).Fresh(now, time.Hour), must.Sprint("no routing proves nothing"))
 }
 
 func TestAdmit(t *testing.T) {
--- a/kernel/routing.go
+++ b/kernel/routing.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// loadMemory is how long a reported load counts; its weight falls to zero over this time.
-	loadMemory = 2 * time.Second
-	// foreignPenalty is how many calls in flight a call to another failure domain is worth.
-	foreignPenalty = 1.0
-	// prefixBound is how far above the pool's mean an endpoint's load may rise before a
+	// loadReportTTL is how long a reported load counts; its weight falls to zero over this time.
+	loadReportTTL = 2 * time.Second
+	// crossDomainPenalty is how many calls in flight a call to another failure domain is worth.
+	crossDomainPenalty = 1.0
+	// prefixLoadFactor is how far above the pool's mean an endpoint's load may rise before a
 	// prefix moves on to its next endpoint (bounded-load rendezvous hashing), where the
 	// endpoint does not report its slots.
-	prefixBound = 1.25
+	prefixLoadFactor = 1.25
 )
 
 // Candidate is an endpoint as the routing sees it.
@@ -47,11 +47,11 @@
 	if float64(len(healthy)) >= minUsableShare*float64(len(staying)) && len(healthy) > 0 {
 		return healthy
 	}
-	return leastEjected(staying, healthy)
+	return withLeastEjected(staying, healthy)
 }
 
-// leastEjected fills the healthy ones up to the floor with those that fail least.
-func leastEjected(staying, healthy []Candidate) []Candidate {
+// withLeastEjected fills the healthy ones up to the floor with those that fail least.
+func withLeastEjected(staying, healthy []Candidate) []Candidate {
 	floor := int(math.Ceil(minUsableShare * float64(len(staying))))
 	sorted := slices.Clone(staying)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
@@ -88,7 +88,7 @@
 	if a == b {
 		b = (b + 1) % len(candidates)
 	}
-	if loadOf(now, candidates[b], domain) < loadOf(now, candidates[a], domain) {
+	if estimatedLoad(now, candidates[b], domain) < estimatedLoad(now, candidates[a], domain) {
 		return b
 	}
 	return a
@@ -104,17 +104,17 @@
 	loads := make([]float64, len(candidates))
 	var total float64
 	for i, c := range candidates {
-		loads[i] = loadOf(now, c, c.Endpoint.FailureDomain)
+		loads[i] = estimatedLoad(now, c, c.Endpoint.FailureDomain)
 		total += loads[i]
 	}
 	mean := (total + 1) / float64(len(candidates))
 	best, least := -1, 0
 	var bestScore uint64
 	for i, c := range candidates {
-		if relative(c, loads[i]) < relative(candidates[least], loads[least]) {
+		if loadPerSlot(c, loads[i]) < loadPerSlot(candidates[least], loads[least]) {
 			least = i
 		}
-		if !hasRoom(c, loads[i], mean) {
+		if !hasCapacity(c, loads[i], mean) {
 			continue
 		}
 		score := rendezvousScore(prefix, c.Endpoint.Name)
@@ -128,30 +128,30 @@
 	return best
 }
 
-func hasRoom(c Candidate, load, mean float64) bool {
+func hasCapacity(c Candidate, load, mean float64) bool {
 	if c.Load.Slots > 0 {
 		return load+1 <= float64(c.Load.Slots)
 	}
-	return load < prefixBound*mean+1
+	return load < prefixLoadFactor*mean+1
 }
 
 // relative is the load for each slot.
-func relative(c Candidate, load float64) float64 {
+func loadPerSlot(c Candidate, load float64) float64 {
 	return load / float64(max(1, c.Load.Slots))
 }
 
-// loadOf estimates how loaded an endpoint is: the node's own calls in flight, and what others
+// estimatedLoad estimates how loaded an endpoint is: the node's own calls in flight, and what others
 // gave it, as far as the last report says and as long as it is fresh.
-func loadOf(now time.Time, c Candidate, domain string) float64 {
+func estimatedLoad(now time.Time, c Candidate, domain string) float64 {
 	load := float64(c.InFlight)
 	age := now.Sub(c.LoadAt)
-	if age < loadMemory && !c.LoadAt.IsZero() {
-		fresh := 1 - float64(age)/float64(loadMemory)
+	if age < loadReportTTL && !c.LoadAt.IsZero() {
+		fresh := 1 - float64(age)/float64(loadReportTTL)
 		others := float64(c.Load.Running+c.Load.Queued) - float64(c.InFlight)
 		load += fresh * max(0, others)
 	}
 	if c.Endpoint.FailureDomain != domain {
-		load += foreignPenalty
+		load += crossDomainPenalty
 	}
 	return load
 }
--- a/kernel/settings.go
+++ b/kernel/settings.go
@@ -14,10 +14,10 @@
 	// TeamsPath is the path below which each team has its subtree.
 	TeamsPath = "teams/"
 
-	defaultHorizon   = 2 * time.Minute
-	defaultFirm      = 6 * time.Second
-	defaultRetention = 10 * time.Minute
-	defaultLoadEvery = 500 * time.Millisecond
+	defaultHorizon            = 2 * time.Minute
+	defaultFirmHorizon        = 6 * time.Second
+	defaultRetention          = 10 * time.Minute
+	defaultWeightLoadInterval = 500 * time.Millisecond
 )
 
 type (
@@ -43,7 +43,7 @@
 // NewSettings returns the settings of a fleet in which nothing was set yet.
 func NewSettings() Settings {
 	return Settings{
-		Fleet:     model.FleetSettings{Horizon: defaultHorizon, FirmHorizon: defaultFirm, Retention: defaultRetention, WeightLoadEvery: defaultLoadEvery},
+		Fleet:     model.FleetSettings{Horizon: defaultHorizon, FirmHorizon: defaultFirmHorizon, Retention: defaultRetention, WeightLoadEvery: defaultWeightLoadInterval},
 		Documents: map[string]model.Document{},
 		teams:     map[string]model.TeamSettings{},
 		tokens:    map[string]Caller{},
@@ -100,10 +100,10 @@
 		if had && old.Revision >= doc.Revision {
 			doc = old
 		}
-		if err := next.accept(doc); err != nil {
+		if err := next.addDocument(doc); err != nil {
 			refused = append(refused, err)
 			if had {
-				_ = next.accept(old)
+				_ = next.addDocument(old)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 // documents in force; nil if it is good.
 func (s Settings) Check(path, text string) error {
 	next := NewSettings()
-	if err := next.accept(model.Document{Path: path, YAML: text}); err != nil {
+	if err := next.addDocument(model.Document{Path: path, YAML: text}); err != nil {
 		return err
 	}
 	for _, team := range next.teams {
@@ -129,7 +129,7 @@
 }
 
 // accept decodes one document into fresh settings.
-func (s *Settings) accept(doc model.Document) error {
+func (s *Settings) addDocument(doc model.Document) error {
 	if doc.Path == FleetPath {
 		fleet := s.Fleet
 		if err := yamldoc.Decode(doc.Path, []byte(doc.YAML), &fleet); err != nil {
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -71,7 +71,7 @@
 
 // Place returns how many nodes come before one by a subject's hash: math.MaxInt for a node that others may not have heard
 // of yet, or that has left.
-func (s SettledNodes) Place(now time.Time, self, subject string) int {
+func (s SettledNodes) Rank(now time.Time, self, subject string) int {
 	node, known := s.known[self]
 	if !known || !node.leftAt.IsZero() || now.Sub(node.joinedAt) < settleTime {
 		return math.MaxInt
--- a/kernel/sharedbudget.go
+++ b/kernel/sharedbudget.go
@@ -14,17 +14,17 @@
 )
 
 type (
-	// BudgetTerms bound repeated sends of all nodes together to one pool: in any window at most
+	// FleetRetryLimits bound repeated sends of all nodes together to one pool: in any window at most
 	// Ratio times the requests for the pool, and Slack.
-	BudgetTerms struct {
+	FleetRetryLimits struct {
 		Ratio  float64
 		Slack  float64
 		Window time.Duration
 	}
 
-	// SharedBudget is one node's part of the budget of one pool. It changes in place.
-	SharedBudget struct {
-		terms BudgetTerms
+	// FleetRetryBudget is one node's part of the budget of one pool. It changes in place.
+	FleetRetryBudget struct {
+		terms FleetRetryLimits
 		// startedAt is when the node started.
 		startedAt time.Time
 		steps     [budgetSteps]budgetStep
@@ -38,19 +38,19 @@
 	}
 )
 
-// NewSharedBudget returns the budget of a node that started at a time, nothing of which is spent.
-func NewSharedBudget(terms BudgetTerms, startedAt time.Time) *SharedBudget {
-	return &SharedBudget{terms: terms, startedAt: startedAt}
+// NewFleetRetryBudget returns the budget of a node that started at a time, nothing of which is spent.
+func NewFleetRetryBudget(terms FleetRetryLimits, startedAt time.Time) *FleetRetryBudget {
+	return &FleetRetryBudget{terms: terms, startedAt: startedAt}
 }
 
 // Request counts a request for the pool.
-func (b *SharedBudget) Request(now time.Time) {
+func (b *FleetRetryBudget) Request(now time.Time) {
 	b.step(now).requests++
 }
 
-// TakeRepeat takes one repeated send out of the budget, if it allows one. The slack is split
+// TakeRetry takes one repeated send out of the budget, if it allows one. The slack is split
 // evenly between the nodes; one that knows of none has no part in it.
-func (b *SharedBudget) TakeRepeat(now time.Time, nodes int) bool {
+func (b *FleetRetryBudget) TakeRetry(now time.Time, nodes int) bool {
 	requests, repeats := b.sums(now)
 	if float64(repeats+1) > budgetMargin*b.terms.Ratio*float64(requests)+b.slack(now, nodes) {
 		return false
@@ -59,7 +59,7 @@
 	return true
 }
 
-func (b *SharedBudget) slack(now time.Time, nodes int) float64 {
+func (b *FleetRetryBudget) slack(now time.Time, nodes int) float64 {
 	if nodes == 0 {
 		return 0
 	}
@@ -70,7 +70,7 @@
 	return share * b.terms.Slack / float64(nodes)
 }
 
-func (b *SharedBudget) sums(now time.Time) (requests, repeats int) {
+func (b *FleetRetryBudget) sums(now time.Time) (requests, repeats int) {
 	newest := b.number(now)
 	for _, s := range b.steps {
 		if s.number > newest-budgetSteps {
@@ -81,11 +81,11 @@
 	return requests, repeats
 }
 
-func (b *SharedBudget) number(now time.Time) int64 {
+func (b *FleetRetryBudget) number(now time.Time) int64 {
 	return now.UnixNano() / int64(b.terms.Window/budgetSteps)
 }
 
-func (b *SharedBudget) step(now time.Time) *budgetStep {
+func (b *FleetRetryBudget) step(now time.Time) *budgetStep {
 	number := b.number(now)
 	s := &b.steps[number%budgetSteps]
 	if s.number != number {
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestSharedBudgetIsKeptByAllNodesTogether(t *testing.T) {
-	terms := kernel.BudgetTerms{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
+	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	const nodes = 8
-	budgets := make([]*kernel.SharedBudget, nodes)
+	budgets := make([]*kernel.FleetRetryBudget, nodes)
 	for i := range budgets {
-		budgets[i] = kernel.NewSharedBudget(terms, time.Time{})
+		budgets[i] = kernel.NewFleetRetryBudget(terms, time.Time{})
 	}
 	now := time.Unix(1000, 0)
 	taken, requests := 0, 0
@@ -24,7 +24,7 @@
 		b.Request(at)
 		requests++
 		// Every request fails and wants to be repeated.
-		if b.TakeRepeat(at, nodes) {
+		if b.TakeRetry(at, nodes) {
 			taken++
 		}
 	}
@@ -33,28 +33,28 @@
 }
 
 func TestSharedBudgetComesBackWithTheWindow(t *testing.T) {
-	b := kernel.NewSharedBudget(kernel.BudgetTerms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, time.Time{})
+	b := kernel.NewFleetRetryBudget(kernel.FleetRetryLimits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, time.Time{})
 	now := time.Unix(1000, 0)
-	for b.TakeRepeat(now, 1) {
+	for b.TakeRetry(now, 1) {
 		continue
 	}
-	must.False(t, b.TakeRepeat(now.Add(8*time.Second), 1))
-	must.True(t, b.TakeRepeat(now.Add(11*time.Second), 1))
+	must.False(t, b.TakeRetry(now.Add(8*time.Second), 1))
+	must.True(t, b.TakeRetry(now.Add(11*time.Second), 1))
 }
 
 // What nodes spend together stays within the bound where all of them start again in the middle of a window and forget what
 // they have spent, and where none of them knows of the others yet.
 func TestSharedBudgetIsKeptWhereAllNodesStartAgain(t *testing.T) {
 	t.Parallel()
-	terms := kernel.BudgetTerms{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
+	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
 	for _, nodes := range []int{1, 8, 76, 400} {
 		for _, known := range []int{nodes, 0} {
 			spend := func(startedAt, at time.Time, known int) int {
 				spent := 0
 				for range nodes {
-					b := kernel.NewSharedBudget(terms, startedAt)
-					for b.TakeRepeat(at, known) {
+					b := kernel.NewFleetRetryBudget(terms, startedAt)
+					for b.TakeRetry(at, known) {
 						spent++
 					}
 				}
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// typicalBatch is the share of a full batch that a call is taken to hold while no piece has
+	// typicalBatchShare is the share of a full batch that a call is taken to hold while no piece has
 	// to wait; calls of a pool with a queue are full.
-	typicalBatch = 0.4
-	// queueWait is the wait from which on a pool counts as having a queue: more than the spacing
+	typicalBatchShare = 0.4
+	// minQueueWait is the wait from which on a pool counts as having a queue: more than the spacing
 	// of its calls.
-	queueWait = 60 * time.Millisecond
-	// crowdedWait is the wait at a pool above which late work is refused: with less, what comes
+	minQueueWait = 60 * time.Millisecond
+	// lateRefusalWait is the wait at a pool above which late work is refused: with less, what comes
 	// late takes little from what does not.
-	crowdedWait = 200 * time.Millisecond
-	// lateMargin is by how much a plan is stretched before it is held against the objective: it
+	lateRefusalWait = 200 * time.Millisecond
+	// planMargin is by how much a plan is stretched before it is held against the objective: it
 	// adds up usual times, and of what is planned for the last moment half comes late.
-	lateMargin = 1.15
+	planMargin = 1.15
 	// firstEventMargin is taken off an objective: the way back to the caller and the lag of
 	// timers.
 	firstEventMargin = 15 * time.Millisecond
@@ -33,7 +33,7 @@
 		Until []time.Time
 		// Last lists the stages with pieces that no other stage follows: their results are the
 		// request's inputs.
-		Last []int
+		FinalStages []int
 		// Expected is how long all stages and the first event should take from now.
 		Expected time.Duration
 	}
@@ -54,7 +54,7 @@
 
 // Queued tells whether the pieces of a pool wait.
 func (e PoolEstimate) Queued() bool {
-	return e.Wait > queueWait
+	return e.Wait > minQueueWait
 }
 
 // PlanStages plans the stages of a request by when it was received. The estimates have an entry
@@ -69,12 +69,12 @@
 	}
 	for i := len(stages) - 1; i >= 0; i-- {
 		own := time.Duration(0)
-		if PiecesOf(f, i) > 0 {
+		if PieceCount(f, i) > 0 {
 			own = stageTime(estimates[i])
 		}
 		for _, before := range stages[i].After {
 			rest[before] = max(rest[before], rest[i]+own)
-			followed[before] = followed[before] || PiecesOf(f, i) > 0
+			followed[before] = followed[before] || PieceCount(f, i) > 0
 		}
 		plan.Expected = max(plan.Expected, rest[i]+own)
 	}
@@ -83,15 +83,15 @@
 	for i := range stages {
 		plan.Due[i] = due.Add(-rest[i])
 		plan.Until[i] = a.Deadline.Add(-rest[i])
-		if !followed[i] && PiecesOf(f, i) > 0 {
-			plan.Last = append(plan.Last, i)
+		if !followed[i] && PieceCount(f, i) > 0 {
+			plan.FinalStages = append(plan.FinalStages, i)
 		}
 	}
 	return plan
 }
 
-// PiecesOf returns how many pieces a stage of a request has.
-func PiecesOf(f model.Forward, stage int) int {
+// PieceCount returns how many pieces a stage of a request has.
+func PieceCount(f model.Forward, stage int) int {
 	if stage >= len(f.Pieces) {
 		return 0
 	}
@@ -99,15 +99,15 @@
 }
 
 func stageTime(e PoolEstimate) time.Duration {
-	pieces := time.Duration(max(1, int(typicalBatch*float64(e.Traits.Batch))))
-	if e.Wait > queueWait {
+	pieces := time.Duration(max(1, int(typicalBatchShare*float64(e.Traits.Batch))))
+	if e.Wait > minQueueWait {
 		pieces = time.Duration(e.Traits.Batch)
 	}
 	return e.Wait + e.Traits.CallTime + pieces*e.Traits.PieceTime
 }
 
-// DomainOf returns the failure domain where most of the results lie; empty for none.
-func DomainOf(made []MadePiece) string {
+// MostCommonDomain returns the failure domain where most of the results lie; empty for none.
+func MostCommonDomain(made []ResultRef) string {
 	counts := map[string]int{}
 	best := ""
 	for _, m := range made {
@@ -125,14 +125,14 @@
 func AdmitStages(now time.Time, f model.Forward, a Admission, plan StagePlan, estimates []PoolEstimate) *model.Refusal {
 	var wait time.Duration
 	for i, e := range estimates {
-		if PiecesOf(f, i) > 0 {
+		if PieceCount(f, i) > 0 {
 			wait += e.Wait
 		}
 	}
-	late := now.Add(time.Duration(lateMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
+	late := now.Add(time.Duration(planMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
 	hopeless := now.Add(plan.Expected).After(a.Deadline)
-	if hopeless || (late && wait > crowdedWait) {
-		return model.NewRefusal(model.NotRun, model.StageLate, RetryAfter(wait), "the stages would be late")
+	if hopeless || (late && wait > lateRefusalWait) {
+		return model.NewRefusal(model.NotRun, model.StageLate, ClampRetryAfter(wait), "the stages would be late")
 	}
 	return nil
 }
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -39,7 +39,7 @@
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 2, 1, 6, 10)
 	plan := kernel.PlanStages(f, a, estimates(0), 200*time.Millisecond)
-	must.Eq(t, []int{0, 3}, plan.Last)
+	must.Eq(t, []int{0, 3}, plan.FinalStages)
 	must.True(t, plan.Due[1].Before(plan.Due[2]))
 	must.True(t, plan.Due[2].Before(plan.Due[3]))
 	must.Eq(t, plan.Due[0], plan.Due[3])
@@ -50,10 +50,10 @@
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 0, 1, 6, 10)
 	plan := kernel.PlanStages(f, a, estimates(0), 200*time.Millisecond)
-	must.Eq(t, []int{3}, plan.Last)
+	must.Eq(t, []int{3}, plan.FinalStages)
 	f, a = stagedRequest(now)
 	plan = kernel.PlanStages(f, a, estimates(0), 200*time.Millisecond)
-	must.SliceEmpty(t, plan.Last)
+	must.SliceEmpty(t, plan.FinalStages)
 	must.Eq(t, 200*time.Millisecond, plan.Expected)
 }
 
@@ -83,7 +83,7 @@
 }
 
 func TestDomainOfIsWhereMostResultsLie(t *testing.T) {
-	made := []kernel.MadePiece{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
-	must.Eq(t, "b", kernel.DomainOf(made))
-	must.Eq(t, "", kernel.DomainOf(nil))
+	made := []kernel.ResultRef{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
+	must.Eq(t, "b", kernel.MostCommonDomain(made))
+	must.Eq(t, "", kernel.MostCommonDomain(nil))
 }
--- a/node/claims.go
+++ b/node/claims.go
@@ -173,6 +173,6 @@
 	}
 	n.claims.set(time.Now(), next, written)
 	if action != kernel.ExtendHorizon {
-		n.log.Info().Uint64("Era", next.Newest().Number).Int("Members", len(alive)).Time("From", next.Newest().From).Msg("era written")
+		n.log.Info().Uint64("Era", next.NewestEra().Number).Int("Members", len(alive)).Time("From", next.NewestEra().From).Msg("era written")
 	}
 }
--- a/node/cold.go
+++ b/node/cold.go
@@ -18,20 +18,20 @@
 
 	mu sync.Mutex
 	// duties is by the incarnations of endpoints.
-	duties map[string]kernel.ColdDuty
+	duties map[string]kernel.ColdRole
 }
 
 func newColdDuties(startedAt time.Time) *coldDuties {
-	return &coldDuties{startedAt: startedAt, duties: map[string]kernel.ColdDuty{}}
+	return &coldDuties{startedAt: startedAt, duties: map[string]kernel.ColdRole{}}
 }
 
 // duty returns whether this node may call a cold endpoint; decide is asked where that is not known. What was known of an
 // endpoint is kept while it is listed, which tells whether the node has just begun to call it.
-func (c *coldDuties) duty(now time.Time, incarnation string, decide func() bool) kernel.ColdDuty {
+func (c *coldDuties) duty(now time.Time, incarnation string, decide func() bool) kernel.ColdRole {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	duty := c.duties[incarnation]
-	if duty.Outdated(now) {
+	if duty.Expired(now) {
 		duty = duty.With(now, c.startedAt, decide())
 		c.duties[incarnation] = duty
 	}
@@ -45,7 +45,7 @@
 	if len(c.duties) == 0 {
 		return
 	}
-	kept := make(map[string]kernel.ColdDuty, len(c.duties))
+	kept := make(map[string]kernel.ColdRole, len(c.duties))
 	for _, e := range listed {
 		if duty, known := c.duties[e.Incarnation()]; known {
 			kept[e.Incarnation()] = duty
@@ -60,14 +60,14 @@
 }
 
 func (n *Node) admitsCold(now time.Time, e model.Endpoint, calledAt time.Time) bool {
-	share := kernel.ColdTerms{}.Share(n.Settings().Fleet.ColdRates[e.Pool])
+	share := kernel.ColdLimits{}.Share(n.Settings().Fleet.ColdRates[e.Pool])
 	if share.Senders == 0 || !kernel.IsCold(now, e) {
 		return true
 	}
 	duty := n.cold.duty(now, e.Incarnation(), func() bool {
-		return !n.Draining() && share.SendsFrom(n.rateCaps.Rank(now, e.Incarnation()))
+		return !n.Draining() && share.IsSenderAtRank(n.rateCaps.Rank(now, e.Incarnation()))
 	})
-	return share.DueOn(now, duty, calledAt)
+	return share.DueForRole(now, duty, calledAt)
 }
 
 // refuses returns the refusal of a request whose pool has only endpoints that take no more now than they get.
@@ -89,7 +89,7 @@
 	if !staying {
 		return nil
 	}
-	return model.NewRefusal(model.NotRun, model.EndpointsCold, kernel.RetryAfter(coldRetry), "the endpoints of pool "+pool+" are cold and bear no more now")
+	return model.NewRefusal(model.NotRun, model.EndpointsCold, kernel.ClampRetryAfter(coldRetry), "the endpoints of pool "+pool+" are cold and bear no more now")
 }
 
 // announced returns the members that share what endpoints take: those that are not leaving. One that is held to be dead
--- a/node/drain.go
+++ b/node/drain.go
@@ -177,7 +177,7 @@
 			continue
 		}
 		n.claims.set(time.Now(), row, version)
-		if row.Left(n.member.ID()) {
+		if row.HasLeft(n.member.ID()) {
 			return true
 		}
 		next := row.WithTransfer(n.member.ID(), heir, uuid.NewString())
--- a/node/grants.go
+++ b/node/grants.go
@@ -33,10 +33,10 @@
 	if row.Number == 0 || n.claims.bound().Sub(now) > firm/2 {
 		return
 	}
-	message := peer.Grant{Era: row.Newest().Number, Until: now.Add(firm).Truncate(time.Millisecond)}
+	message := peer.Grant{Era: row.NewestEra().Number, Until: now.Add(firm).Truncate(time.Millisecond)}
 	var wg sync.WaitGroup
-	for _, m := range row.Newest().Members {
-		if row.Left(m.ID()) || !n.fleet.reachable(m.ID()) {
+	for _, m := range row.NewestEra().Members {
+		if row.HasLeft(m.ID()) || !n.fleet.reachable(m.ID()) {
 			continue
 		}
 		if m.ID() == n.member.ID() {
@@ -72,7 +72,7 @@
 func (c *claimsCoordinator) takeGrant(member string, era uint64, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.grants.Take(member, era, until)
+	c.grants.Record(member, era, until)
 }
 
 func (c *claimsCoordinator) seal(number uint64) time.Time {
@@ -112,13 +112,13 @@
 // sealEra returns above what key time a new era must start: what this node granted, if it is
 // of the newest era, else what a member of that era says, else the whole horizon.
 func (n *Node) sealEra(row kernel.Claims) time.Time {
-	for _, m := range row.Newest().Members {
+	for _, m := range row.NewestEra().Members {
 		if m.ID() == n.member.ID() {
 			return n.claims.beginEra(row)
 		}
 	}
-	for _, m := range row.Newest().Members {
-		if row.Left(m.ID()) || !n.fleet.reachable(m.ID()) {
+	for _, m := range row.NewestEra().Members {
+		if row.HasLeft(m.ID()) || !n.fleet.reachable(m.ID()) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(n.ctx, grantTimeout)
--- a/node/keys.go
+++ b/node/keys.go
@@ -119,7 +119,7 @@
 // ownerOf returns the owner of a key, after another look at the row if the key's time is
 // beyond the horizon that this node knows.
 func (n *Node) ownerOf(ctx context.Context, key kernel.Key) (kernel.Member, *model.Refusal) {
-	if n.claims.current().Ahead(key) {
+	if n.claims.current().BeyondHorizon(key) {
 		_ = n.refreshClaims(ctx)
 	}
 	row := n.claims.current()
@@ -127,7 +127,7 @@
 	switch {
 	case ok:
 		return owner, nil
-	case row.Ahead(key):
+	case row.BeyondHorizon(key):
 		return owner, keyAhead(key, row.Horizon)
 	default:
 		return owner, model.NewRefusal(model.MayHaveRun, model.KeyTooOld, 0,
@@ -225,7 +225,7 @@
 // keyAhead refuses a key whose time is beyond a bound. NotRun would not stay true: the bound
 // moves on, and a held-up attempt may run.
 func keyAhead(key kernel.Key, bound time.Time) *model.Refusal {
-	return model.NewRefusal(model.MayHaveRun, model.KeyAhead, kernel.RetryAfter(key.Issued.Sub(bound)),
+	return model.NewRefusal(model.MayHaveRun, model.KeyAhead, kernel.ClampRetryAfter(key.Issued.Sub(bound)),
 		"the key's time of issue is ahead of the time that this fleet may serve now")
 }
 
--- a/node/orders.go
+++ b/node/orders.go
@@ -27,8 +27,8 @@
 	}
 
 	orderedPool struct {
-		watch  kernel.LeaseWatch
-		orders *kernel.Orders
+		watch  kernel.LeaseView
+		orders *kernel.OrderPlanner
 		// wanted is what this node's requests want, until it was told to the holder.
 		wanted map[string]kernel.Demand
 		// lastWanted is when any adapter was last wanted or reported here.
@@ -56,7 +56,7 @@
 func (o *orderer) pool(name string, rate time.Duration) *orderedPool {
 	p := o.pools[name]
 	if p == nil {
-		p = &orderedPool{orders: kernel.NewOrders(rate), wanted: map[string]kernel.Demand{}}
+		p = &orderedPool{orders: kernel.NewOrderPlanner(rate), wanted: map[string]kernel.Demand{}}
 		o.pools[name] = p
 	}
 	return p
@@ -68,7 +68,7 @@
 	defer o.mu.Unlock()
 	var names []string
 	for name, p := range o.pools {
-		if now.Sub(p.lastWanted) > 2*kernel.AdapterIdle {
+		if now.Sub(p.lastWanted) > 2*kernel.AdapterIdleTimeout {
 			delete(o.pools, name)
 			continue
 		}
@@ -105,16 +105,16 @@
 	n.plan(ctx, name)
 }
 
-func (n *Node) watchOf(name string) kernel.LeaseWatch {
+func (n *Node) watchOf(name string) kernel.LeaseView {
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	if p := n.orderer.pools[name]; p != nil {
 		return p.watch
 	}
-	return kernel.LeaseWatch{}
+	return kernel.LeaseView{}
 }
 
-func (n *Node) setWatch(name string, watch kernel.LeaseWatch) {
+func (n *Node) setWatch(name string, watch kernel.LeaseView) {
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	if p := n.orderer.pools[name]; p != nil {
@@ -144,7 +144,7 @@
 	next := kernel.Lease{Holder: n.member, Number: watch.Lease.Number, Writer: uuid.NewString()}
 	switch {
 	case watch.ShouldRenew(now):
-	case standsBy && watch.MayTake(now, rank):
+	case standsBy && watch.MayAcquire(now, rank):
 		next.Number++
 	default:
 		return
@@ -155,7 +155,7 @@
 	if err != nil {
 		return
 	}
-	n.setWatch(name, watch.WithWritten(time.Now(), sent, next, version))
+	n.setWatch(name, watch.WithWrite(time.Now(), sent, next, version))
 	if next.Number != watch.Lease.Number {
 		n.metrics.Event("LeaseTaken")
 		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease taken")
@@ -194,7 +194,7 @@
 	p := n.orderer.pool(name, n.Settings().Fleet.WeightLoadEvery)
 	p.lastWanted = now
 	for _, d := range wanted {
-		p.orders.Want(now, d)
+		p.orders.AddDemand(now, d)
 	}
 }
 
@@ -220,7 +220,7 @@
 		n.orderer.mu.Unlock()
 		return
 	}
-	p.orders.LoadEvery = n.Settings().Fleet.WeightLoadEvery
+	p.orders.LoadInterval = n.Settings().Fleet.WeightLoadEvery
 	orders := p.orders.Plan(time.Now(), views)
 	n.orderer.mu.Unlock()
 	for _, order := range orders {
@@ -237,7 +237,7 @@
 			defer wg.Done()
 			state, err := n.orderer.client.State(ctx, e.Address)
 			if err == nil {
-				states[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, Most: state.Most}
+				states[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
 			}
 		}()
 	}
@@ -257,7 +257,7 @@
 		n.orderer.mu.Lock()
 		defer n.orderer.mu.Unlock()
 		if p := n.orderer.pools[name]; p != nil {
-			p.orders.Ended(order)
+			p.orders.OrderEnded(order)
 		}
 	}()
 	for _, e := range endpoints {
--- a/node/rates.go
+++ b/node/rates.go
@@ -42,7 +42,7 @@
 	// customerRate is what the node knows of one customer's rate.
 	customerRate struct {
 		// share is this node's part; zero while it holds none.
-		share kernel.RateShare
+		share kernel.RateBucket
 		// holders are the nodes that hold the rate, as of holdersAt.
 		holders   []string
 		holdersAt time.Time
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.customers[account]
-	c.share, ok, wait = c.share.WithRequest(now, fleetRate, parts)
+	c.share, ok, wait = c.share.Take(now, fleetRate, parts)
 	r.customers[account] = c
 	return ok, wait
 }
@@ -119,7 +119,7 @@
 
 func (r *rates) sweep(now time.Time) {
 	for account, c := range r.customers {
-		idle := c.share.At.IsZero() || c.share.Idle(now)
+		idle := c.share.At.IsZero() || c.share.Full(now)
 		if idle && now.Sub(c.holdersAt) >= holdersMemory {
 			delete(r.customers, account)
 		}
@@ -170,7 +170,7 @@
 }
 
 func rateUsedUp(wait time.Duration) *model.Refusal {
-	return model.NewRefusal(model.NotRun, model.CustomerLimit, kernel.RetryAfter(wait), "the customer's rate is used up")
+	return model.NewRefusal(model.NotRun, model.CustomerLimit, kernel.ClampRetryAfter(wait), "the customer's rate is used up")
 }
 
 // countAt counts a request at a node that holds a part of its customer's rate; own counts it at this one.
--- a/node/runner.go
+++ b/node/runner.go
@@ -38,7 +38,7 @@
 	var carry model.Carry
 	for i, stage := range pipeline.Stages {
 		job := dispatch.Job{
-			Work:   kernel.Work{Request: req, Stage: stage, Carry: carry},
+			Work:   kernel.StageContext{Request: req, Stage: stage, Carry: carry},
 			Later:  n.dispatcher.Estimates(req, customer.Weight, pipeline.Stages[i+1:]),
 			Weight: customer.Weight,
 			Trial:  trial,
--- a/node/serve.go
+++ b/node/serve.go
@@ -112,8 +112,8 @@
 		TableAnswers:  !n.tableDown.Load(),
 		Revision:      n.Settings().Revision,
 		InFlight:      n.inFlight.Load(),
-		Era:           row.Newest().Number,
-		EraFrom:       row.Newest().From,
+		Era:           row.NewestEra().Number,
+		EraFrom:       row.NewestEra().From,
 		Horizon:       row.Horizon,
 		Keys:          n.keys.len(),
 	}
@@ -129,7 +129,7 @@
 			State:         memberState(info.State),
 		})
 	}
-	for _, m := range row.Newest().Members {
+	for _, m := range row.NewestEra().Members {
 		status.EraMembers = append(status.EraMembers, m.Node)
 	}
 	return status
--- a/node/settings.go
+++ b/node/settings.go
@@ -60,7 +60,7 @@
 		n.metrics.Event("DomainEvacuated")
 		n.log.Info().Str("Domain", domain).Int64("InFlight", n.inFlight.Load()).Msg("failure domain evacuated")
 	}
-	for _, domain := range news.TakenBack {
+	for _, domain := range news.Restored {
 		n.metrics.Event("DomainTakenBack")
 		n.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
--- a/peer/message.go
+++ b/peer/message.go
@@ -156,7 +156,7 @@
 		Stage        int
 		Numbers      []int
 		Key          string
-		Inputs       []kernel.MadePiece
+		Inputs       []kernel.ResultRef
 		FreeInputs   bool
 		ResultBytes  int64
 		Domain       string
@@ -219,7 +219,7 @@
 	// Release frees results that are no longer needed.
 	Release struct {
 		Pool string
-		Made []kernel.MadePiece
+		Made []kernel.ResultRef
 		// SentOn is true where a node passed it on to the one that batches.
 		SentOn bool
 	}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -35,11 +35,11 @@
 	})
 }
 
-func prepareEncode(w kernel.Work) model.StageCall {
+func prepareEncode(w kernel.StageContext) model.StageCall {
 	return model.StageCall{Text: w.Request.Input.Text}
 }
 
-func acceptEncode(w kernel.Work, r model.StageReply) (model.Carry, error) {
+func acceptEncode(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
 	if r.Text == "" {
 		return w.Carry, errEmpty
 	}
@@ -48,11 +48,11 @@
 	return carry, nil
 }
 
-func prepareItems(w kernel.Work) model.StageCall {
+func prepareItems(w kernel.StageContext) model.StageCall {
 	return model.StageCall{Text: w.Carry.Text, Items: w.Carry.Items}
 }
 
-func acceptItems(w kernel.Work, r model.StageReply) (model.Carry, error) {
+func acceptItems(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
 	if len(r.Items) == 0 {
 		return w.Carry, errEmpty
 	}
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -68,7 +68,7 @@
 	}
 
 	endpointCap struct {
-		publisher kernel.CapNews
+		publisher kernel.CapPublisher
 		// rank is this node's rank for the endpoint, as of rankedAt.
 		rank     int
 		rankedAt time.Time
@@ -76,7 +76,7 @@
 		permits   kernel.Permits
 		sharersAt time.Time
 		// issuer grants permits to other nodes.
-		issuer kernel.PermitDesk
+		issuer kernel.PermitIssuer
 		// publishing is true while the cap is being published.
 		publishing bool
 	}
@@ -99,7 +99,7 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, c := range l.endpoints {
-		if c.publisher.Belief.Cap.Stated {
+		if c.publisher.View.Cap.Stated {
 			n++
 		}
 	}
@@ -107,25 +107,25 @@
 }
 
 // View returns what this node knows of an endpoint's cap.
-func (l *Limiter) View(incarnation string) kernel.CapBelief {
+func (l *Limiter) View(incarnation string) kernel.CapView {
 	if l.endpointCount.Load() == 0 {
-		return kernel.CapBelief{}
+		return kernel.CapView{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.endpoints[incarnation]; c != nil {
-		return c.publisher.Belief
+		return c.publisher.View
 	}
-	return kernel.CapBelief{}
+	return kernel.CapView{}
 }
 
 // PartialView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
 // together may use a part of the same size.
-func (l *Limiter) PartialView(incarnation string) kernel.CapBelief {
+func (l *Limiter) PartialView(incarnation string) kernel.CapView {
 	return l.partialView(incarnation, l.View(incarnation))
 }
 
-func (l *Limiter) partialView(incarnation string, view kernel.CapBelief) kernel.CapBelief {
+func (l *Limiter) partialView(incarnation string, view kernel.CapView) kernel.CapView {
 	if !view.Cap.Stated || l.deps.Part == nil {
 		return view
 	}
@@ -158,7 +158,7 @@
 		}
 		at, ok := l.permitRequestAt(now, incarnation)
 		capped = append(capped, kernel.CappedEndpoint{
-			Belief: view, SentAt: sentAt(incarnation), Place: l.Rank(now, incarnation), Asks: ok, AskAt: at,
+			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), Asks: ok, AskAt: at,
 		})
 	}
 	return kernel.AdmitCapped(now, pool, capped)
@@ -177,37 +177,37 @@
 		return
 	}
 	before, after := l.update(e.Incarnation(), func(c *endpointCap) {
-		c.publisher.Belief = c.publisher.Belief.WithAnswer(sentAt, l.now(), stated)
+		c.publisher.View = c.publisher.View.WithAnswer(sentAt, l.now(), stated)
 	})
 	l.reportChange(e.Incarnation(), "endpoint", before, after)
 }
 
 // ApplyNotice applies the cap, or its absence, that other nodes have published for an endpoint.
 func (l *Limiter) ApplyNotice(incarnation string, stated model.RateCap) {
-	before, after := l.update(incarnation, func(c *endpointCap) { c.publisher.Notice(l.now(), stated) })
+	before, after := l.update(incarnation, func(c *endpointCap) { c.publisher.ApplyNotice(l.now(), stated) })
 	l.reportChange(incarnation, "nodes", before, after)
 }
 
 // update changes what is known of an endpoint, and returns the views before and after the change. An endpoint is
 // removed if no cap of it is known or published and no publication is in progress.
-func (l *Limiter) update(incarnation string, apply func(*endpointCap)) (before, after kernel.CapBelief) {
+func (l *Limiter) update(incarnation string, apply func(*endpointCap)) (before, after kernel.CapView) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.endpoints[incarnation]
 	if c == nil {
 		c = &endpointCap{}
 	}
-	before = c.publisher.Belief
+	before = c.publisher.View
 	apply(c)
 	l.endpoints[incarnation] = c
-	if c.publisher.Forgettable() && !c.publishing {
+	if c.publisher.Removable() && !c.publishing {
 		delete(l.endpoints, incarnation)
 	}
 	l.endpointCount.Store(int64(len(l.endpoints)))
-	return before, c.publisher.Belief
+	return before, c.publisher.View
 }
 
-func (l *Limiter) reportChange(incarnation, from string, before, after kernel.CapBelief) {
+func (l *Limiter) reportChange(incarnation, from string, before, after kernel.CapView) {
 	if before.Cap == after.Cap {
 		return
 	}
@@ -224,10 +224,10 @@
 	defer l.mu.Unlock()
 	c := l.endpoints[incarnation]
 	if c == nil {
-		return l.nodes.Place(now, l.name, incarnation)
+		return l.nodes.Rank(now, l.name, incarnation)
 	}
 	if c.rankedAt.IsZero() || now.Sub(c.rankedAt) >= rankTTL {
-		c.rank = l.nodes.Place(now, l.name, incarnation)
+		c.rank = l.nodes.Rank(now, l.name, incarnation)
 		c.rankedAt = now
 	}
 	return c.rank
@@ -242,8 +242,8 @@
 		rank := l.Rank(now, incarnation)
 		shouldPublish := false
 		before, after := l.update(incarnation, func(c *endpointCap) {
-			c.publisher.Listed(now, listed)
-			shouldPublish = !c.publishing && c.publisher.Publishes(now, rank, rand.Float64())
+			c.publisher.SetListed(now, listed)
+			shouldPublish = !c.publishing && c.publisher.ShouldPublish(now, rank, rand.Float64())
 			c.publishing = c.publishing || shouldPublish
 		})
 		l.reportChange(incarnation, "list", before, after)
@@ -279,6 +279,6 @@
 	}
 	l.update(incarnation, func(c *endpointCap) {
 		c.publishing = false
-		c.publisher.Wrote(l.now(), stated, err == nil)
+		c.publisher.RecordWrite(l.now(), stated, err == nil)
 	})
 }
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -32,7 +32,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.endpoints[incarnation]
-	if c == nil || !c.publisher.Belief.Cap.Stated {
+	if c == nil || !c.publisher.View.Cap.Stated {
 		return time.Time{}, false
 	}
 	if c.sharersAt.IsZero() || now.Sub(c.sharersAt) >= sharersTTL {
@@ -91,6 +91,6 @@
 	if c == nil {
 		c = &endpointCap{}
 	}
-	c.issuer, granted, wait = c.issuer.Permit(now, l.partialView(incarnation, c.publisher.Belief), sentAt, rank)
+	c.issuer, granted, wait = c.issuer.Permit(now, l.partialView(incarnation, c.publisher.View), sentAt, rank)
 	return granted, wait
 }
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -34,7 +34,7 @@
 		pool   string
 		pieces []model.Piece
 		// inputs are what each piece is made from; with freeInputs nothing else needs them.
-		inputs     []kernel.MadePiece
+		inputs     []kernel.ResultRef
 		freeInputs bool
 		bytes      int64
 		domain     string
@@ -68,7 +68,7 @@
 func (r *Relay) batch(ctx context.Context, req batchRequest) stageDone {
 	g := r.hub.find(req.pool)
 	if g == nil {
-		return stageDone{refusal: model.NewRefusal(model.NotRun, model.NoEndpoint, kernel.RetryAfter(refusedRetry), "the pool "+req.pool+" is not known")}
+		return stageDone{refusal: model.NewRefusal(model.NotRun, model.NoEndpoint, kernel.ClampRetryAfter(refusedRetry), "the pool "+req.pool+" is not known")}
 	}
 	node := r.batcherOf(g, nil)
 	failed := 0
@@ -108,7 +108,7 @@
 			node = r.batcherOf(g, req.passedOver)
 		}
 	}
-	return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.RetryAfter(refusedRetry), "no node batched the pieces of pool "+req.pool)}
+	return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(refusedRetry), "no node batched the pieces of pool "+req.pool)}
 }
 
 // batcherOf returns the node to ask for a pool's pieces: the one that batched last, else the first by
@@ -133,7 +133,7 @@
 func (result batchResult) done(req batchRequest) stageDone {
 	pool := req.pool
 	if result.refused {
-		return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.RetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
+		return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
 	}
 	done := stageDone{made: result.outcome.Made}
 	done.inputsFreed = result.outcome.InputsFreed
@@ -146,7 +146,7 @@
 	}
 	if fault != "" {
 		done.time.Fault = fault
-		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.RetryAfter(max(result.report.wait, result.outcome.Wait, refusedRetry)),
+		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusedRetry)),
 			fmt.Sprintf("pool %s: pieces not made: %s", pool, fault))
 	}
 	return done
@@ -165,7 +165,7 @@
 		if g == nil {
 			continue
 		}
-		if last, fresh := g.lastReport(); fresh && (!last.queued() || !r.options.Policy.Uses(kernel.OwnWait)) {
+		if last, fresh := g.lastReport(); fresh && (!last.queued() || !r.options.Policy.Uses(kernel.WaitPerRequest)) {
 			out[i].Wait, out[i].RoomTaken = last.wait, last.roomTaken
 			continue
 		}
@@ -229,7 +229,7 @@
 }
 
 // release frees results of one queue by way of its batcher, which keeps account of the room.
-func (r *Relay) release(made []kernel.MadePiece) {
+func (r *Relay) release(made []kernel.ResultRef) {
 	queue := r.hub.queueOf(made[0])
 	g := r.hub.find(queue)
 	if g == nil {
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -117,7 +117,7 @@
 
 func (g *batcher) reportForLocked(group kernel.PieceGroup) queueReport {
 	now := g.relay.now()
-	return queueReport{wait: g.g.Wait(now, group), roomTaken: g.g.RoomTaken(now)}
+	return queueReport{wait: g.g.EstimateWait(now, group), roomTaken: g.g.RoomTaken(now)}
 }
 
 // batch takes a group of this or another node in and waits for its end.
@@ -183,7 +183,7 @@
 		go g.call(batch, g.g.Expected(batch), g.g.OverdueAfter(batch))
 		time.AfterFunc(batch.FetchTime(), g.freeFetched)
 	}
-	if pieces, _ := g.g.Waiting(); pieces > 0 {
+	if pieces, _ := g.g.Pending(); pieces > 0 {
 		g.timer.Reset(min(pumpAgain, max(time.Millisecond, g.g.Spacing()/2)))
 	}
 }
@@ -208,7 +208,7 @@
 	crashed := g.crashed(batch, err)
 	now := r.now()
 	var ended []kernel.GroupOutcome
-	var unwanted []kernel.MadePiece
+	var unwanted []kernel.ResultRef
 	g.mu.Lock()
 	switch {
 	case err != nil && asFault(err).Kind == endpoint.Refused:
@@ -264,7 +264,7 @@
 	}
 	if len(faults) > 0 {
 		g.mu.Lock()
-		used, calls := g.g.Used(batch.Endpoint.Incarnation())
+		used, calls := g.g.Usage(batch.Endpoint.Incarnation())
 		g.mu.Unlock()
 		r.log.Info().Str("Pool", g.name).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Any("Faults", faults).Int64("RoomUsed", used).Int("Calls", calls).
