--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -40,6 +40,6 @@
 	must.True(t, outcome.Whole)
 	must.SliceLen(t, 1, sent)
 	must.False(t, b.relay.Registry().Evacuations().Holds(sent[0]))
-	b.relay.SetEvacuations(kernel.EvacuationChange{TakenBack: b.relay.Registry().Evacuations().Domains()})
+	b.relay.SetEvacuations(kernel.EvacuationChange{Restored: b.relay.Registry().Evacuations().Domains()})
 	must.Nil(t, b.serve("/get/two").Refusal)
 }
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -28,14 +28,14 @@
 	gateState struct {
 		sentAt time.Time
 		// cold is whether it may send while the endpoint is cold.
-		cold kernel.ColdDuty
+		cold kernel.ColdRole
 	}
 )
 
 func (r *Relay) gate(pool string) gate {
 	table := r.View().Table
 	traits, _ := table.Pool(pool)
-	return gate{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.Cold.PartShare(table.Part(pool), traits.ColdRate), announced: r.announced, caps: r.rateCaps}
+	return gate{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.Cold.FractionalShare(table.Share(pool), traits.ColdRate), announced: r.announced, caps: r.rateCaps}
 }
 
 // admits tells whether an endpoint may get a request from this node now, and whether only with another node's permit.
@@ -55,8 +55,8 @@
 	if g.cold.Senders == 0 || !kernel.IsCold(now, e) {
 		return true
 	}
-	if s.cold.Outdated(now) {
-		s.cold = s.cold.With(now, g.startedAt, !g.leaving && g.cold.Sends(g.self, e, g.announced()))
+	if s.cold.Expired(now) {
+		s.cold = s.cold.With(now, g.startedAt, !g.leaving && g.cold.IsSender(g.self, e, g.announced()))
 	}
-	return g.cold.DueOn(now, s.cold, s.sentAt)
+	return g.cold.DueForRole(now, s.cold, s.sentAt)
 }
--- a/relay/held.go
+++ b/relay/held.go
@@ -6,7 +6,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func (s *stageRun) hold(stage int, made []kernel.MadePiece) {
+func (s *stageRun) hold(stage int, made []kernel.ResultRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(made) > 0 {
@@ -16,7 +16,7 @@
 
 // crowding tells whether what a stage is made from lies where room is scarce.
 func (j *job) crowding(run *stageRun, stage int) bool {
-	if !j.relay.options.Policy.Uses(kernel.FreedOnceFetched) {
+	if !j.relay.options.Policy.Uses(kernel.FreeInputsOnceFetched) {
 		return false
 	}
 	return slices.ContainsFunc(run.stages[stage].After, func(before int) bool { return run.scarce(before) })
@@ -32,11 +32,11 @@
 // the room; the price is that a stream that breaks off can't go on at another engine. Its caller is served
 // as soon by asking again.
 func (j *job) firstEvent(run *stageRun) {
-	early := j.relay.options.Policy.Uses(kernel.ReleasedAtFirstEvent) && slices.ContainsFunc(run.plan.Last, run.scarce)
+	early := j.relay.options.Policy.Uses(kernel.FreeInputsAtFirstEvent) && slices.ContainsFunc(run.plan.FinalStages, run.scarce)
 	if j.admission.Route.Resumable && !early {
 		return
 	}
-	run.released = len(run.plan.Last) > 0
+	run.released = len(run.plan.FinalStages) > 0
 	run.release()
 }
 
@@ -64,7 +64,7 @@
 // releaseConsumed frees the results of stages whose followers are all done.
 func (s *stageRun) releaseConsumed() {
 	for i := range s.stages {
-		if _, done := s.results[i]; done && !slices.Contains(s.plan.Last, i) && s.consumed(i) {
+		if _, done := s.results[i]; done && !slices.Contains(s.plan.FinalStages, i) && s.consumed(i) {
 			s.releaseStage(i)
 		}
 	}
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -43,7 +43,7 @@
 }
 
 // queueOf names the queue that results were made from.
-func (h *hub) queueOf(made kernel.MadePiece) string {
+func (h *hub) queueOf(made kernel.ResultRef) string {
 	return h.queue(made.Pool, h.relay.options.Regions[made.Domain])
 }
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		for _, region := range h.regions {
-			h.setPool(h.queue(name, region), region, pool, table.Part(name))
+			h.setPool(h.queue(name, region), region, pool, table.Share(name))
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	defer g.mu.Unlock()
 	g.traits = *pool.Pieces
 	g.g.SetTraits(*pool.Pieces)
-	g.g.SetCold(h.relay.options.Cold.PartShare(part, pool.ColdRate).Single())
+	g.g.SetColdShare(h.relay.options.Cold.FractionalShare(part, pool.ColdRate).ForSingleSender())
 }
 
 func (h *hub) setEndpoints(registry kernel.Registry) {
--- a/relay/log.go
+++ b/relay/log.go
@@ -102,6 +102,6 @@
 	for _, change := range changes {
 		r.log.Info().Str("Endpoint", change.Endpoint.Incarnation()).Str("Pool", change.Endpoint.Pool).
 			Str("Address", change.Endpoint.Address).Str("State", string(change.Endpoint.State)).
-			Msg(change.What)
+			Msg(change.Message)
 	}
 }
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// MostIdle returns how many idle connections this node may keep to an endpoint of a pool.
+// MaxIdleConnections returns how many idle connections this node may keep to an endpoint of a pool.
 func (r *Relay) MostIdle(pool string) int {
 	traits, _ := r.View().Table.Pool(pool)
-	return kernel.MostIdle(traits.MaxConns, r.live())
+	return kernel.MaxIdleConnections(traits.MaxConns, r.live())
 }
 
 // live returns how many nodes share the fleet's budgets; 0 while that is not known.
--- a/relay/permits_test.go
+++ b/relay/permits_test.go
@@ -85,7 +85,7 @@
 	forward := b.wire.Forward
 	b.wire.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
 		late++
-		time.Sleep(kernel.PermitLasts)
+		time.Sleep(kernel.PermitLifetime)
 		return forward(ctx, s)
 	}
 	must.NotNil(t, b.serve("/get/one").Refusal)
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -22,7 +22,7 @@
 	pool struct {
 		name   string
 		mu     sync.Mutex
-		budget *kernel.SharedBudget
+		budget *kernel.FleetRetryBudget
 		// states is by the incarnations of endpoints.
 		states map[string]*endpointState
 		// firstEvent is the time until a stream's first event.
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{name: name, budget: kernel.NewSharedBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
+		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
 		r.pools[name] = p
 	}
 	return p
@@ -223,7 +223,7 @@
 func (p *pool) takeRepeat(now time.Time, nodes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.TakeRepeat(now, nodes)
+	return p.budget.TakeRetry(now, nodes)
 }
 
 func (p *pool) expectFirstEvent() time.Duration {
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -27,7 +27,7 @@
 // answeringBatcher returns the first node for a pool that answers at once, of those that were not passed
 // over; this node where none does.
 func (r *Relay) answeringBatcher(ctx context.Context, g *batcher, passedOver []string) string {
-	if known := g.knownBatcher(passedOver); known != "" || !r.options.Policy.Uses(kernel.NextProbed) {
+	if known := g.knownBatcher(passedOver); known != "" || !r.options.Policy.Uses(kernel.ProbeSuccessors) {
 		return r.batcherOf(g, passedOver)
 	}
 	candidates := slices.DeleteFunc(kernel.NodesByHash(g.name, g.peers(r.Reachable())), func(node string) bool { return slices.Contains(passedOver, node) })
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -161,7 +161,7 @@
 		return false, "no routing yet"
 	case r.Registry().Len() == 0:
 		return false, "no endpoints yet"
-	case r.options.KeyTrust > 0 && !view.Proven(r.now(), r.options.KeyTrust):
+	case r.options.KeyTrust > 0 && !view.Fresh(r.now(), r.options.KeyTrust):
 		return false, "the routing is too old"
 	default:
 		return true, ""
@@ -217,7 +217,7 @@
 // SetEvacuations takes over which failure domains are evacuated, and which no longer.
 func (r *Relay) SetEvacuations(change kernel.EvacuationChange) {
 	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
-	if len(news.Evacuated) == 0 && len(news.TakenBack) == 0 {
+	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
 		return
 	}
 	r.ChangeRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
@@ -225,7 +225,7 @@
 		r.metrics.Event("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
 	}
-	for _, domain := range news.TakenBack {
+	for _, domain := range news.Restored {
 		r.metrics.Event("DomainTakenBack")
 		r.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -65,7 +65,7 @@
 		HoldBack:       func(context.Context, kernel.QuarantineChange) error { return nil },
 		PublishRateCap: func(context.Context, string, model.RateCap) error { return nil },
 	}
-	options := relay.Options{Name: "node", Domain: "d", Budget: kernel.BudgetTerms{Ratio: 1, Slack: 100, Window: 10 * time.Second}}
+	options := relay.Options{Name: "node", Domain: "d", Budget: kernel.FleetRetryLimits{Ratio: 1, Slack: 100, Window: 10 * time.Second}}
 	now := func() time.Time {
 		if madeUp := b.clock.Load(); madeUp != 0 {
 			return time.Unix(0, madeUp)
--- a/relay/room.go
+++ b/relay/room.go
@@ -21,8 +21,8 @@
 
 // free gives results up at their workers. Their room is given out again only once the worker has
 // confirmed: a call that overtakes the word would find no room.
-func (g *batcher) free(made []kernel.MadePiece) {
-	byWorker := map[string][]kernel.MadePiece{}
+func (g *batcher) free(made []kernel.ResultRef) {
+	byWorker := map[string][]kernel.ResultRef{}
 	for _, m := range made {
 		byWorker[m.Worker] = append(byWorker[m.Worker], m)
 	}
@@ -47,9 +47,9 @@
 		return
 	}
 	g.mu.Lock()
-	fetched := g.g.Fetched(g.relay.now())
+	fetched := g.g.TakeFetchedInputs(g.relay.now())
 	g.mu.Unlock()
-	byQueue := map[string][]kernel.MadePiece{}
+	byQueue := map[string][]kernel.ResultRef{}
 	for _, m := range fetched {
 		queue := g.relay.hub.queueOf(m)
 		byQueue[queue] = append(byQueue[queue], m)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (g *batcher) freeAt(worker model.Endpoint, made []kernel.MadePiece) {
+func (g *batcher) freeAt(worker model.Endpoint, made []kernel.ResultRef) {
 	ctx, cancel := context.WithTimeout(g.relay.ctx, freeTimeout)
 	defer cancel()
 	if err := g.relay.wire.Free(ctx, worker, handlesOf(made)); err != nil {
@@ -101,7 +101,7 @@
 func (g *batcher) inherits() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.g.Inherits(g.relay.now())
+	return g.g.MayHoldForeignResults(g.relay.now())
 }
 
 func (g *batcher) askRoom(worker model.Endpoint) {
@@ -113,11 +113,11 @@
 		return
 	}
 	g.mu.Lock()
-	g.g.NoteRoom(g.relay.now(), worker.Incarnation(), free)
+	g.g.SetFreeRoom(g.relay.now(), worker.Incarnation(), free)
 	g.mu.Unlock()
 }
 
-func handlesOf(made []kernel.MadePiece) []string {
+func handlesOf(made []kernel.ResultRef) []string {
 	handles := make([]string, 0, len(made))
 	for _, m := range made {
 		handles = append(handles, m.Handle)
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -18,23 +18,23 @@
 		domain string
 
 		stages []model.StageNode
-		homes  kernel.Homes
+		homes  kernel.AllowedRegions
 		// results has an entry for each stage that is done. It, started and released belong to the
 		// goroutine that serves the request.
-		results map[int][]kernel.MadePiece
+		results map[int][]kernel.ResultRef
 		started map[int]bool
 		// released is true once the engine's inputs were given up.
 		released bool
 
 		mu sync.Mutex
 		// held lists, by stage, the results that are still held.
-		held map[int][]kernel.MadePiece
+		held map[int][]kernel.ResultRef
 	}
 
 	// stageDone is how one stage ended.
 	stageDone struct {
 		stage int
-		made  []kernel.MadePiece
+		made  []kernel.ResultRef
 		// inputsFreed is true where the batcher freed what the stage was made from.
 		inputsFreed bool
 		refusal     *model.Refusal
@@ -46,7 +46,7 @@
 // done; the first failure ends them all. The results must be released.
 func (j *job) runStages(ctx context.Context, p *pool) (*stageRun, *model.Refusal) {
 	run, refusal := j.planStages(ctx, p)
-	if refusal != nil || len(run.plan.Last) == 0 {
+	if refusal != nil || len(run.plan.FinalStages) == 0 {
 		return run, refusal
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -81,29 +81,29 @@
 		relay:   r,
 		stages:  j.admission.Route.Stages,
 		homes:   j.admission.Homes,
-		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AtHome(r.Registry().Endpoints(p.name))),
-		results: map[int][]kernel.MadePiece{},
+		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
+		results: map[int][]kernel.ResultRef{},
 		started: map[int]bool{},
-		held:    map[int][]kernel.MadePiece{},
+		held:    map[int][]kernel.ResultRef{},
 	}
 	firstEvent := p.expectFirstEvent()
 	run.plan = kernel.PlanStages(j.forward, j.admission, r.hub.traitsOf(run.stages), firstEvent)
-	if len(run.plan.Last) == 0 {
+	if len(run.plan.FinalStages) == 0 {
 		return run, nil
 	}
 	groups := map[int]batchRequest{}
 	for i := range run.stages {
-		if kernel.PiecesOf(j.forward, i) > 0 {
+		if kernel.PieceCount(j.forward, i) > 0 {
 			groups[i] = j.group(run, i)
 		}
 	}
 	estimates := r.estimates(ctx, run.stages, groups)
 	for i, o := range estimates {
-		if kernel.PiecesOf(j.forward, i) > 0 {
+		if kernel.PieceCount(j.forward, i) > 0 {
 			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: o.Wait, RoomTaken: o.RoomTaken})
 		}
 	}
-	if queued(estimates) && r.options.Policy.Uses(kernel.KnownReturns) {
+	if queued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
 		j.forward = j.forward.WithWaited(r.waitedBefore(ctx, j.forward, j.admission))
 	}
 	run.plan = kernel.PlanStages(j.forward, j.admission, estimates, firstEvent)
@@ -136,7 +136,7 @@
 			continue
 		}
 		run.started[i] = true
-		if kernel.PiecesOf(j.forward, i) == 0 {
+		if kernel.PieceCount(j.forward, i) == 0 {
 			run.results[i] = nil
 			continue
 		}
@@ -144,7 +144,7 @@
 		group := j.group(run, i)
 		go func() {
 			defer j.relay.guard(func() {
-				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.RetryAfter(0), "the stage failed")}
+				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
 			done <- j.runStage(ctx, i, group)
 		}()
@@ -154,8 +154,8 @@
 
 // collectInputs lists the results that the engine needs.
 func (s *stageRun) collectInputs() {
-	var last []kernel.MadePiece
-	for _, i := range s.plan.Last {
+	var last []kernel.ResultRef
+	for _, i := range s.plan.FinalStages {
 		last = append(last, s.results[i]...)
 	}
 	for _, m := range last {
@@ -165,7 +165,7 @@
 
 // stale tells whether one of the engine's inputs went with an incarnation of its worker.
 func (s *stageRun) stale() bool {
-	for _, i := range s.plan.Last {
+	for _, i := range s.plan.FinalStages {
 		if kernel.AnyStale(s.results[i], s.relay.Registry().Superseded) {
 			return true
 		}
@@ -200,7 +200,7 @@
 	if len(node.After) == 0 {
 		piece.Key = j.forward.PieceKey
 	}
-	var inputs []kernel.MadePiece
+	var inputs []kernel.ResultRef
 	for _, before := range node.After {
 		inputs = append(inputs, run.results[before]...)
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
@@ -208,10 +208,10 @@
 	piece.Inputs = handlesOf(inputs)
 	g.inputs = inputs
 	g.freeInputs = run.soleConsumer(stage) && j.crowding(run, stage)
-	if domain := kernel.DomainOf(inputs); domain != "" {
+	if domain := kernel.MostCommonDomain(inputs); domain != "" {
 		g.domain = domain
 	}
-	pieces := kernel.PiecesOf(j.forward, stage)
+	pieces := kernel.PieceCount(j.forward, stage)
 	// Each piece fetches all inputs; without inputs, the results are what is moved later.
 	moved := inputBytes * int64(pieces)
 	if len(inputs) == 0 {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -136,7 +136,7 @@
 	admitted := send.BeforeSend
 	send.BeforeSend = func() error {
 		if stages.stale() {
-			return model.NewRefusal(j.verdict(), model.StageFailed, kernel.RetryAfter(refusedRetry), "an input went with its worker")
+			return model.NewRefusal(j.verdict(), model.StageFailed, kernel.ClampRetryAfter(refusedRetry), "an input went with its worker")
 		}
 		return admitted()
 	}
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -35,7 +35,7 @@
 	if g.batches() {
 		return ""
 	}
-	if other := g.follows(passedOver); other != "" && g.relay.options.Policy.Uses(kernel.OneBatcher) {
+	if other := g.follows(passedOver); other != "" && g.relay.options.Policy.Uses(kernel.SingleBatcher) {
 		return other
 	}
 	return g.begin(ctx, passedOver)
@@ -93,7 +93,7 @@
 	g.g.TakeOver(r.now())
 	g.mu.Unlock()
 	yielded, other := g.askOthers(ctx, g.question(false))
-	if other != "" && !slices.Contains(passedOver, other) && r.options.Policy.Uses(kernel.OneBatcher) {
+	if other != "" && !slices.Contains(passedOver, other) && r.options.Policy.Uses(kernel.SingleBatcher) {
 		g.noteBatcher(other)
 		return other
 	}
@@ -109,7 +109,7 @@
 	if worthAsking {
 		go g.askRooms()
 	}
-	if r.options.Policy.Uses(kernel.OneBatcher) {
+	if r.options.Policy.Uses(kernel.SingleBatcher) {
 		go g.confirm(begun)
 	}
 	return ""
@@ -204,8 +204,8 @@
 	if !active {
 		return peer.TakeOverReply{MovedTo: g.knownBatcher([]string{m.Node})}
 	}
-	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batches: true, Leaving: r.Leaving()}
-	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batches: m.Batches, Leaving: m.Leaving}
+	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
+	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
 	switch kernel.AnswerClaim(g.name, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -218,7 +218,7 @@
 
 // atHome returns the endpoints of the request's pool in the regions where it may be served.
 func (j *job) atHome() []model.Endpoint {
-	return j.admission.Homes.AtHome(j.relay.Registry().Endpoints(j.admission.Pool))
+	return j.admission.Homes.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
 }
 
 // noEndpoint refuses a request that no endpoint may get now.
@@ -240,7 +240,7 @@
 func (j *job) refuse(verdict model.Verdict, reason model.Reason, detail string) Outcome {
 	retry := time.Duration(0)
 	if verdict == model.NotRun {
-		retry = kernel.RetryAfter(refusedRetry)
+		retry = kernel.ClampRetryAfter(refusedRetry)
 	}
 	refusal := model.NewRefusal(verdict, reason, retry, detail)
 	return Outcome{Refusal: refusal, Attempts: j.asked}
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -23,9 +23,9 @@
 		// that keys are trusted however old the routing is.
 		KeyTrust time.Duration
 		// Budget bounds the repeated sends of all nodes together to each pool.
-		Budget kernel.BudgetTerms
+		Budget kernel.FleetRetryLimits
 		// Cold bounds what all nodes together send to cold endpoints.
-		Cold kernel.ColdTerms
+		Cold kernel.ColdLimits
 		// Policy says which mechanisms decide.
 		Policy kernel.Policy
 	}
--- a/service/service.go
+++ b/service/service.go
@@ -21,7 +21,7 @@
 	})
 }
 
-func prepare(w kernel.Work) model.StageCall {
+func prepare(w kernel.StageContext) model.StageCall {
 	text := w.Carry.Output
 	if text == "" {
 		text = w.Request.Input.Text
@@ -33,7 +33,7 @@
 	}
 }
 
-func accept(w kernel.Work, r model.StageReply) (model.Carry, error) {
+func accept(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
 	if r.Text == "" {
 		return w.Carry, errEmpty
 	}
