--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -24,27 +24,28 @@
 
 const (
 	fleetSize = 400
-	// besides is how many requests are under way at an endpoint, each at a node of its own.
-	besides = 60
-	// newsTakes is how long it takes until a node hears of what was written into the store.
-	newsTakes = 500 * time.Millisecond
-	// silence is after which time a node that does not answer is given up.
-	silence = 600 * time.Millisecond
-	// contact is after which time all nodes are bound by what was found.
-	contact = 3 * time.Second
-	// mostLater is how many tries may reach an endpoint later than that.
-	mostLater = 3
-	// popularPause is how long after one try of a popular request the next comes.
-	popularPause = 100 * time.Millisecond
-	// mostMessage bounds one word between nodes, in bytes: it fills the slowest links of hosts for 20 ms.
-	mostMessage = 25_000
+	// concurrentRequests is the number of other requests that run at an endpoint, each sent by a random node.
+	concurrentRequests = 60
+	// propagationDelay is the time until all nodes learn of a write to the store.
+	propagationDelay = 500 * time.Millisecond
+	// failureDetectionTime is the time after which a node that does not answer is considered lost.
+	failureDetectionTime = 600 * time.Millisecond
+	// convergenceTime is the time within which all nodes hold back a request after its third crash.
+	convergenceTime = 3 * time.Second
+	// maxLateAttempts bounds the attempts that reach an endpoint later than that.
+	maxLateAttempts = 3
+	// popularInterval is the interval at which a popular request is sent.
+	popularInterval = 100 * time.Millisecond
+	// maxMessageBytes bounds a message between nodes. One of this size occupies the slowest links between hosts for
+	// 20 ms.
+	maxMessageBytes = 25_000
 )
 
-var errCut = errors.New("no way to the node")
+var errUnreachable = errors.New("node unreachable")
 
 type (
-	// fleet is coordinators that call each other within the process, on a clock of its own, and what they have written
-	// into the store. Endpoints are only names.
+	// fleet simulates nodes whose coordinators call each other within the process, and the store that they write to. It
+	// runs on the clock of a synctest bubble. Endpoints exist only as names.
 	fleet struct {
 		t      *testing.T
 		random *rand.Rand
@@ -52,52 +53,55 @@
 		mu           sync.Mutex
 		coordinators map[string]*quarantine.Coordinator
 		names        []string
-		// cut nodes reach no other and hear nothing of the store.
-		cut map[string]bool
-		// mute nodes answer nothing, and no other node has noticed.
-		mute map[string]bool
-		// noticed holds which nodes have found out that another is mute.
-		noticed map[[2]string]bool
-		// deaf nodes are not answered by the store.
-		deaf         map[string]bool
-		rows         []kernel.HeldRequest
-		dead         map[string]bool
-		incarnations int
-		calls        int
-		bytes        int
-		writes       int
+		// partitioned nodes reach neither other nodes nor the store.
+		partitioned map[string]bool
+		// unresponsive nodes do not answer calls. Another node notices this only when it calls them.
+		unresponsive map[string]bool
+		// knownUnresponsive holds pairs of nodes of which the first has noticed that the second is unresponsive.
+		knownUnresponsive map[[2]string]bool
+		// withoutStore nodes get no answer from the store when they write.
+		withoutStore map[string]bool
+		// held are the held requests in the store.
+		held []kernel.HeldRequest
+		// crashed holds the addresses at which no process listens.
+		crashed          map[string]bool
+		endpointsStarted int
+		calls            int
+		bytes            int
+		writes           int
 	}
 
-	// try is what became of one request.
-	try struct {
+	// sendResult is the result of sending a request once.
+	sendResult struct {
 		reached bool
 		refused bool
 	}
 
-	// tally counts the tries of a poison request that reached an endpoint, and those later than nodes are bound after
-	// the third.
-	tally struct {
+	// attemptStats counts the attempts to send a poison request that reached an endpoint.
+	attemptStats struct {
 		digest  model.Digest
 		reached int
-		later   int
-		thirdAt time.Time
+		// late counts the attempts that reached an endpoint more than convergenceTime after thresholdAt.
+		late int
+		// thresholdAt is when kernel.CrashThreshold was reached.
+		thresholdAt time.Time
 	}
 )
 
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{
 		t: t, random: rand.New(rand.NewPCG(1, 1)), coordinators: map[string]*quarantine.Coordinator{},
-		cut: map[string]bool{}, deaf: map[string]bool{}, mute: map[string]bool{}, noticed: map[[2]string]bool{}, dead: map[string]bool{},
+		partitioned: map[string]bool{}, withoutStore: map[string]bool{}, unresponsive: map[string]bool{}, knownUnresponsive: map[[2]string]bool{}, crashed: map[string]bool{},
 	}
 	for i := range size {
-		f.start(fmt.Sprint("node-", i))
+		f.startNode(fmt.Sprint("node-", i))
 	}
 	return f
 }
 
-// start starts a node, in the place of one of the same name; it reads the store first.
-func (f *fleet) start(name string) {
-	k := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Seams{
+// startNode starts a node, which replaces any node of the same name, and which reads the store first.
+func (f *fleet) startNode(name string) {
+	node := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Dependencies{
 		Peers: func() []kernel.Peer { return f.peers(name) },
 		Call: func(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 			return f.call(ctx, name, node, kind, message, reply)
@@ -109,18 +113,18 @@
 	if f.coordinators[name] == nil {
 		f.names = append(f.names, name)
 	}
-	f.coordinators[name] = k
-	rows := f.rows
+	f.coordinators[name] = node
+	held := f.held
 	f.mu.Unlock()
-	k.Learn(kernel.QuarantineChange{Hold: rows})
+	node.ApplyChange(kernel.QuarantineChange{Hold: held})
 }
 
-func (f *fleet) peers(of string) []kernel.Peer {
+func (f *fleet) peers(self string) []kernel.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := []kernel.Peer{{Name: of}}
+	out := []kernel.Peer{{Name: self}}
 	for _, name := range f.names {
-		if name != of && !f.cut[of] && !f.cut[name] && !f.noticed[[2]string{of, name}] {
+		if name != self && !f.partitioned[self] && !f.partitioned[name] && !f.knownUnresponsive[[2]string{self, name}] {
 			out = append(out, kernel.Peer{Name: name})
 		}
 	}
@@ -133,25 +137,25 @@
 		return err
 	}
 	f.mu.Lock()
-	k := f.coordinators[to]
-	severed := f.cut[from] || f.cut[to]
-	mute := f.mute[to]
+	node := f.coordinators[to]
+	partitioned := f.partitioned[from] || f.partitioned[to]
+	unresponsive := f.unresponsive[to]
 	f.calls++
 	f.bytes += len(body)
 	f.mu.Unlock()
-	must.Less(f.t, mostMessage, len(body))
+	must.Less(f.t, maxMessageBytes, len(body))
 	time.Sleep(2 * time.Millisecond)
-	if severed {
-		return errCut
+	if partitioned {
+		return errUnreachable
 	}
-	if mute {
-		time.Sleep(silence)
+	if unresponsive {
+		time.Sleep(failureDetectionTime)
 		f.mu.Lock()
-		f.noticed[[2]string{from, to}] = true
+		f.knownUnresponsive[[2]string{from, to}] = true
 		f.mu.Unlock()
-		return errCut
+		return errUnreachable
 	}
-	answer, err := k.Handlers()[kind](ctx, body)
+	answer, err := node.Handlers()[kind](ctx, body)
 	if err != nil {
 		return err
 	}
@@ -165,73 +169,74 @@
 	time.Sleep(2 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead[address] {
+	if f.crashed[address] {
 		return &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	return nil
 }
 
-// write writes a change into the store; all nodes that are not cut off hear of it.
+// write writes a change to the store. All nodes that are not partitioned learn of it.
 func (f *fleet) write(from string, change kernel.QuarantineChange) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cut[from] || f.deaf[from] {
-		return errCut
+	if f.partitioned[from] || f.withoutStore[from] {
+		return errUnreachable
 	}
 	f.writes++
-	f.rows = change.Apply(f.rows)
+	f.held = change.Apply(f.held)
 	for name := range f.coordinators {
-		time.AfterFunc(newsTakes, func() {
+		time.AfterFunc(propagationDelay, func() {
 			f.mu.Lock()
-			k, cut := f.coordinators[name], f.cut[name]
+			node, partitioned := f.coordinators[name], f.partitioned[name]
 			f.mu.Unlock()
-			if !cut {
-				k.Learn(change)
+			if !partitioned {
+				node.ApplyChange(change)
 			}
 		})
 	}
 	return nil
 }
 
-// any returns a node that is not cut off.
-func (f *fleet) any() *quarantine.Coordinator {
+// randomNode returns a node that is not partitioned.
+func (f *fleet) randomNode() *quarantine.Coordinator {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for {
-		if name := f.names[f.random.IntN(len(f.names))]; !f.cut[name] {
+		if name := f.names[f.random.IntN(len(f.names))]; !f.partitioned[name] {
 			return f.coordinators[name]
 		}
 	}
 }
 
-// end ends an endpoint: each of the requests breaks off, at a node of its own.
-func (f *fleet) end(digests ...model.Digest) {
+// crash crashes a new endpoint that runs the requests, each of them sent by a random node.
+func (f *fleet) crash(digests ...model.Digest) {
 	f.mu.Lock()
-	f.incarnations++
-	e := model.Endpoint{Name: fmt.Sprint("incarnation-", f.incarnations), Pool: "engines", Address: fmt.Sprint("incarnation-", f.incarnations)}
-	f.dead[e.Address] = true
+	f.endpointsStarted++
+	e := model.Endpoint{Name: fmt.Sprint("incarnation-", f.endpointsStarted), Pool: "engines", Address: fmt.Sprint("incarnation-", f.endpointsStarted)}
+	f.crashed[e.Address] = true
 	f.mu.Unlock()
 	for _, d := range digests {
-		f.any().BrokeOff(e, d)
+		f.randomNode().RecordDisconnect(e, d)
 	}
 }
 
-// send sends a request to any node. A poison request ends an endpoint, with others beside it.
-func (f *fleet) send(digest model.Digest, poison bool, beside ...model.Digest) try {
-	k := f.any()
-	if _, refusal := k.Admit(f.t.Context(), digest); refusal != nil {
-		return try{refused: true}
+// send sends a request from a random node. A poison request crashes an endpoint that also runs the concurrent
+// requests.
+func (f *fleet) send(digest model.Digest, poison bool, concurrent ...model.Digest) sendResult {
+	node := f.randomNode()
+	if _, refusal := node.Admit(f.t.Context(), digest); refusal != nil {
+		return sendResult{refused: true}
 	}
 	if poison {
-		f.end(append(beside, digest)...)
+		f.crash(append(concurrent, digest)...)
 	} else {
-		k.Answered(digest)
+		node.RecordAnswer(digest)
 	}
-	return try{reached: true}
+	return sendResult{reached: true}
 }
 
-// others returns the digests of requests that are sent once.
-func (f *fleet) others(n int) []model.Digest {
+// newDigests returns the digests of n new requests.
+func (f *fleet) newDigests(n int) []model.Digest {
 	out := make([]model.Digest, n)
 	for i := range out {
 		out[i] = model.NewDigest(fmt.Sprint(f.random.Uint64()))
@@ -239,47 +244,48 @@
 	return out
 }
 
-// note counts a try that reached an endpoint.
-func (of *tally) note() {
-	of.reached++
-	if !of.thirdAt.IsZero() && time.Since(of.thirdAt) > contact {
-		of.later++
+// countReached counts an attempt that reached an endpoint.
+func (stats *attemptStats) countReached() {
+	stats.reached++
+	if !stats.thresholdAt.IsZero() && time.Since(stats.thresholdAt) > convergenceTime {
+		stats.late++
 	}
-	if of.reached == kernel.CrashThreshold {
-		of.thirdAt = time.Now()
+	if stats.reached == kernel.CrashThreshold {
+		stats.thresholdAt = time.Now()
 	}
 }
 
-// repeat sends a poison request again and again. Others run beside it; they come once more when they were cut.
-func (f *fleet) repeat(digest model.Digest, tries int, pause time.Duration) tally {
-	of := tally{digest: digest}
-	for range tries {
-		beside := f.others(besides)
-		if f.send(digest, true, beside...).reached {
-			of.note()
+// sendRepeatedly sends a poison request several times, each time together with other requests. Those are sent once
+// more after the crash, and must be served.
+func (f *fleet) sendRepeatedly(digest model.Digest, attempts int, interval time.Duration) attemptStats {
+	stats := attemptStats{digest: digest}
+	for range attempts {
+		concurrent := f.newDigests(concurrentRequests)
+		if f.send(digest, true, concurrent...).reached {
+			stats.countReached()
 		}
-		time.Sleep(pause)
-		for _, d := range beside {
-			must.False(f.t, f.send(d, false).refused, must.Sprint("what ran beside is served"))
+		time.Sleep(interval)
+		for _, d := range concurrent {
+			must.False(f.t, f.send(d, false).refused, must.Sprint("requests that ran beside the cause must be served"))
 		}
 	}
-	return of
+	return stats
 }
 
-// sendAll sends several poison requests once: each ends an endpoint of its own, or all of them the same one.
-func (f *fleet) sendAll(tallies []*tally, together bool) {
+// sendAll sends several poison requests once, each to an endpoint of its own or all of them to the same one.
+func (f *fleet) sendAll(allStats []*attemptStats, sameEndpoint bool) {
 	var sent []model.Digest
-	for _, of := range tallies {
-		if _, refusal := f.any().Admit(f.t.Context(), of.digest); refusal == nil {
-			of.note()
-			sent = append(sent, of.digest)
+	for _, stats := range allStats {
+		if _, refusal := f.randomNode().Admit(f.t.Context(), stats.digest); refusal == nil {
+			stats.countReached()
+			sent = append(sent, stats.digest)
 		}
 	}
-	if together && len(sent) > 0 {
-		f.end(sent...)
+	if sameEndpoint && len(sent) > 0 {
+		f.crash(sent...)
 		return
 	}
 	for _, d := range sent {
-		f.end(d)
+		f.crash(d)
 	}
 }
