--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// MaxIdleConnections returns how many idle connections this node may keep to an endpoint of a pool.
+// MostIdle returns how many idle connections this node may keep to an endpoint of a pool.
 func (r *Relay) MostIdle(pool string) int {
 	traits, _ := r.View().Table.Pool(pool)
 	return kernel.MaxIdleConnections(traits.MaxConns, r.live())
