--- a/kernel/batch_property_test.go
+++ b/kernel/batch_property_test.go
@@ -13,11 +13,11 @@
 // batchPieceBytes is the size of each result in the property test.
 const batchPieceBytes = 1_500_000
 
-// batchMachine drives a batch queue with calls that end in any way and any order, and keeps its own
-// account beside.
+// batchMachine drives a batch queue with calls that end in any way and in any order, and keeps its own account of
+// groups and room.
 type batchMachine struct {
 	now     time.Time
-	g       *kernel.BatchQueue
+	queue   *kernel.BatchQueue
 	next    uint64
 	open    map[uint64]int
 	running []kernel.PieceBatch
@@ -25,13 +25,13 @@
 	inCalls map[string]int64
 }
 
-// Whatever calls do, each group ends once, with each of its pieces or with a fault, and room is
-// never given out twice.
-func TestABatchQueueKeepsItsAccounts(t *testing.T) {
+// However calls end, each group ends once, with all of its pieces or with a fault, and room is never allocated
+// twice.
+func TestBatchQueueAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &batchMachine{
 			now:     time.Unix(1000, 0),
-			g:       newBatchQueue(rapid.IntRange(1, 4).Draw(t, "workers")),
+			queue:   newBatchQueue(rapid.IntRange(1, 4).Draw(t, "workers")),
 			open:    map[uint64]int{},
 			held:    map[string]int64{},
 			inCalls: map[string]int64{},
@@ -47,20 +47,20 @@
 func (m *batchMachine) add(t *rapid.T) {
 	m.next++
 	pieces := rapid.IntRange(1, 12).Draw(t, "pieces")
-	if ok, _ := m.g.Add(m.now, pieceGroup(m.next, pieces, batchPieceBytes, m.now.Add(2*time.Second))); ok {
+	if ok, _ := m.queue.Add(m.now, pieceGroup(m.next, pieces, batchPieceBytes, m.now.Add(2*time.Second))); ok {
 		m.open[m.next] = pieces
 	}
 }
 
 func (m *batchMachine) start(t *rapid.T) {
-	batch, ok := m.g.Next(m.now)
+	batch, ok := m.queue.Next(m.now)
 	if !ok {
 		return
 	}
 	name := batch.Endpoint.Name
 	m.inCalls[name] += batchPieceBytes * int64(len(batch.Pieces))
 	if m.inCalls[name]+m.held[name] > batchTraits.Room {
-		t.Fatalf("room of %s was given out twice", name)
+		t.Fatalf("room of %s was allocated twice", name)
 	}
 	m.running = append(m.running, batch)
 }
@@ -76,20 +76,20 @@
 	case 0, 1:
 		results := madeAll(batch)
 		m.held[batch.Endpoint.Name] += batchPieceBytes * int64(len(results))
-		ended, _ := m.g.Done(m.now, batch, results)
+		ended, _ := m.queue.Done(m.now, batch, results)
 		m.ended(t, ended)
 	case 2:
-		m.ended(t, m.g.Failed(m.now, batch))
+		m.ended(t, m.queue.Failed(m.now, batch))
 	default:
-		m.ended(t, m.g.Refused(m.now, batch))
+		m.ended(t, m.queue.Refused(m.now, batch))
 	}
 }
 
-// expire lets time pass until all workers have dropped what they hold.
+// expire advances the time until all workers have dropped their results.
 func (m *batchMachine) expire(t *rapid.T) {
-	m.ended(t, m.g.Expire(m.now))
+	m.ended(t, m.queue.Expire(m.now))
 	m.now = m.now.Add(2 * batchTraits.Keep)
-	m.ended(t, m.g.Expire(m.now))
+	m.ended(t, m.queue.Expire(m.now))
 	m.held = map[string]int64{}
 }
 
--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -69,7 +69,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				benchSink = q.Ahead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
+				benchSink = q.CostAhead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 }
 
 func BenchmarkLimitAndBudget(b *testing.B) {
-	l := kernel.NewLimit(10, 1, 100)
+	l := kernel.NewConcurrencyLimit(10, 1, 100)
 	budget := kernel.NewRetryBudget()
 	load := kernel.PoolLoad{Slots: 48}
 	b.ReportAllocs()
@@ -112,45 +112,46 @@
 	benchSink = l
 }
 
-// BenchmarkHeartbeats is one node's part of a second: two rounds, each with its neighbours'
-// answers; it reports the bytes sent.
+// BenchmarkHeartbeats measures the heartbeats of one node in a second: two rounds, with the answers of its neighbours.
+// It reports the bytes sent.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{9, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := newGossip(n)
+			g := newGossipSim(n)
 			for range 60 {
 				g.round()
 			}
 			bytes := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				bytes = second(g)
+				bytes = simulateSecond(g)
 			}
 			b.ReportMetric(float64(bytes), "sent-B/s")
 		})
 	}
 }
 
-// second lets the first node live through two rounds and returns the bytes that it sends. As
-// many heartbeats come in as go out, and each is answered.
-func second(g *gossip) int {
+// simulateSecond runs two rounds of the first node and returns the bytes that it sends. It receives as many heartbeats
+// as it sends, and each is answered.
+func simulateSecond(g *gossipSim) int {
 	node := g.nodes[0]
 	bytes := 0
 	for range 2 {
 		g.now = g.now.Add(500 * time.Millisecond)
 		for _, info := range node.Members()[1:] {
-			node.Heard(g.now, kernel.News{Member: info.Member, Beat: info.Beat, FailureDomain: "d"})
+			node.RecordHeartbeat(g.now, kernel.GossipUpdate{Member: info.Member, Beat: info.Beat, FailureDomain: "d"})
 		}
 		node.Tick(g.now)
 		for range 2 * len(node.Neighbours()) {
-			data, _ := msgpack.Marshal(node.Outgoing())
+			data, _ := msgpack.Marshal(node.PendingUpdates())
 			bytes += len(data)
 		}
 	}
 	return bytes
 }
 
-// BenchmarkSettings applies a whole snapshot; it reports its size and what it keeps in memory.
+// BenchmarkSettings applies a whole snapshot. It reports the size of the documents and the memory that the settings
+// keep.
 func BenchmarkSettings(b *testing.B) {
 	for _, n := range []int{5, 740, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -179,7 +180,7 @@
 	return m.HeapAlloc
 }
 
-// customersSnapshot has 16 pipelines and the customers spread over as many teams.
+// customersSnapshot returns a snapshot with 16 teams of one pipeline each, over which the customers are spread.
 func customersSnapshot(customers int) model.Snapshot {
 	const teams = 16
 	s := model.Snapshot{Revision: teams}
@@ -196,7 +197,7 @@
 	return s
 }
 
-// Whoever looks for a pool's batcher, or for who reads the store, orders the nodes by hash.
+// BenchmarkNodesByHash orders the nodes by hash, as each look-up of a pool's batcher or of the store's readers does.
 func BenchmarkNodesByHash(b *testing.B) {
 	for _, n := range []int{9, 400, 4000} {
 		nodes := make([]kernel.Peer, n)
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -15,33 +15,33 @@
 
 const (
 	coldStep = 10 * time.Millisecond
-	// coldTrouble is when something happens to the fleet.
-	coldTrouble = 3 * time.Second
+	// coldDisruptionAt is when the disruption of a run takes place.
+	coldDisruptionAt = 3 * time.Second
 )
 
 type (
-	// coldFleet is nodes that all have more requests for one cold endpoint than it may get.
+	// coldFleet simulates nodes that all have more requests for one cold endpoint than it may get.
 	coldFleet struct {
 		rng   *rand.Rand
-		terms kernel.ColdTerms
+		terms kernel.ColdLimits
 		rate  float64
 		nodes []coldNode
 	}
 
 	coldNode struct {
 		name string
-		// knows are the nodes that this one has read of.
-		knows  []kernel.Peer
-		sends  bool
-		sentAt time.Time
+		// knownPeers are the nodes that this one knows of.
+		knownPeers []kernel.Peer
+		sends      bool
+		sentAt     time.Time
 	}
 )
 
-func newColdFleet(seed uint64, nodes int, terms kernel.ColdTerms, rate float64) *coldFleet {
+func newColdFleet(seed uint64, nodes int, terms kernel.ColdLimits, rate float64) *coldFleet {
 	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, rate: rate}
 	all := peersNamed("node", nodes)
 	for _, p := range all {
-		f.nodes = append(f.nodes, coldNode{name: p.Name, knows: all})
+		f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: all})
 	}
 	return f
 }
@@ -54,9 +54,9 @@
 	return out
 }
 
-// play has all nodes send for a time as fast as they may, and returns the most requests that arrive within one second
-// and how many arrive in all. Some sends open a connection first.
-func (f *coldFleet) play(length time.Duration, at func(elapsed time.Duration)) (most, total int) {
+// play lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
+// arrive within one second and the total. Some sends open a connection first.
+func (f *coldFleet) play(length time.Duration, at func(elapsed time.Duration)) (maxInSecond, total int) {
 	share := f.terms.Share(f.rate)
 	start := time.Unix(1000, 0)
 	e := model.Endpoint{Name: "cold", ColdUntil: start.Add(length)}
@@ -66,8 +66,8 @@
 		now := start.Add(elapsed)
 		for i := range f.nodes {
 			n := &f.nodes[i]
-			if elapsed == 0 || elapsed == coldTrouble {
-				n.sends = share.Sends(n.name, e, n.knows)
+			if elapsed == 0 || elapsed == coldDisruptionAt {
+				n.sends = share.IsSender(n.name, e, n.knownPeers)
 			}
 			if !n.sends || !share.Due(now, n.sentAt) {
 				continue
@@ -86,85 +86,85 @@
 		if within < 0 {
 			within = len(arrivals) - i
 		}
-		most = max(most, within)
+		maxInSecond = max(maxInSecond, within)
 	}
-	return most, len(arrivals)
+	return maxInSecond, len(arrivals)
 }
 
-// coldTroubles are what may happen to the nodes, or to what they know of each other.
-var coldTroubles = map[string]func(f *coldFleet){
+// coldDisruptions are changes of the nodes or of their membership views during a run.
+var coldDisruptions = map[string]func(f *coldFleet){
 	"none": func(*coldFleet) {},
 	"two views that share no node": func(f *coldFleet) {
-		all, half := f.nodes[0].knows, len(f.nodes)/2
+		all, half := f.nodes[0].knownPeers, len(f.nodes)/2
 		for i := range f.nodes {
-			f.nodes[i].knows = all[half:]
+			f.nodes[i].knownPeers = all[half:]
 			if i < half {
-				f.nodes[i].knows = all[:half]
+				f.nodes[i].knownPeers = all[:half]
 			}
 		}
 	},
-	"a sender leaves and half have not heard": func(f *coldFleet) {
-		all := f.nodes[0].knows
+	"a sender leaves and half of the nodes do not know of it": func(f *coldFleet) {
+		all := f.nodes[0].knownPeers
 		sender := slices.IndexFunc(f.nodes, func(n coldNode) bool { return n.sends })
 		left := slices.DeleteFunc(slices.Clone(all), func(p kernel.Peer) bool { return p.Name == f.nodes[sender].name })
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
-				f.nodes[i].knows = left
+				f.nodes[i].knownPeers = left
 			}
 		}
 	},
-	"nodes join and half have not heard": func(f *coldFleet) {
-		more := append(slices.Clone(f.nodes[0].knows), peersNamed("joined", 3)...)
+	"nodes join and half of the nodes do not know of it": func(f *coldFleet) {
+		more := append(slices.Clone(f.nodes[0].knownPeers), peersNamed("joined", 3)...)
 		for _, p := range peersNamed("joined", 3) {
-			f.nodes = append(f.nodes, coldNode{name: p.Name, knows: more})
+			f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: more})
 		}
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
-				f.nodes[i].knows = more
+				f.nodes[i].knownPeers = more
 			}
 		}
 	},
 	"as many nodes join, and each knows some of them": func(f *coldFleet) {
-		before, joined := f.nodes[0].knows, peersNamed("joined", len(f.nodes))
+		before, joined := f.nodes[0].knownPeers, peersNamed("joined", len(f.nodes))
 		for _, p := range joined {
 			f.nodes = append(f.nodes, coldNode{name: p.Name})
 		}
 		for i := range f.nodes {
-			f.nodes[i].knows = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
+			f.nodes[i].knownPeers = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
 		}
 	},
-	"many start again and know no node yet": func(f *coldFleet) {
+	"many restart and know no node yet": func(f *coldFleet) {
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
-				f.nodes[i].knows, f.nodes[i].sentAt = nil, time.Time{}
+				f.nodes[i].knownPeers, f.nodes[i].sentAt = nil, time.Time{}
 			}
 		}
 	},
-	"all start again": func(f *coldFleet) {
+	"all restart": func(f *coldFleet) {
 		for i := range f.nodes {
 			f.nodes[i].sentAt = time.Time{}
 		}
 	},
 }
 
-// Pattern: a cold endpoint that all nodes want. However many they are, whatever happens to them and whatever each of
-// them knows of the others, no second brings it more than the bound, and it is not left without work.
-func TestAColdEndpointGetsWhatItBears(t *testing.T) {
+// A cold endpoint that all nodes want to use gets no more than the bound in any second and is not left idle, whatever
+// the size of the fleet, the disruption and the membership views of the nodes.
+func TestAColdEndpointGetsNoMoreThanItsBound(t *testing.T) {
 	const length = 10 * time.Second
-	terms, rate := kernel.ColdTerms{Excess: 1.5, Slack: 5}, 9.4
+	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
 	bound := int(rate*terms.Excess + terms.Slack)
-	for name, trouble := range coldTroubles {
+	for name, disruption := range coldDisruptions {
 		t.Run(name, func(t *testing.T) {
 			for _, nodes := range []int{1, 8, 76, 400} {
 				for seed := range uint64(5) {
 					f := newColdFleet(seed, nodes, terms, rate)
-					most, total := f.play(length, func(elapsed time.Duration) {
-						if elapsed == coldTrouble {
-							trouble(f)
+					maxInSecond, total := f.play(length, func(elapsed time.Duration) {
+						if elapsed == coldDisruptionAt {
+							disruption(f)
 						}
 					})
-					must.LessEq(t, bound, most, must.Sprint(nodes, " nodes, seed ", seed))
-					must.GreaterEq(t, int(coldTrouble/time.Second), total, must.Sprint(nodes, " nodes, seed ", seed))
+					must.LessEq(t, bound, maxInSecond, must.Sprint(nodes, " nodes, seed ", seed))
+					must.GreaterEq(t, int(coldDisruptionAt/time.Second), total, must.Sprint(nodes, " nodes, seed ", seed))
 				}
 			}
 		})
@@ -172,15 +172,15 @@
 }
 
 func TestAPoolWithoutAStatedRateHasNoBound(t *testing.T) {
-	must.EqOp(t, 0, kernel.ColdTerms{Excess: 1.5, Slack: 5}.Share(0).Senders)
+	must.EqOp(t, 0, kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(0).Senders)
 }
 
-// The bound is kept by pools of all rates, also where the settings state no excess.
+// The bound is kept for pools of all rates, also where the settings give no excess.
 func TestTheSharesOfAColdEndpointFitItsBound(t *testing.T) {
-	for _, terms := range []kernel.ColdTerms{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{2, 3, 5, 9.4, 50, 1000} {
 			share := terms.Share(rate)
-			perView := share.Senders * int((1800*time.Millisecond+share.Pause-1)/share.Pause)
+			perView := share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
 			must.LessEq(t, max(2, int(max(rate, rate*terms.Excess+terms.Slack))), 2*perView, must.Sprint(terms, rate, share))
 		}
 	}
@@ -195,35 +195,36 @@
 	must.False(t, kernel.AnyCold(now.Add(3*time.Second), r.Endpoints("p")))
 	e.ColdFor = 0
 	r = r.WithChanges(now.Add(time.Second), now.Add(time.Second), []model.Endpoint{e}, nil, nil)
-	must.False(t, kernel.AnyCold(now.Add(time.Second), r.Endpoints("p")), must.Sprint("its newest entry says that it is warm"))
+	must.False(t, kernel.AnyCold(now.Add(time.Second), r.Endpoints("p")), must.Sprint("the newest entry states that it is warm"))
 	e.ColdFor = time.Second
 	r = r.WithChanges(now.Add(2*time.Second), now.Add(2*time.Second), []model.Endpoint{e}, nil, nil)
-	must.True(t, kernel.AnyCold(now.Add(2*time.Second), r.Endpoints("p")), must.Sprint("it may become cold at any moment"))
+	must.True(t, kernel.AnyCold(now.Add(2*time.Second), r.Endpoints("p")), must.Sprint("an endpoint may become cold again"))
 }
 
-// Endpoints may have become cold while their domain was evacuated; their entries say so later than the end is known.
-func TestADomainThatIsTakenBackCountsAsCold(t *testing.T) {
+// Endpoints may have become cold while their domain was evacuated. Their entries say so only after the end of the
+// evacuation is known.
+func TestARestoredDomainCountsAsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuated(now, "a"))
 	ended := now.Add(10 * time.Second)
-	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{TakenBack: []string{"a"}})
+	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
 	r = r.WithEvacuations(back)
 	for _, e := range r.Endpoints("p") {
 		must.EqOp(t, e.FailureDomain == "a", kernel.IsCold(ended, e))
 		must.False(t, kernel.IsCold(ended.Add(4*time.Second), e))
 	}
 	r = r.WithChanges(ended.Add(time.Second), ended.Add(time.Second), []model.Endpoint{in("a", "p-a", "p")}, nil, nil)
-	must.True(t, kernel.IsCold(ended.Add(time.Second), r.Endpoints("p")[0]), must.Sprint("an entry may have been written before the end"))
+	must.True(t, kernel.IsCold(ended.Add(time.Second), r.Endpoints("p")[0]), must.Sprint("the entry may have been written before the evacuation ended"))
 }
 
-// A worker that is cold gets its calls one by one, and the others make the rest.
+// Calls to a cold worker are spaced, and the warm workers make the remaining pieces.
 func TestAColdWorkerGetsFewCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
 	warm, cold := in("a", "warm", "workers"), in("a", "cold", "workers")
 	cold.ColdUntil = start.Add(time.Minute)
 	g := kernel.NewBatchQueue(batchTraits)
-	share := kernel.ColdTerms{}.Share(4).Single()
-	g.SetCold(share)
+	share := kernel.ColdLimits{}.Share(4).ForSingleSender()
+	g.SetColdShare(share)
 	g.SetEndpoints([]model.Endpoint{warm, cold})
 	calls := map[string]int{}
 	id := uint64(0)
@@ -236,7 +237,7 @@
 			calls[batch.Endpoint.Name]++
 			g.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
 			if calls["cold"]+calls["warm"] > 10_000 {
-				t.Fatal("calls without end")
+				t.Fatal("calls do not end")
 			}
 			if batch.Endpoint.Name == "warm" {
 				break
@@ -244,6 +245,6 @@
 		}
 	}
 	must.Positive(t, calls["cold"])
-	must.LessEq(t, int(length/share.Pause)+1, calls["cold"])
+	must.LessEq(t, int(length/share.MinInterval)+1, calls["cold"])
 	must.Greater(t, 2*calls["cold"], calls["warm"])
 }
--- a/kernel/orders_test.go
+++ b/kernel/orders_test.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// TestNoTwoOrderersAtOnce: two nodes, any pauses, slow and lost answers, engines that ignore
+// TestNoTwoOrderersAtOnce runs two nodes with arbitrary pauses, slow and lost replies, and engines that ignore
 // fencing numbers. No order of an earlier holder arrives after the first order of a later one.
 func TestNoTwoOrderersAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -27,28 +27,30 @@
 	})
 }
 
-// TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing is the one interleaving that counts
-// most, step by step.
+// TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing steps through the most critical interleaving: a holder is
+// paused while its lease expires, and another node takes over.
 func TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing(t *testing.T) {
 	at := func(s int) time.Time { return ledgerStart.Add(time.Duration(s) * time.Second) }
 	lease := kernel.Lease{Holder: members(2)[0], Number: 1}
-	holder := kernel.LeaseWatch{}.WithRead(at(0), kernel.Lease{}, 0).WithWritten(at(3), at(1), lease, 1)
+	holder := kernel.LeaseView{}.WithRead(at(0), kernel.Lease{}, 0).WithWrite(at(3), at(1), lease, 1)
 	must.True(t, holder.MayOrder(at(3)))
 	must.True(t, holder.MayOrder(at(6)))
 	must.False(t, holder.MayOrder(at(7)), must.Sprint("a lease counts from when its write was sent"))
-	other := kernel.LeaseWatch{}.WithRead(at(2), lease, 1)
-	must.False(t, other.MayTake(at(9), 0), must.Sprint("the last order may still be under way"))
-	must.True(t, other.MayTake(at(10), 0))
-	must.False(t, other.MayTake(at(10), 1), must.Sprint("the next in rank waits longer"))
+	candidate := kernel.LeaseView{}.WithRead(at(2), lease, 1)
+	must.False(t, candidate.MayAcquire(at(9), 0), must.Sprint("the last order may still be in flight"))
+	must.True(t, candidate.MayAcquire(at(10), 0))
+	must.False(t, candidate.MayAcquire(at(10), 1), must.Sprint("the next rank waits longer"))
 }
 
+// leaseModel simulates a lease row and two nodes that read it, write it and send orders under it.
 type leaseModel struct {
 	now     time.Time
 	nodes   []kernel.Member
 	row     kernel.Lease
 	version uint64
-	watches [2]kernel.LeaseWatch
-	// latest is by fencing number the latest arrival of an order.
+	watches [2]kernel.LeaseView
+	// latest is the latest possible arrival of an order, and first is when the first order was sent, by fencing
+	// number.
 	latest map[uint64]time.Time
 	first  map[uint64]time.Time
 }
@@ -63,7 +65,7 @@
 	next := kernel.Lease{Holder: m.nodes[i], Number: w.Lease.Number}
 	switch {
 	case w.ShouldRenew(m.now):
-	case w.MayTake(m.now, i):
+	case w.MayAcquire(m.now, i):
 		next.Number++
 	default:
 		t.Skip("may not write")
@@ -78,7 +80,7 @@
 		return
 	}
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "answer ms")) * time.Millisecond)
-	m.watches[i] = w.WithWritten(m.now, sent, next, m.version)
+	m.watches[i] = w.WithWrite(m.now, sent, next, m.version)
 }
 
 func (m *leaseModel) order(t *rapid.T) {
@@ -91,41 +93,41 @@
 		m.latest, m.first = map[uint64]time.Time{}, map[uint64]time.Time{}
 	}
 	number := w.Lease.Number
-	arrival := m.now.Add(kernel.LongestOrder)
+	arrival := m.now.Add(kernel.OrderTimeout)
 	if _, known := m.first[number]; !known {
 		m.first[number] = m.now
 	}
 	m.latest[number] = arrival
 	for other, last := range m.latest {
 		if other < number {
-			must.False(t, last.After(m.first[number]), must.Sprintf("an order with number %d after one with %d", other, number))
+			must.False(t, last.After(m.first[number]), must.Sprintf("an order with fencing number %d arrives after one with %d", other, number))
 		}
 		if other > number {
-			must.False(t, arrival.After(m.first[other]), must.Sprintf("an order with number %d after one with %d", number, other))
+			must.False(t, arrival.After(m.first[other]), must.Sprintf("an order with fencing number %d arrives after one with %d", number, other))
 		}
 	}
 }
 
 func TestOrdersReachTheWantedStateWithoutRepeats(t *testing.T) {
-	o := kernel.NewOrders(100 * time.Millisecond)
-	engines := []kernel.EngineView{{Name: "e1", Most: 2}, {Name: "e2", Most: 2}, {Name: "e3", Most: 2}}
+	o := kernel.NewOrderPlanner(100 * time.Millisecond)
+	engines := []kernel.EngineView{{Name: "e1", MaxAdapters: 2}, {Name: "e2", MaxAdapters: 2}, {Name: "e3", MaxAdapters: 2}}
 	sent := map[kernel.Order]int{}
 	now := ledgerStart
 	for i := range 60 {
 		now = now.Add(100 * time.Millisecond)
-		o.Want(now, kernel.Demand{Adapter: "a", Used: now})
-		o.Want(now, kernel.Demand{Adapter: "b", Used: now, Deadline: now.Add(time.Second)})
+		o.AddDemand(now, kernel.Demand{Adapter: "a", Used: now})
+		o.AddDemand(now, kernel.Demand{Adapter: "b", Used: now, Deadline: now.Add(time.Second)})
 		loads := 0
 		for _, order := range o.Plan(now, engines) {
 			sent[order]++
 			loads++
-			// The engine obeys some time later; every third order is lost.
+			// The engine executes the order, but every third order is lost.
 			if (i+loads)%3 != 0 {
 				obey(engines, order)
-				o.Ended(order)
+				o.OrderEnded(order)
 			}
 		}
-		must.LessEq(t, 1, loads, must.Sprint("the weight store's rate"))
+		must.LessEq(t, 1, loads, must.Sprint("more loads than the weight store allows"))
 	}
 	must.EqOp(t, 2, copiesOf(engines, "a"))
 	must.EqOp(t, 2, copiesOf(engines, "b"))
@@ -138,22 +140,22 @@
 }
 
 func TestOrdersLoadTheMostUrgentAndEvictTheIdle(t *testing.T) {
-	o := kernel.NewOrders(time.Second)
+	o := kernel.NewOrderPlanner(time.Second)
 	now := ledgerStart
 	for i, name := range []string{"late", "soon", "calm"} {
 		d := kernel.Demand{Adapter: name, Used: now}
 		if name != "calm" {
 			d.Deadline = now.Add(time.Duration(5-i) * time.Second)
 		}
-		o.Want(now, d)
+		o.AddDemand(now, d)
 	}
-	engines := []kernel.EngineView{{Name: "e1", Most: 1, Adapters: []string{"old"}}}
+	engines := []kernel.EngineView{{Name: "e1", MaxAdapters: 1, Adapters: []string{"old"}}}
 	plan := o.Plan(now, engines)
 	must.Eq(t, []kernel.Order{
 		{Engine: "e1", Adapter: "old", Evict: true},
 		{Engine: "e1", Adapter: "soon"},
 	}, plan)
-	idle := o.Plan(now.Add(2*kernel.AdapterIdle), []kernel.EngineView{{Name: "e1", Most: 1, Adapters: []string{"soon"}}})
+	idle := o.Plan(now.Add(2*kernel.AdapterIdleTimeout), []kernel.EngineView{{Name: "e1", MaxAdapters: 1, Adapters: []string{"soon"}}})
 	must.Eq(t, []kernel.Order{{Engine: "e1", Adapter: "soon", Evict: true}}, idle)
 }
 
@@ -188,7 +190,7 @@
 }
 
 func ExampleLeaseRank() {
-	rank, standsBy := kernel.LeaseRank("runners", members(1)[0], members(1))
-	fmt.Println(rank, standsBy)
+	rank, candidate := kernel.LeaseRank("runners", members(1)[0], members(1))
+	fmt.Println(rank, candidate)
 	// Output: 0 true
 }
--- a/kernel/quarantine.go
+++ b/kernel/quarantine.go
@@ -8,50 +8,55 @@
 )
 
 const (
-	// CrashesToHold is how many processes of endpoints must have ended under a request before it is held back. One
-	// or two happen to what merely ran beside another request, or was caught by crashes of other causes.
-	CrashesToHold = 3
-	// HoldTime is how long a request is held back before one more run may show whether it still ends endpoints: a
-	// release of the endpoints may have mended them.
+	// CrashThreshold is the number of endpoint processes that must crash while they run a request before the request
+	// is held back. One or two crashes may be a coincidence: the request ran beside the one at fault, or the crashes
+	// had other causes.
+	CrashThreshold = 3
+	// HoldTime is how long a request is held back before a trial run may show whether it still crashes endpoints: a
+	// new release of the endpoints may have fixed the fault.
 	HoldTime = 10 * time.Minute
-	// trialRetry is when a caller may come back whose request is one of several that may have ended endpoints: a
-	// trial of another one takes about as long.
-	trialRetry = time.Second
-	// trialLasts is how long a trial may take until the next one may begin.
-	trialLasts = 10 * time.Second
-	// mostTrials bounds the trials of one request in HoldTime. The first may tell nothing: its caller left.
-	mostTrials = 2
-	// SameCrash is how far apart two reports on one process may be that are of the same end: a process that does
-	// not say when it started takes longer to be back.
-	SameCrash = 1500 * time.Millisecond
-	// crashMemory is how long the ends of endpoints are counted against a request.
-	crashMemory = HoldTime
-	// explainedFor is how long reports on an end whose cause is known still come in.
-	explainedFor = 10 * time.Second
-	// answeredTrust is how long nothing counts against a request that was answered after endpoints had ended under
-	// it: one of which many are under way at any time is at each end, whatever its cause.
-	answeredTrust = time.Minute
-	// mostCases bounds the requests that endpoints ended under, some 250 bytes each, and those that were answered
-	// since; mostHeld those held back, of which all nodes are told, some 400 bytes each; mostCrashes the ends that
-	// are kept of each.
-	mostCases   = 4096
-	mostHeld    = 256
-	mostCrashes = 8
+	// trialRetryAfter is the retry delay for the caller of a request that may run only on trial: a trial of another
+	// request takes about as long.
+	trialRetryAfter = time.Second
+	// trialTimeout is how long a trial without a result keeps the next one of its pool from starting.
+	trialTimeout = 10 * time.Second
+	// maxTrials bounds the trials of one request within HoldTime. It is more than one because the first trial has no
+	// result if its caller disconnects.
+	maxTrials = 2
+	// CrashDedupWindow is the time within which two crash reports on one incarnation count as the same crash. A
+	// process that does not report its start time keeps its incarnation over a restart, which takes longer than
+	// this.
+	CrashDedupWindow = 1500 * time.Millisecond
+	// crashRetention is how long crashes count against a request.
+	crashRetention = HoldTime
+	// attributionTTL is how long a crash stays attributed to its cause. Reports on other requests that ran in the
+	// crashed process still arrive during that time, and are ignored.
+	attributionTTL = 10 * time.Second
+	// trustDuration is how long crash reports on a request are ignored after it was answered in spite of earlier
+	// crashes. A request that is running many times over at any moment is involved in every crash, whatever the
+	// cause.
+	trustDuration = time.Minute
+	// maxSuspects bounds the requests with recorded crashes, some 250 bytes each, and the trusted requests. maxHeld
+	// bounds the requests held back, which are sent to all nodes, some 400 bytes each. maxCrashes bounds the crashes
+	// recorded for one request.
+	maxSuspects = 4096
+	maxHeld     = 256
+	maxCrashes  = 8
 )
 
-// The passages of a request.
+// The hold states of a request.
 const (
-	// Free: nothing is held against it.
-	Free Passage = iota
-	// OnTrial: it may run if the coordinator of its pool permits a trial.
-	OnTrial
-	// Held: it must not be sent.
+	// NotHeld: the request may be sent.
+	NotHeld HoldState = iota
+	// TrialOnly: the request may be sent if the coordinator of its pool permits a trial.
+	TrialOnly
+	// Held: the request must not be sent.
 	Held
 )
 
 type (
-	// Passage says whether a request may be sent to endpoints.
-	Passage int
+	// HoldState tells whether a request may be sent to endpoints.
+	HoldState int
 
 	// Crash is the end of an endpoint's process while it worked on a request.
 	Crash struct {
@@ -59,50 +64,53 @@
 		At          time.Time
 	}
 
-	// HeldRequest is what nodes tell each other of a request that is held back.
+	// HeldRequest is the notice of a held request that nodes send each other.
 	HeldRequest struct {
 		Digest model.Digest
-		// Pool is whose endpoints ended.
+		// Pool is the pool whose endpoints crashed.
 		Pool string
-		// Firm is false where other requests were under way at all the same ends: trials tell which one it is.
+		// Firm is false if another suspect was running at each of the crashes: trials then show which one is the
+		// cause.
 		Firm bool
-		// Incarnations are the processes that ended, at most mostCrashes.
+		// Incarnations are the processes that crashed, at most maxCrashes.
 		Incarnations []string
-		// Since is how long before this was written the first of them ended.
+		// Since is the time from the first of the crashes to the writing of the notice.
 		Since time.Duration
 	}
 
-	// Quarantine is what a node knows of requests under which endpoints ended. A pool's coordinator, one node for all,
-	// is told of all ends in its pool and decides; all nodes hold back what it found. It changes in place.
+	// Quarantine is a node's record of the requests that crashed endpoints. One node, the coordinator of a pool,
+	// receives the reports on all crashes in the pool and decides which requests are held back; all nodes then hold
+	// them back. It changes in place.
 	Quarantine struct {
-		cases map[model.Digest]*crashCase
-		held  map[model.Digest]*heldRequest
-		// explained holds the processes whose end is known to be another request's doing.
-		explained map[string]explanation
-		// trials has the trial under way in each pool that is kept here.
+		// suspects are the requests with recorded crashes.
+		suspects map[model.Digest]*suspect
+		held     map[model.Digest]*heldRequest
+		// attributed holds the crashed processes for which the request at fault is known, by incarnation.
+		attributed map[string]attribution
+		// trials holds the running trial of each pool that this node coordinates.
 		trials map[string]trial
-		// trusted holds until when nothing counts against requests that were answered.
-		trusted  map[model.Digest]time.Time
-		answered answeredRequests
+		// trustedUntil holds until when crash reports are ignored on requests that were answered.
+		trustedUntil map[model.Digest]time.Time
+		answered     answeredRequests
 	}
 
-	crashCase struct {
+	suspect struct {
 		pool    string
 		crashes []Crash
-		// changedAt is when the newest crash became known, ripensAt when the case is to be judged at the latest; zero
-		// before there is anything to judge.
-		changedAt time.Time
-		ripensAt  time.Time
+		// updatedAt is when the newest crash was recorded. evaluateBy is when the suspect is evaluated at the
+		// latest; zero while there is nothing new to evaluate.
+		updatedAt  time.Time
+		evaluateBy time.Time
 	}
 
 	heldRequest struct {
 		HeldRequest
 		learnedAt time.Time
-		// trials counts those that were permitted since.
+		// trials counts the trials permitted since learnedAt.
 		trials int
 	}
 
-	explanation struct {
+	attribution struct {
 		digest model.Digest
 		until  time.Time
 	}
@@ -113,91 +121,94 @@
 	}
 )
 
-// NewQuarantine returns a quarantine that knows nothing.
+// NewQuarantine returns an empty quarantine.
 func NewQuarantine() *Quarantine {
 	return &Quarantine{
-		cases:     map[model.Digest]*crashCase{},
-		held:      map[model.Digest]*heldRequest{},
-		explained: map[string]explanation{},
-		trials:    map[string]trial{},
-		trusted:   map[model.Digest]time.Time{},
+		suspects:     map[model.Digest]*suspect{},
+		held:         map[model.Digest]*heldRequest{},
+		attributed:   map[string]attribution{},
+		trials:       map[string]trial{},
+		trustedUntil: map[model.Digest]time.Time{},
 	}
 }
 
-// Look tells whether a request may be sent, and where it may not, or only on trial, when its caller may come back.
-func (q *Quarantine) Look(now time.Time, digest model.Digest) (Passage, HeldRequest, time.Duration) {
+// Check returns whether a request may be sent. If it is held back, or may run only on trial, Check also returns its
+// notice and the time after which its caller may retry.
+func (q *Quarantine) Check(now time.Time, digest model.Digest) (HoldState, HeldRequest, time.Duration) {
 	h := q.held[digest]
 	if h == nil {
-		return Free, HeldRequest{}, 0
+		return NotHeld, HeldRequest{}, 0
 	}
 	if left := h.learnedAt.Add(HoldTime).Sub(now); h.Firm && left > 0 {
 		return Held, h.HeldRequest, left
 	}
-	return OnTrial, h.HeldRequest, trialRetry
+	return TrialOnly, h.HeldRequest, trialRetryAfter
 }
 
-// Len returns how many requests are held back.
+// Len returns the number of held requests.
 func (q *Quarantine) Len() int {
 	return len(q.held)
 }
 
-// Cases returns how many requests are known under which endpoints ended.
-func (q *Quarantine) Cases() int {
-	return len(q.cases)
+// Suspects returns the number of requests with recorded crashes.
+func (q *Quarantine) Suspects() int {
+	return len(q.suspects)
 }
 
-// Crashed notes that an endpoint's process ended while it worked on a request.
-func (q *Quarantine) Crashed(now time.Time, digest model.Digest, pool string, crash Crash) {
-	if now.Before(q.trusted[digest]) {
+// RecordCrash records that an endpoint process crashed while it worked on a request. Reports are ignored if the
+// crash is recorded already, if it is attributed to another request, or if the request is trusted.
+func (q *Quarantine) RecordCrash(now time.Time, digest model.Digest, pool string, crash Crash) {
+	if now.Before(q.trustedUntil[digest]) {
 		return
 	}
-	if why, known := q.explained[crash.Incarnation]; known && why.digest != digest && now.Before(why.until) {
+	if cause, known := q.attributed[crash.Incarnation]; known && cause.digest != digest && now.Before(cause.until) {
 		return
 	}
 	if q.endTrial(digest) {
-		// It has shown what it does; the verdict follows.
-		q.held[digest].trials = mostTrials
+		// The trial has its result. No other may start before the next evaluation.
+		q.held[digest].trials = maxTrials
 	}
-	c := q.cases[digest]
-	if c == nil {
-		q.makeRoom()
-		c = &crashCase{}
-		q.cases[digest] = c
+	s := q.suspects[digest]
+	if s == nil {
+		q.evictSuspect()
+		s = &suspect{}
+		q.suspects[digest] = s
 	}
-	c.pool = pool
-	if c.has(crash) {
+	s.pool = pool
+	if s.has(crash) {
 		return
 	}
-	if len(c.crashes) == mostCrashes {
-		c.crashes = c.crashes[1:]
+	if len(s.crashes) == maxCrashes {
+		s.crashes = s.crashes[1:]
 	}
-	c.crashes = append(c.crashes, crash)
-	c.changedAt = now
-	if len(c.crashes) >= CrashesToHold && c.ripensAt.IsZero() {
-		c.ripensAt = now.Add(judgeLatest)
+	s.crashes = append(s.crashes, crash)
+	s.updatedAt = now
+	if len(s.crashes) >= CrashThreshold && s.evaluateBy.IsZero() {
+		s.evaluateBy = now.Add(maxEvaluationDelay)
 	}
 }
 
-// makeRoom forgets the case that did not change for longest where there are too many.
-func (q *Quarantine) makeRoom() {
-	if len(q.cases) < mostCases {
+// evictSuspect drops the suspect that has been unchanged for longest if maxSuspects is reached.
+func (q *Quarantine) evictSuspect() {
+	if len(q.suspects) < maxSuspects {
 		return
 	}
 	var oldest model.Digest
-	for digest, c := range q.cases {
-		if oldest == "" || c.changedAt.Before(q.cases[oldest].changedAt) {
+	for digest, s := range q.suspects {
+		if oldest == "" || s.updatedAt.Before(q.suspects[oldest].updatedAt) {
 			oldest = digest
 		}
 	}
-	delete(q.cases, oldest)
+	delete(q.suspects, oldest)
 }
 
-// Answered notes that an endpoint answered a request whole: it does not end each endpoint that runs it. True means
-// that something is held against the request, and the coordinators of the pool are to be told.
-func (q *Quarantine) Answered(now time.Time, digest model.Digest) (suspected bool, pool string) {
+// RecordAnswer records that an endpoint answered a request completely, which shows that the request does not crash
+// every endpoint that runs it. It returns true if crashes are recorded against the request or it is held back; the
+// coordinators of the returned pool must then be informed.
+func (q *Quarantine) RecordAnswer(now time.Time, digest model.Digest) (suspected bool, pool string) {
 	q.answered.add(now, digest)
-	if c := q.cases[digest]; c != nil {
-		return true, c.pool
+	if s := q.suspects[digest]; s != nil {
+		return true, s.pool
 	}
 	if h := q.held[digest]; h != nil {
 		return true, h.Pool
@@ -205,25 +216,25 @@
 	return false, ""
 }
 
-// Clear forgets what is held against a request.
+// Clear removes the crashes, the hold and the trial of a request.
 func (q *Quarantine) Clear(digest model.Digest) {
 	q.endTrial(digest)
-	delete(q.cases, digest)
+	delete(q.suspects, digest)
 	delete(q.held, digest)
 }
 
-// Trust forgets what is held against a request because it was answered whole.
+// Trust clears a request that was answered completely, and ignores crash reports on it for trustDuration.
 func (q *Quarantine) Trust(now time.Time, digest model.Digest) {
 	q.Clear(digest)
-	if len(q.trusted) >= mostCases {
-		clear(q.trusted)
+	if len(q.trustedUntil) >= maxSuspects {
+		clear(q.trustedUntil)
 	}
-	q.trusted[digest] = now.Add(answeredTrust)
+	q.trustedUntil[digest] = now.Add(trustDuration)
 }
 
-// has tells whether an end is counted already: reports on one come from several nodes.
-func (c *crashCase) has(crash Crash) bool {
-	return slices.ContainsFunc(c.crashes, func(known Crash) bool {
-		return known.Incarnation == crash.Incarnation && crash.At.Sub(known.At).Abs() < SameCrash
+// has reports whether a crash is recorded already: several nodes report the same one.
+func (s *suspect) has(crash Crash) bool {
+	return slices.ContainsFunc(s.crashes, func(known Crash) bool {
+		return known.Incarnation == crash.Incarnation && crash.At.Sub(known.At).Abs() < CrashDedupWindow
 	})
 }
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// readingStep is the resolution of a simulated fleet; the other times are those of package follow.
-	readingStep     = 10 * time.Millisecond
-	readingRound    = 500 * time.Millisecond
-	readingTrouble  = 100 * time.Millisecond
-	readingTries    = 3
-	readingHold     = 400 * time.Millisecond
-	readingSilence  = 400 * time.Millisecond
-	readingPause    = 900 * time.Millisecond
-	readingRetry    = 300 * time.Millisecond
-	readingMostAge  = 2 * time.Second
-	readingKeyTrust = 4500 * time.Millisecond
+	// readingStep is the resolution of the simulated time; the other times are those of package follow.
+	readingStep          = 10 * time.Millisecond
+	readingPollInterval  = 500 * time.Millisecond
+	readingRetryInterval = 100 * time.Millisecond
+	readingMaxAttempts   = 3
+	readingLongPoll      = 400 * time.Millisecond
+	readingSilence       = 400 * time.Millisecond
+	readingStoreInterval = 900 * time.Millisecond
+	readingStoreRetry    = 300 * time.Millisecond
+	readingMaxAge        = 2 * time.Second
+	readingKeyTrust      = 4500 * time.Millisecond
 )
 
 type (
@@ -32,26 +32,25 @@
 		random *rand.Rand
 		peers  []kernel.Peer
 		nodes  map[string]*readingNode
-		// answers tells whether the store answers a node, frozen whether a node stands still, cut whether two
-		// nodes reach each other.
+		// answers tells whether the store answers a node, and frozen whether a node is suspended.
 		answers func(node string) bool
 		frozen  func(node string) bool
-		// calls counts the questions to the store, by the failure domain of who asks.
+		// calls counts the calls to the store by the failure domain of the node that made them.
 		calls map[string]int
 	}
 
 	readingNode struct {
 		kernel.Peer
-		reading  *kernel.Reading
+		selector *kernel.SourceSelector
 		provenAt time.Time
 		reads    bool
 		down     bool
-		// round and call are when it next looks around and next asks the store. While it holds on to a source,
-		// until is when that one answers at the latest.
-		round, call time.Time
-		holds       string
-		until       time.Time
-		suspects    map[string]bool
+		// nextPoll and nextStoreCall are the times at which it next asks other nodes and next reads the store. While it
+		// waits for the answer of pendingSource to a long poll, until is when that answer comes at the latest.
+		nextPoll, nextStoreCall time.Time
+		pendingSource           string
+		until                   time.Time
+		suspects                map[string]bool
 	}
 )
 
@@ -65,15 +64,15 @@
 			p := kernel.Peer{Name: fmt.Sprintf("node-%d-%d", d, n), Domain: fmt.Sprint("domain-", d), Capacity: 1}
 			f.peers = append(f.peers, p)
 			f.nodes[p.Name] = &readingNode{
-				Peer: p, reading: kernel.NewReading(p.Name, p.Domain, readingMostAge), provenAt: f.now, suspects: map[string]bool{},
-				round: f.now.Add(time.Duration(f.random.Int64N(int64(readingRound)))),
+				Peer: p, selector: kernel.NewSourceSelector(p.Name, p.Domain, readingMaxAge), provenAt: f.now, suspects: map[string]bool{},
+				nextPoll: f.now.Add(time.Duration(f.random.Int64N(int64(readingPollInterval)))),
 			}
 		}
 	}
 	return f
 }
 
-// run lets time pass; after each step it looks at the fleet.
+// run advances the time and calls look after each step.
 func (f *readingFleet) run(length time.Duration, look func()) {
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(readingStep) {
 		for _, p := range f.peers {
@@ -86,15 +85,15 @@
 }
 
 func (f *readingFleet) step(n *readingNode) {
-	if n.reads && !f.now.Before(n.call) {
+	if n.reads && !f.now.Before(n.nextStoreCall) {
 		f.askStore(n)
 	}
-	if n.holds != "" {
+	if n.pendingSource != "" {
 		f.wait(n)
 		return
 	}
-	if !f.now.Before(n.round) {
-		f.lookAround(n, 0)
+	if !f.now.Before(n.nextPoll) {
+		f.pollSources(n, 0)
 	}
 }
 
@@ -102,107 +101,107 @@
 	f.calls[n.Domain]++
 	n.down = !f.answers(n.Name)
 	if n.down {
-		n.call = f.now.Add(time.Duration(float64(readingRetry) * (0.75 + f.random.Float64()/2)))
+		n.nextStoreCall = f.now.Add(time.Duration(float64(readingStoreRetry) * (0.75 + f.random.Float64()/2)))
 		return
 	}
 	n.provenAt = f.now
-	n.call = f.now.Add(readingPause)
+	n.nextStoreCall = f.now.Add(readingStoreInterval)
 }
 
-func (f *readingFleet) plan(n *readingNode) kernel.ReadingPlan {
+func (f *readingFleet) plan(n *readingNode) kernel.SourcePlan {
 	var reachable []kernel.Peer
 	for _, p := range f.peers {
 		if !n.suspects[p.Name] {
 			reachable = append(reachable, p)
 		}
 	}
-	return n.reading.Plan(f.now, reachable, n.lost())
+	return n.selector.Plan(f.now, reachable, n.lost())
 }
 
 func (n *readingNode) lost() bool { return n.reads && n.down }
 
-// lookAround asks other nodes one after the other until one's word is enough, the last one with time to wait.
-func (f *readingFleet) lookAround(n *readingNode, tried int) {
+// pollSources asks other nodes one after the other until an answer suffices; the last one may delay its answer.
+func (f *readingFleet) pollSources(n *readingNode, attempts int) {
 	plan := f.plan(n)
-	for ; tried < readingTries && plan.Source != ""; tried++ {
+	for ; attempts < readingMaxAttempts && plan.Source != ""; attempts++ {
 		source := f.nodes[plan.Source]
 		if f.frozen(source.Name) {
 			n.suspects[source.Name] = true
-			n.round = f.now.Add(readingSilence)
+			n.nextPoll = f.now.Add(readingSilence)
 			return
 		}
-		f.hear(source, n)
-		if (plan.Waits || tried == readingTries-1) && f.knowsLittle(source) {
-			n.holds, n.until = source.Name, f.now.Add(readingHold)
+		f.recordQuestion(source, n)
+		if (plan.LongPoll || attempts == readingMaxAttempts-1) && f.isStale(source) {
+			n.pendingSource, n.until = source.Name, f.now.Add(readingLongPoll)
 			return
 		}
 		if f.take(n, source) {
-			f.end(n, f.plan(n), readingRound)
+			f.end(n, f.plan(n), readingPollInterval)
 			return
 		}
 		plan = f.plan(n)
 	}
-	f.endInVain(n, plan)
+	f.endUnsuccessful(n, plan)
 }
 
-// endInVain ends a look around in which no node's word was enough.
-func (f *readingFleet) endInVain(n *readingNode, plan kernel.ReadingPlan) {
-	pause := readingRound
+// endUnsuccessful ends a poll in which no answer sufficed.
+func (f *readingFleet) endUnsuccessful(n *readingNode, plan kernel.SourcePlan) {
+	pause := readingPollInterval
 	if plan.Source != "" {
-		pause = readingTrouble
+		pause = readingRetryInterval
 	}
 	f.end(n, plan, pause)
-	if !plan.Reads && n.reading.TriesStore(f.peers, f.random.Float64()) {
+	if !plan.ReadStore && n.selector.ShouldProbeStore(f.peers, f.random.Float64()) {
 		f.askStore(n)
-		n.reading.Tried(!n.down)
+		n.selector.RecordProbe(!n.down)
 		f.end(n, f.plan(n), pause)
 	}
 }
 
-func (f *readingFleet) knowsLittle(n *readingNode) bool {
-	return n.lost() && f.now.Sub(n.provenAt) > readingMostAge
+func (f *readingFleet) isStale(n *readingNode) bool {
+	return n.lost() && f.now.Sub(n.provenAt) > readingMaxAge
 }
 
-// hear tells a node that is asked who asks it.
-func (f *readingFleet) hear(asked, by *readingNode) {
+// recordQuestion tells the node that is asked about the one that asks it.
+func (f *readingFleet) recordQuestion(asked, by *readingNode) {
 	if asked.lost() && by.provenAt.After(asked.provenAt) {
-		asked.reading.Heard(f.now, by.Name)
+		asked.selector.RecordFresherNode(f.now, by.Name)
 	}
 }
 
 func (f *readingFleet) wait(n *readingNode) {
-	source := f.nodes[n.holds]
-	if f.knowsLittle(source) && f.now.Before(n.until) && !f.frozen(source.Name) {
+	source := f.nodes[n.pendingSource]
+	if f.isStale(source) && f.now.Before(n.until) && !f.frozen(source.Name) {
 		return
 	}
-	n.holds = ""
+	n.pendingSource = ""
 	if f.take(n, source) {
-		f.end(n, f.plan(n), readingRound)
+		f.end(n, f.plan(n), readingPollInterval)
 		return
 	}
-	f.endInVain(n, f.plan(n))
+	f.endUnsuccessful(n, f.plan(n))
 }
 
 func (f *readingFleet) take(n, source *readingNode) bool {
 	if source.provenAt.After(n.provenAt) {
 		n.provenAt = source.provenAt
 	}
-	return n.reading.Took(f.now, source.Name, kernel.SourceAnswer{Lost: source.lost(), Age: f.now.Sub(source.provenAt)})
+	return n.selector.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.lost(), Age: f.now.Sub(source.provenAt)})
 }
 
-func (f *readingFleet) end(n *readingNode, plan kernel.ReadingPlan, pause time.Duration) {
-	if plan.Reads && !n.reads {
-		n.call = f.now
+func (f *readingFleet) end(n *readingNode, plan kernel.SourcePlan, pause time.Duration) {
+	if plan.ReadStore && !n.reads {
+		n.nextStoreCall = f.now
 	}
-	if !plan.Reads {
+	if !plan.ReadStore {
 		n.down = false
 	}
-	n.reads = plan.Reads
-	n.round = f.now.Add(pause)
+	n.reads = plan.ReadStore
+	n.nextPoll = f.now.Add(pause)
 }
 
-// oldest is the greatest age of a proof among the nodes that run.
-func (f *readingFleet) oldest() time.Duration {
+// maxAge returns the greatest age of the data of the nodes that are not frozen.
+func (f *readingFleet) maxAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
 		if !f.frozen(n.Name) {
@@ -220,11 +219,11 @@
 	return all
 }
 
-// bound returns the nodes that are to ask the store, as any node sees it, by failure domain.
-func (f *readingFleet) bound() map[string]bool {
+// designatedReaders returns the nodes that are designated to read the store, as any node sees it.
+func (f *readingFleet) designatedReaders() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range f.peers {
-		// A node that knows no more than itself and one other follows it, or reads.
+		// A node that reaches only one other node reads the store or follows that one.
 		rank := 0
 		for _, other := range f.peers {
 			if other.Domain == p.Domain && kernel.NodesByHash("reader of "+p.Domain, []kernel.Peer{p, other})[0] != p.Name {
@@ -238,11 +237,11 @@
 
 func nothing() {}
 
-// Seen: a store that was silent for 6 s got 5,096 calls on a day of 20 s with 195 nodes: each node found its
-// reader's word old and asked the store itself, again and again, and so did those that took the reader's place
-// one after the other. Proved by the lines "reading of the store changed": 149 nodes within two seconds.
-// A calm fleet asks once per failure domain and pause; an outage must not cost more for more nodes.
-func TestAStoreThatIsAwayIsAskedByFew(t *testing.T) {
+// Guards against a rush on an unavailable store. When each node that found its reader's data too old read the store
+// itself, repeatedly, and so did each node that took the place of a failing reader, a store that was silent for 6 s got
+// 5,096 calls from 195 nodes within 20 s, and 149 of them became readers within two seconds. A fleet reads once per
+// failure domain and interval while the store answers; an outage must not cost more calls with more nodes.
+func TestUnavailableStoreIsAskedByFewNodes(t *testing.T) {
 	const outage = 6 * time.Second
 	for _, each := range []int{8, 39} {
 		f := newReadingFleet(uint64(each), 5, each)
@@ -256,7 +255,7 @@
 		must.LessEq(t, 600, f.allCalls(), must.Sprint(each, " nodes a domain"))
 		f.answers = func(string) bool { return true }
 		f.run(500*time.Millisecond, nothing)
-		must.LessEq(t, time.Second, f.oldest(), must.Sprint(each, " nodes a domain: half a second after the store's return"))
+		must.LessEq(t, time.Second, f.maxAge(), must.Sprint(each, " nodes a domain: half a second after the store's return"))
 		f.calls = map[string]int{}
 		f.run(5*time.Second, nothing)
 		f.calls = map[string]int{}
@@ -265,73 +264,73 @@
 	}
 }
 
-// A store that answers some nodes only is found by one that it answers, and all others learn from that one: also
-// where it turns away just those that are to ask it.
+// A store that answers only some nodes is found by a probe of one that it answers, and all others follow that one, even
+// if it refuses exactly the designated readers.
 func TestAStoreThatAnswersSomeNodesIsFound(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, each := range []int{3, 8} {
 			f := newReadingFleet(seed, 3, each)
 			f.run(5*time.Second, nothing)
-			bound := f.bound()
+			bound := f.designatedReaders()
 			f.answers = func(node string) bool { return !bound[node] }
 			oldest := time.Duration(0)
-			f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-			must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: those bound to ask turned away"))
+			f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
+			must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: the designated readers refused"))
 		}
 	}
 	for seed := range uint64(2) {
 		f := newReadingFleet(seed, 5, 39)
 		f.run(5*time.Second, nothing)
-		turned := map[string]bool{}
+		refused := map[string]bool{}
 		for _, p := range f.peers {
-			turned[p.Name] = f.random.Float64() < 0.35
+			refused[p.Name] = f.random.Float64() < 0.35
 		}
-		f.answers = func(node string) bool { return !turned[node] }
+		f.answers = func(node string) bool { return !refused[node] }
 		oldest := time.Duration(0)
-		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ": a third turned away"))
+		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
+		must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ": a third refused"))
 	}
 }
 
-// A node that the store alone turns away, and one that reaches no other node, go on.
-func TestANodeAloneIsNotLeftWithoutNews(t *testing.T) {
-	for _, alone := range []string{"node-0-0", "node-0-1", "node-0-2", "node-0-3"} {
+// A node that is the only one that the store refuses, and a node that reaches no other node, stay current.
+func TestIsolatedNodeStaysCurrent(t *testing.T) {
+	for _, isolated := range []string{"node-0-0", "node-0-1", "node-0-2", "node-0-3"} {
 		f := newReadingFleet(1, 3, 4)
-		f.answers = func(node string) bool { return node != alone }
+		f.answers = func(node string) bool { return node != isolated }
 		oldest := time.Duration(0)
-		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint(alone, " is turned away"))
+		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
+		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " is refused by the store"))
 
 		f = newReadingFleet(1, 3, 4)
 		for _, p := range f.peers {
-			f.nodes[alone].suspects[p.Name] = p.Name != alone
+			f.nodes[isolated].suspects[p.Name] = p.Name != isolated
 		}
 		oldest = 0
-		f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint(alone, " reaches nobody"))
+		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
+		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " reaches no other node"))
 	}
 }
 
-// Nodes that stand still, those that are to ask the store among them, cost no other node its proof.
-func TestFrozenReadersCostNoProof(t *testing.T) {
+// Suspended nodes, the designated readers among them, make no other node's data stale.
+func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
 	f := newReadingFleet(3, 3, 8)
 	f.run(5*time.Second, nothing)
-	bound := f.bound()
+	bound := f.designatedReaders()
 	f.frozen = func(node string) bool { return bound[node] }
 	oldest := time.Duration(0)
-	f.run(10*time.Second, func() { oldest = max(oldest, f.oldest()) })
+	f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 	must.Less(t, readingKeyTrust, oldest)
 }
 
 func TestTheCallTimeoutGrowsUntilAnAnswerComesWhole(t *testing.T) {
-	const usual, most = 2 * time.Second, 7 * time.Second
-	patience := kernel.CallTimeout(0, usual, most, false)
-	must.EqOp(t, usual, patience)
+	const base, limit = 2 * time.Second, 7 * time.Second
+	timeout := kernel.CallTimeout(0, base, limit, false)
+	must.EqOp(t, base, timeout)
 	for _, step := range []struct {
 		inTime bool
 		want   time.Duration
-	}{{false, 4 * time.Second}, {false, most}, {false, most}, {true, usual}, {true, usual}, {false, 4 * time.Second}} {
-		patience = kernel.CallTimeout(patience, usual, most, step.inTime)
-		must.EqOp(t, step.want, patience)
+	}{{false, 4 * time.Second}, {false, limit}, {false, limit}, {true, base}, {true, base}, {false, 4 * time.Second}} {
+		timeout = kernel.CallTimeout(timeout, base, limit, step.inTime)
+		must.EqOp(t, step.want, timeout)
 	}
 }
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -17,16 +17,17 @@
 	"basilstall.example/basilstall/ratecap"
 )
 
-const patience = 20 * time.Second
+const awaitTimeout = 20 * time.Second
 
-// fleet is limiters that tell each other through a table.
+// fleet is the limiters of several nodes that publish caps through a common store.
 type fleet struct {
 	mu       sync.Mutex
 	limiters []*ratecap.Limiter
-	// failures is how many more writes the table does not take, listed whether the endpoint is.
-	failures int
-	listed   bool
-	writes   int
+	// failWrites is the number of further writes that fail.
+	failWrites int
+	// listed is whether the endpoint is listed.
+	listed bool
+	writes int
 }
 
 func newFleet(t *testing.T, nodes int) *fleet {
@@ -36,7 +37,7 @@
 		peers = append(peers, kernel.Peer{Name: fmt.Sprint("node-", i)})
 	}
 	for _, p := range peers {
-		f.limiters = append(f.limiters, ratecap.NewLimiter(t.Context(), p.Name, ratecap.Seams{
+		f.limiters = append(f.limiters, ratecap.NewLimiter(t.Context(), p.Name, ratecap.Dependencies{
 			Announced: func() []kernel.Peer { return peers },
 			Listed:    func(string) bool { f.mu.Lock(); defer f.mu.Unlock(); return f.listed },
 			Publish:   f.publish,
@@ -49,61 +50,62 @@
 func (f *fleet) publish(_ context.Context, incarnation string, stated model.RateCap) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failures > 0 {
-		f.failures--
-		return errors.New("the table is away")
+	if f.failWrites > 0 {
+		f.failWrites--
+		return errors.New("store unavailable")
 	}
 	f.writes++
 	for _, l := range f.limiters {
-		l.Learn(incarnation, stated)
+		l.ApplyNotice(incarnation, stated)
 	}
 	return nil
 }
 
-// await waits until all limiters believe that the endpoint states a cap, or that it states none.
+// await waits until all limiters have learned that the endpoint states a cap, or that it states none.
 func (f *fleet) await(t *testing.T, stated bool) {
 	t.Helper()
 	all := func() bool {
 		for _, l := range f.limiters {
-			if l.Stated("engine") != stated {
+			if l.HasCap("engine") != stated {
 				return false
 			}
 		}
 		return true
 	}
-	for end := time.Now().Add(patience); !all(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("waited in vain for all limiters")
+	for deadline := time.Now().Add(awaitTimeout); !all(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("not all limiters learned of the change in time")
 		}
 	}
 }
 
-// What one node hears of an endpoint all know soon, also where the table takes no write at first, and that it has ended.
-func TestNodesTellEachOtherOfRateCaps(t *testing.T) {
+// All nodes learn of a cap, and of its end, from the node that received the endpoint's answer, even if the first
+// writes to the store fail.
+func TestNodesShareRateCaps(t *testing.T) {
 	t.Parallel()
 	for _, failures := range []int{0, 2} {
 		f := newFleet(t, 3)
-		f.failures = failures
+		f.failWrites = failures
 		e := model.Endpoint{Name: "engine", State: model.Live}
-		f.limiters[1].Answered(time.Now(), e, model.NewRateCap(2))
-		must.True(t, f.limiters[1].Stated("engine"))
+		f.limiters[1].RecordAnswer(time.Now(), e, model.NewRateCap(2))
+		must.True(t, f.limiters[1].HasCap("engine"))
 		f.await(t, true)
-		refusal := f.limiters[0].Refuses(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() })
+		refusal := f.limiters[0].AdmitPool(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() })
 		must.NotNil(t, refusal)
 		must.EqOp(t, model.EndpointsCapped, refusal.Reason)
 
-		f.limiters[1].Answered(time.Now(), e, model.RateCap{})
+		f.limiters[1].RecordAnswer(time.Now(), e, model.RateCap{})
 		f.await(t, false)
-		must.Nil(t, f.limiters[0].Refuses(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() }))
+		must.Nil(t, f.limiters[0].AdmitPool(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() }))
 		must.LessEq(t, 6, f.writes)
 	}
 }
 
-// The cap of an endpoint that is gone is forgotten, in the table as well.
-func TestTheRateCapOfAnEndpointThatIsGoneIsForgotten(t *testing.T) {
+// The cap of an endpoint that is no longer listed is removed on all nodes and from the store.
+func TestRateCapOfRemovedEndpointIsRemoved(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2)
-	f.limiters[0].Answered(time.Now(), model.Endpoint{Name: "engine"}, model.NewRateCap(2))
+	f.limiters[0].RecordAnswer(time.Now(), model.Endpoint{Name: "engine"}, model.NewRateCap(2))
 	f.await(t, true)
 	f.mu.Lock()
 	f.listed = false
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -106,7 +106,7 @@
 	r.remote = newRemoteGroups()
 	r.incarnations = newIncarnations()
 	r.returning = newReturning()
-	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Seams{
+	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.HoldBack,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
@@ -161,7 +161,7 @@
 		return false, "no routing yet"
 	case r.Registry().Len() == 0:
 		return false, "no endpoints yet"
-	case r.options.KeyTrust > 0 && !view.Proven(r.now(), r.options.KeyTrust):
+	case r.options.KeyTrust > 0 && !view.Fresh(r.now(), r.options.KeyTrust):
 		return false, "the routing is too old"
 	default:
 		return true, ""
@@ -211,13 +211,13 @@
 	r.logRegistry(changes)
 	r.hub.setEndpoints(registry)
 	r.endFormerIncarnations(changes)
-	r.quarantine.Listed(registry.Endpoints)
+	r.quarantine.ApplyEndpointList(registry.Endpoints)
 }
 
 // SetEvacuations takes over which failure domains are evacuated, and which no longer.
 func (r *Relay) SetEvacuations(change kernel.EvacuationChange) {
 	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
-	if len(news.Evacuated) == 0 && len(news.TakenBack) == 0 {
+	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
 		return
 	}
 	r.ChangeRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
@@ -225,7 +225,7 @@
 		r.metrics.Event("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
 	}
-	for _, domain := range news.TakenBack {
+	for _, domain := range news.Restored {
 		r.metrics.Event("DomainTakenBack")
 		r.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
@@ -233,7 +233,7 @@
 
 // SetHeldBack takes over which requests the store says are held back, and which no longer.
 func (r *Relay) SetHeldBack(change kernel.QuarantineChange) {
-	r.quarantine.Learn(change)
+	r.quarantine.ApplyChange(change)
 }
 
 // Serve takes one request to its end. It returns once the answer was passed on, or with a
@@ -244,7 +244,7 @@
 	view := r.View()
 	admission, refusal := kernel.Admit(r.now(), view, r.options.KeyTrust, f)
 	if gone := r.goneAt.Load(); refusal == nil && gone != nil {
-		refusal = kernel.TakeWhileLeaving(r.now(), *gone, admission.Route)
+		refusal = kernel.AdmitWhileLeaving(r.now(), *gone, admission.Route)
 	}
 	if refusal == nil {
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
@@ -260,7 +260,7 @@
 	if refusal != nil {
 		return r.refuseAtTheDoor(f, admission, view, refusal)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, admission.Until.Sub(r.now()), context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
 	job := &job{relay: r, forward: f, admission: admission, out: out, began: r.now(), trial: trial}
 	var outcome Outcome
@@ -285,11 +285,11 @@
 	case !outcome.Whole:
 		r.metrics.Event("AnswerBrokenOff")
 	default:
-		r.quarantine.Answered(f.Digest)
+		r.quarantine.RecordAnswer(f.Digest)
 		r.metrics.Answered(admission.Route.Name, r.now().Sub(f.ReceivedAt))
 	}
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
-		r.quarantine.TrialUnused(f.Digest)
+		r.quarantine.CancelTrial(f.Digest)
 	}
 	r.logEnd(f, admission, view, outcome)
 	return outcome
