--- a/relay/batch.go
+++ b/relay/batch.go
@@ -65,10 +65,10 @@
 // batch has the pieces of a group made by the pool's batcher: one node for each pool, the same
 // for all nodes, so that pieces of all requests share calls. A batcher that doesn't answer is
 // passed over for the next one.
-func (r *Relay) batch(ctx context.Context, req batchRequest) stageDone {
+func (r *Relay) batch(ctx context.Context, req batchRequest) stageResult {
 	g := r.hub.find(req.pool)
 	if g == nil {
-		return stageDone{refusal: model.NewRefusal(model.NotRun, model.NoEndpoint, kernel.ClampRetryAfter(refusedRetry), "the pool "+req.pool+" is not known")}
+		return stageResult{refusal: model.NewRefusal(model.NotRun, model.NoEndpoint, kernel.ClampRetryAfter(refusalRetryAfter), "the pool "+req.pool+" is not known")}
 	}
 	node := r.batcherOf(g, nil)
 	failed := 0
@@ -108,7 +108,7 @@
 			node = r.batcherOf(g, req.passedOver)
 		}
 	}
-	return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(refusedRetry), "no node batched the pieces of pool "+req.pool)}
+	return stageResult{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(refusalRetryAfter), "no node batched the pieces of pool "+req.pool)}
 }
 
 // batcherOf returns the node to ask for a pool's pieces: the one that batched last, else the first by
@@ -130,23 +130,23 @@
 }
 
 // done says what a batcher's answer means for the stage.
-func (result batchResult) done(req batchRequest) stageDone {
+func (result batchResult) done(req batchRequest) stageResult {
 	pool := req.pool
 	if result.refused {
-		return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
+		return stageResult{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
 	}
-	done := stageDone{made: result.outcome.Made}
+	done := stageResult{results: result.outcome.Made}
 	done.inputsFreed = result.outcome.InputsFreed
 	done.time.Waited = result.outcome.Waited
 	done.time.Estimate = result.report.wait
 	fault := result.outcome.Fault
-	if fault == "" && len(done.made) != len(req.pieces) {
+	if fault == "" && len(done.results) != len(req.pieces) {
 		// Only a whole set of results may become an input.
 		fault = model.PieceFailed
 	}
 	if fault != "" {
 		done.time.Fault = fault
-		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusedRetry)),
+		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusalRetryAfter)),
 			fmt.Sprintf("pool %s: pieces not made: %s", pool, fault))
 	}
 	return done
--- a/relay/held.go
+++ b/relay/held.go
@@ -24,7 +24,7 @@
 
 // scarce tells whether the room where a stage's results lie is scarce.
 func (s *stageRun) scarce(stage int) bool {
-	return s.relay.hub.lastEstimate(s.queue(stage)).Scarce()
+	return s.relay.hub.lastEstimate(s.queueName(stage)).Scarce()
 }
 
 // firstEvent gives the engine's inputs up where nothing is likely to need them again: no other engine
@@ -36,7 +36,7 @@
 	if j.admission.Route.Resumable && !early {
 		return
 	}
-	run.released = len(run.plan.FinalStages) > 0
+	run.inputsReleased = len(run.plan.FinalStages) > 0
 	run.release()
 }
 
@@ -104,10 +104,10 @@
 }
 
 // drainAfter frees what stages still make for a request that was given up.
-func (s *stageRun) drainAfter(done <-chan stageDone, running int) {
+func (s *stageRun) drainAfter(done <-chan stageResult, running int) {
 	for range running {
 		d := <-done
-		s.hold(d.stage, d.made)
+		s.hold(d.stage, d.results)
 	}
 	s.release()
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -60,7 +60,7 @@
 		// incarnations ends the calls to endpoints that have started again.
 		incarnations *incarnations
 		// returning holds the refused requests of the pools that this node batches for.
-		returning *returning
+		returning *refusedRequests
 		// quarantine holds back the requests that end the endpoints that run them.
 		quarantine *quarantine.Coordinator
 		// rateCaps holds the endpoints that bound what they take.
@@ -94,8 +94,8 @@
 		now:         now,
 		startedAt:   now(),
 		log:         log,
-		answers:     sampled(log, answersBurst),
-		lateAnswers: sampled(log, lateBurst),
+		answers:     sampled(log, answerLogBurst),
+		lateAnswers: sampled(log, lateAnswerLogBurst),
 		metrics:     metrics,
 		peers:       peer.NewClient(options.Name, ""),
 		pools:       map[string]*pool{},
@@ -105,7 +105,7 @@
 	r.hub = newHub(r)
 	r.remote = newRemoteGroups()
 	r.incarnations = newIncarnations()
-	r.returning = newReturning()
+	r.returning = newRefusedRequests()
 	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.HoldBack,
 	}, now, metrics, log)
@@ -118,7 +118,7 @@
 	r.registry.Store(&registry)
 	r.view.Store(&kernel.RoutingView{})
 	r.nodes.Store(&[]Node{})
-	r.rateCaps = r.newRateCaps()
+	r.rateCaps = r.newRateCapLimiter()
 	go func() {
 		ticker := time.NewTicker(sweepEvery)
 		defer ticker.Stop()
@@ -208,7 +208,7 @@
 	registry := change(before)
 	r.registry.Store(&registry)
 	changes := registry.Changes(before)
-	r.logRegistry(changes)
+	r.logRegistryChanges(changes)
 	r.hub.setEndpoints(registry)
 	r.endFormerIncarnations(changes)
 	r.quarantine.ApplyEndpointList(registry.Endpoints)
@@ -250,7 +250,7 @@
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
 	}
 	if refusal == nil {
-		refusal = r.refusesCapped(admission)
+		refusal = r.admitRateCaps(admission)
 	}
 	if refusal != nil {
 		return r.refuseAtTheDoor(f, admission, view, refusal)
@@ -262,17 +262,17 @@
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
-	job := &job{relay: r, forward: f, admission: admission, out: out, began: r.now(), trial: trial}
+	job := &job{relay: r, forward: f, admission: admission, responder: out, startedAt: r.now(), trial: trial}
 	var outcome Outcome
 	if admission.Route.Kind == model.Stream {
-		outcome = job.stream(ctx)
+		outcome = job.serveStream(ctx)
 	} else {
-		outcome = job.unary(ctx)
+		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stages
+	outcome.Stages = job.stageTimes
 	f = job.forward
 	outcome.Late = f.Waited+outcome.First > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stages) == 0 {
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
@@ -280,7 +280,7 @@
 		r.metrics.Refused(outcome.Refusal)
 		r.metrics.RefusedAfter(outcome.Refusal, r.now().Sub(f.ReceivedAt))
 		if outcome.Refusal.Verdict == model.NotRun && outcome.Refusal.RetryAfter > 0 {
-			r.noteRefused(job.forward, admission)
+			r.recordRefused(job.forward, admission)
 		}
 	case !outcome.Whole:
 		r.metrics.Event("AnswerBrokenOff")
@@ -291,7 +291,7 @@
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
 		r.quarantine.CancelTrial(f.Digest)
 	}
-	r.logEnd(f, admission, view, outcome)
+	r.logOutcome(f, admission, view, outcome)
 	return outcome
 }
 
@@ -299,6 +299,6 @@
 func (r *Relay) refuseAtTheDoor(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
 	r.metrics.Refused(refusal)
 	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
-	r.logEnd(f, a, view, Outcome{Refusal: refusal})
+	r.logOutcome(f, a, view, Outcome{Refusal: refusal})
 	return Outcome{Refusal: refusal}
 }
