--- a/relay/events.go
+++ b/relay/events.go
@@ -6,23 +6,23 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes is the maximum size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-var errEventTooLong = errors.New("relay: an event is too long")
+var errEventTooLong = errors.New("relay: stream event exceeds the size limit")
 
-// events cuts a stream into whole events, so that a caller never gets a part of one that another
-// endpoint might then repeat.
+// eventSplitter splits a stream of server-sent events into complete events, so that a caller never receives a part of
+// an event that another endpoint might then repeat.
 type eventSplitter struct {
+	// partial is the beginning of an event that is not complete yet.
 	partial []byte
-	// last is the ID of the last whole event.
+	// lastID is the ID of the last complete event that has one.
 	lastID string
-	// count counts whole events.
+	// count is the number of complete events.
 	count int
 }
 
-// add takes bytes in and returns those that end with a whole event; they are valid until the
-// next call.
+// add appends p to the stream and returns the events that are complete now, or nothing.
 func (e *eventSplitter) add(p []byte) ([]byte, error) {
 	e.partial = append(e.partial, p...)
 	end := 0
@@ -34,20 +34,20 @@
 		e.record(e.partial[end : end+n])
 		end += n
 	}
-	whole := bytes.Clone(e.partial[:end])
+	complete := bytes.Clone(e.partial[:end])
 	e.partial = append(e.partial[:0], e.partial[end:]...)
 	if len(e.partial) > maxEventBytes {
 		return nil, errEventTooLong
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// clean tells whether no part of an event is left.
+// atEventBoundary reports whether the stream so far ends with a complete event.
 func (e *eventSplitter) atEventBoundary() bool {
 	return len(e.partial) == 0
 }
 
-// eventEnd returns the length of the first event with the blank line that ends it, or -1.
+// eventEnd returns the length of the first event in p, including the blank line that ends it, or -1.
 func eventEnd(p []byte) int {
 	lf := bytes.Index(p, []byte("\n\n"))
 	crlf := bytes.Index(p, []byte("\r\n\r\n"))
@@ -61,6 +61,7 @@
 	}
 }
 
+// record counts a complete event and keeps its ID.
 func (e *eventSplitter) record(event []byte) {
 	e.count++
 	for line := range bytes.Lines(event) {
--- a/relay/resume.go
+++ b/relay/resume.go
@@ -6,24 +6,24 @@
 	"basilstall.example/basilstall/model"
 )
 
-// allowStreamRetry decides whether another engine is asked.
-func (j *job) allowStreamRetry(p *pool, state *streamState, stages *stageRun, end streamResult) bool {
+// allowStreamRetry reports whether another engine may be tried, and counts the retry.
+func (j *job) allowStreamRetry(p *pool, state *streamState, stages *stageRun, result streamResult) bool {
 	var refusal *model.Refusal
-	if errors.As(end.err, &refusal) {
+	if errors.As(result.err, &refusal) {
 		return false
 	}
-	if stages.inputsReleased || (end.reply != nil && end.reply.InputsGone) {
-		// Another engine would find the inputs gone.
+	if stages.inputsReleased || (result.reply != nil && result.reply.InputsGone) {
+		// The inputs are gone for any other engine as well.
 		return false
 	}
 	reason := model.RetryNotRun
-	if end.err != nil {
-		fault := asFault(end.err)
+	if result.err != nil {
+		fault := asFault(result.err)
 		reason = fault.RetryReason()
 		if fault.Verdict == model.NotRun {
 			j.attempts--
 		}
-	} else if end.reply != nil && end.reply.Misdirected {
+	} else if result.reply != nil && result.reply.Misdirected {
 		j.attempts--
 	}
 	if j.mayHaveRun && !j.admission.Route.Resumable {
@@ -32,7 +32,7 @@
 	if state.headerSent && state.splitter.lastID == "" {
 		return false
 	}
-	if j.attempts >= j.admission.Route.MaxAttempts || !j.takeRetry(p, end.err) {
+	if j.attempts >= j.admission.Route.MaxAttempts || !j.takeRetry(p, result.err) {
 		return false
 	}
 	if state.headerSent {
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -9,9 +9,9 @@
 	"github.com/go-faster/errors"
 )
 
-var errWithdrawn = errors.New("relay: the endpoint takes no more work")
+var errWithdrawn = errors.New("relay: the endpoint may no longer get the request")
 
-// recordFault notes what a failed send shows of the request and its endpoint.
+// recordFault records and logs what a failed attempt shows about the request and its endpoint.
 func (j *job) recordFault(p *pool, e model.Endpoint, fault *endpoint.Fault) {
 	if fault.Verdict != model.NotRun {
 		j.mayHaveRun = true
@@ -30,7 +30,7 @@
 	}
 }
 
-// again decides on one more send after a result that is not the answer, and counts it.
+// allowRetry reports whether the request may be sent to another endpoint after a failed attempt, and counts the retry.
 func (j *job) allowRetry(ctx context.Context, p *pool, res unaryResult) bool {
 	if ctx.Err() != nil {
 		return false
@@ -44,7 +44,7 @@
 		fault := asFault(res.err)
 		reason = fault.RetryReason()
 		if fault.Verdict == model.NotRun {
-			// Nothing was sent: it does not count as asked.
+			// Nothing was sent: this is not an attempt.
 			j.attempts--
 		}
 	} else if res.reply.NotRun {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// takeRetry takes one more send out of the budget, after one that ended with an error or none. A send that was withdrawn
-// never arrived anywhere, so the next one is no repeat.
+// takeRetry takes a retry from the pool's budget, after an attempt that ended with err, or nil. A withdrawn attempt was
+// never sent, so the next one is not a retry.
 func (j *job) takeRetry(p *pool, err error) bool {
 	if err != nil && asFault(err).Kind == endpoint.Withdrawn {
 		return true
@@ -72,7 +72,7 @@
 	return p.takeRetry(j.relay.now(), j.relay.live())
 }
 
-// hedge sends a safe request to one more endpoint beside one that may be running it.
+// startHedge sends a safe request to one more endpoint while another one may be running it.
 func (j *job) startHedge(ctx context.Context, p *pool, results chan<- unaryResult) bool {
 	if j.admission.Route.Kind != model.Safe || !j.relay.options.Policy.Uses(kernel.HedgedReads) || j.attempts >= j.admission.Route.MaxAttempts {
 		return false
@@ -84,8 +84,9 @@
 	return true
 }
 
-// send prepares one send. Before the first, the request's admission is looked at once more.
-func (j *job) newSend(e model.Endpoint, again bool) Send {
+// newSend returns the Send for one attempt; retry is true if it is not the first. The Send's BeforeSend checks once
+// more that the request is admitted and that the endpoint may get it.
+func (j *job) newSend(e model.Endpoint, retry bool) Send {
 	send := Send{
 		Endpoint: e,
 		Forward:  j.forward,
@@ -93,20 +94,20 @@
 		Until:    j.admission.Deadline,
 		Fresh:    j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
 	}
-	pickedAt, permitUntil := j.relay.now(), j.permitUntil
+	chosenAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
 		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
 		expired := !permitUntil.IsZero() && j.relay.now().After(permitUntil)
-		if refusal == nil && (expired || !j.relay.Registry().TakesWork(e) || j.relay.rateCaps.View(e.Incarnation()).StatedAfter(pickedAt)) {
+		if refusal == nil && (expired || !j.relay.Registry().TakesWork(e) || j.relay.rateCaps.View(e.Incarnation()).StatedAfter(chosenAt)) {
 			return &endpoint.Fault{Kind: endpoint.Withdrawn, Verdict: model.NotRun, Err: errWithdrawn}
 		}
 		if refusal == nil {
 			return nil
 		}
-		if again {
+		if retry {
 			return refusal.WithVerdict(model.MayHaveRun)
 		}
 		return refusal
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// streamBufferBytes holds what arrives of a stream at once.
+	// streamBufferBytes is the size of the buffer into which a stream is read.
 	streamBufferBytes = 4 << 10
-	// streamIdleTimeout is how long a resumable stream may be silent before it goes on elsewhere: far
-	// above any pause of a healthy engine.
+	// streamIdleTimeout is how long the engine of a resumable stream may send nothing before the stream is resumed at
+	// another engine. It is far above any pause of a healthy engine.
 	streamIdleTimeout = 1500 * time.Millisecond
 )
 
-var errStreamIdle = errors.New("relay: the engine is silent")
+var errStreamIdle = errors.New("relay: the engine sent nothing within the idle timeout")
 
 type (
-	// streamState is what was passed on of a stream so far.
+	// streamState is the state of a stream, which all its attempts share.
 	streamState struct {
 		splitter   eventSplitter
 		headerSent bool
 		status     int
-		// firstEventAt is when the first event came.
+		// firstEventAt is when the first event was received.
 		firstEventAt time.Time
 	}
 
-	// streamResult is how one send of a stream ended.
+	// streamResult is the result of one attempt at a stream.
 	streamResult struct {
-		// whole is true where the stream came to its proper end.
+		// complete is true if the stream ended between two events.
 		complete bool
-		// callerGone is true where the caller takes nothing more.
+		// callerGone is true if writing to the caller failed.
 		callerGone bool
-		// passed is true where the endpoint's own failure was passed on.
+		// failureWritten is true if the engine's own failure was written to the caller.
 		failureWritten bool
 		reply          *model.ForwardReply
 		err            error
 	}
 )
 
-// stream serves a request that is answered by a series of events: first its stages, then the
-// engine, whose events are passed on as they come.
+// serveStream serves a request that is answered by a stream of events: it runs the stages and then sends the request to
+// an engine, whose events are written to the caller as they arrive.
 func (j *job) serveStream(ctx context.Context) Outcome {
 	p := j.relay.pool(j.admission.Pool)
 	p.recordRequest(j.relay.now())
@@ -61,24 +61,24 @@
 	}
 	var state streamState
 	for {
-		e, end, ok := j.attemptStream(ctx, p, &state, stages)
+		e, result, ok := j.attemptStream(ctx, p, &state, stages)
 		if !ok {
 			return j.finishWithoutEngine(&state)
 		}
-		if outcome, over := j.finalOutcome(ctx, &state, end, e); over {
+		if outcome, done := j.finalOutcome(ctx, &state, result, e); done {
 			return outcome
 		}
 		switch {
-		case j.allowStreamRetry(p, &state, stages, end):
+		case j.allowStreamRetry(p, &state, stages, result):
 		case state.headerSent:
 			return j.streamOutcome(&state, e)
 		default:
-			return j.refuseFailedStream(end)
+			return j.refuseFailedStream(result)
 		}
 	}
 }
 
-// streamOutcome says what came of the stream so far.
+// streamOutcome returns the outcome of a stream that ends here, incomplete.
 func (j *job) streamOutcome(state *streamState, e model.Endpoint) Outcome {
 	outcome := Outcome{Status: state.status, Endpoint: e.Name, Attempts: j.attempts}
 	if state.headerSent {
@@ -87,14 +87,14 @@
 	return outcome
 }
 
-// finalOutcome tells whether no other engine is to be asked, and what came of the stream then.
-func (j *job) finalOutcome(ctx context.Context, state *streamState, end streamResult, e model.Endpoint) (outcome Outcome, over bool) {
+// finalOutcome returns the outcome of a stream after an attempt. done is false if another engine may be tried.
+func (j *job) finalOutcome(ctx context.Context, state *streamState, result streamResult, e model.Endpoint) (outcome Outcome, done bool) {
 	outcome = j.streamOutcome(state, e)
 	switch {
-	case end.complete, end.failureWritten:
+	case result.complete, result.failureWritten:
 		outcome.Whole = true
 		return outcome, true
-	case end.callerGone:
+	case result.callerGone:
 		return outcome, true
 	case ctx.Err() == nil:
 		return outcome, false
@@ -105,7 +105,7 @@
 	}
 }
 
-// attemptStream makes one send; false means that there was no engine.
+// attemptStream makes one attempt at an engine. It returns false if there was no engine to send to.
 func (j *job) attemptStream(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamResult, bool) {
 	r := j.relay
 	tokens := j.forward.Prompt.TokensIn
@@ -121,51 +121,52 @@
 	defer p.release(e.Incarnation())
 	j.excluded = append(j.excluded, e.Incarnation())
 	j.attempts++
-	began := r.now()
-	read := false
-	onFirst := func() {
-		if read {
+	startedAt := r.now()
+	firstSeen := false
+	onFirstEvent := func() {
+		if firstSeen {
 			return
 		}
-		read = true
-		p.recordFirstEvent(e.Incarnation(), tokens, r.now().Sub(began))
+		firstSeen = true
+		p.recordFirstEvent(e.Incarnation(), tokens, r.now().Sub(startedAt))
 		j.firstEvent(stages)
 	}
 	send := j.newSend(e, j.attempts > 1)
 	send.Inputs = stages.inputs
-	admitted := send.BeforeSend
+	checkAdmission := send.BeforeSend
 	send.BeforeSend = func() error {
 		if stages.inputsStale() {
 			return model.NewRefusal(j.verdict(), model.StageFailed, kernel.ClampRetryAfter(refusalRetryAfter), "an input went with its worker")
 		}
-		return admitted()
+		return checkAdmission()
 	}
 	send.After = state.splitter.lastID
-	end := j.relayEvents(ctx, p, send, state, onFirst)
-	if !read {
+	result := j.relayEvents(ctx, p, send, state, onFirstEvent)
+	if !firstSeen {
 		p.dropPendingPrefill(e.Incarnation(), tokens)
 	}
-	j.recordStreamResult(p, e, end)
-	return e, end, true
+	j.recordStreamResult(p, e, result)
+	return e, result, true
 }
 
-// affinity returns the key of the prompts that are to share an engine; empty for none.
+// affinityKey returns the key that requests for the same engine have in common; it is empty if any engine will do.
 func (j *job) affinityKey() string {
-	// A trial goes where least is under way: it may end the engine.
+	// A trial goes to the least loaded engine, as the request may crash it.
 	if j.trial || !j.relay.options.Policy.Uses(kernel.PrefixAffinity) {
 		return ""
 	}
 	return kernel.AffinityKey(j.forward.Prompt)
 }
 
-// relayEvents passes the events of one send on to the caller.
-func (j *job) relayEvents(ctx context.Context, p *pool, send Send, state *streamState, onFirst func()) streamResult {
+// relayEvents sends a request to an engine and writes the events of the answer to the caller. It calls onFirstEvent
+// before each write; calls after the first have no effect.
+func (j *job) relayEvents(ctx context.Context, p *pool, send Send, state *streamState, onFirstEvent func()) streamResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := j.startIdleTimer(cancel)
-	defer silence.Stop()
-	ctx, over := j.relay.begin(ctx, send.Endpoint, j.forward.Digest)
-	defer over()
+	idleTimer := j.startIdleTimer(cancel)
+	defer idleTimer.Stop()
+	ctx, endCall := j.relay.begin(ctx, send.Endpoint, j.forward.Digest)
+	defer endCall()
 	reply, err := j.relay.forward(ctx, send)
 	if err != nil {
 		return streamResult{err: err}
@@ -184,9 +185,9 @@
 	for {
 		n, err := reply.Body.Read(buffer)
 		if n > 0 {
-			silence.Reset(streamIdleTimeout)
-			if end, failed := j.writeEvents(reply, state, buffer[:n], onFirst); failed {
-				return end
+			idleTimer.Reset(streamIdleTimeout)
+			if result, done := j.writeEvents(reply, state, buffer[:n], onFirstEvent); done {
+				return result
 			}
 		}
 		if err == io.EOF {
@@ -198,24 +199,25 @@
 	}
 }
 
-// writeEvents passes on the events that end with these bytes; failed tells that the send is over.
-func (j *job) writeEvents(reply *model.ForwardReply, state *streamState, p []byte, onFirst func()) (end streamResult, failed bool) {
-	whole, err := state.splitter.add(p)
+// writeEvents writes the events that p completes to the caller. done is true if the attempt has failed.
+func (j *job) writeEvents(reply *model.ForwardReply, state *streamState, p []byte, onFirstEvent func()) (result streamResult, done bool) {
+	events, err := state.splitter.add(p)
 	if err != nil {
 		return streamResult{err: err}, true
 	}
-	if len(whole) == 0 {
+	if len(events) == 0 {
 		return streamResult{}, false
 	}
-	onFirst()
+	onFirstEvent()
 	j.sendHeader(reply, state)
-	if j.responder.Write(whole) != nil {
+	if j.responder.Write(events) != nil {
 		return streamResult{callerGone: true}, true
 	}
 	return streamResult{}, false
 }
 
-// startIdleTimer ends a send that makes no progress, where another can take its place.
+// startIdleTimer returns a timer that cancels an idle attempt if the stream can be resumed at another engine; otherwise
+// the timer does nothing.
 func (j *job) startIdleTimer(cancel context.CancelCauseFunc) *time.Timer {
 	if !j.admission.Route.Resumable || j.attempts >= j.admission.Route.MaxAttempts {
 		timer := time.NewTimer(0)
@@ -236,7 +238,7 @@
 	j.responder.Begin(reply.Status, reply.Header)
 }
 
-// finishStream judges a stream that came to its end: it is whole unless it ends within an event.
+// finishStream returns the result of an attempt whose stream has ended: it is complete unless it ends within an event.
 func (j *job) finishStream(reply *model.ForwardReply, state *streamState) streamResult {
 	if !state.splitter.atEventBoundary() {
 		return streamResult{err: &endpoint.Fault{Kind: endpoint.Cut, Verdict: model.MayHaveRun, Err: io.ErrUnexpectedEOF}}
@@ -245,18 +247,18 @@
 	return streamResult{complete: true}
 }
 
-// writeFailure passes an engine's own failure on, unless events of another were passed on or the
-// engine did not sign it.
+// writeFailure writes an engine's own failure to the caller, unless the caller already has events of another engine,
+// the engine did not sign the failure, or the stream can be retried at another engine.
 func (j *job) writeFailure(reply *model.ForwardReply, state *streamState) streamResult {
 	body, err := readAnswer(reply)
 	if err != nil {
 		return streamResult{err: err}
 	}
 	if state.headerSent || !reply.Authentic || reply.Status < http.StatusBadRequest {
-		return streamResult{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: status %d", reply.Status)}}
+		return streamResult{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: engine answered with status %d", reply.Status)}}
 	}
 	if j.admission.Route.Resumable && j.attempts < j.admission.Route.MaxAttempts {
-		return streamResult{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: status %d", reply.Status)}}
+		return streamResult{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: engine answered with status %d", reply.Status)}}
 	}
 	state.headerSent = true
 	state.status = reply.Status
@@ -267,18 +269,18 @@
 	return streamResult{failureWritten: true}
 }
 
-func (j *job) recordStreamResult(p *pool, e model.Endpoint, end streamResult) {
+func (j *job) recordStreamResult(p *pool, e model.Endpoint, result streamResult) {
 	switch {
-	case end.err != nil:
-		j.recordFault(p, e, asFault(end.err))
-	case end.complete:
+	case result.err != nil:
+		j.recordFault(p, e, asFault(result.err))
+	case result.complete:
 		p.recordSuccess(e.Incarnation())
-	case end.reply != nil && end.reply.NotRun:
+	case result.reply != nil && result.reply.NotRun:
 		j.relay.logFailedAttempt(j.forward, e, j.attempts, model.RetryNotRun, nil)
 	}
 }
 
-// verdict says what may be told of the request so far.
+// verdict returns the verdict on the attempts so far.
 func (j *job) verdict() model.Verdict {
 	if j.mayHaveRun {
 		return model.MayHaveRun
@@ -286,10 +288,10 @@
 	return model.NotRun
 }
 
-// refuseFailedStream is the refusal of a stream of which nothing was passed on.
-func (j *job) refuseFailedStream(end streamResult) Outcome {
+// refuseFailedStream refuses a stream of which nothing was written to the caller.
+func (j *job) refuseFailedStream(result streamResult) Outcome {
 	var refusal *model.Refusal
-	if errors.As(end.err, &refusal) {
+	if errors.As(result.err, &refusal) {
 		return Outcome{Refusal: refusal, Attempts: j.attempts}
 	}
 	if !j.mayHaveRun {
@@ -298,7 +300,7 @@
 	return j.refuse(model.MayHaveRun, model.StageFailed, "the engine failed")
 }
 
-// finishWithoutEngine ends a stream for which there is no engine, or no other one.
+// finishWithoutEngine ends a stream for which there is no engine, or no further one.
 func (j *job) finishWithoutEngine(state *streamState) Outcome {
 	if state.headerSent {
 		return Outcome{Status: state.status, Attempts: j.attempts}
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -15,43 +15,45 @@
 )
 
 const (
-	// maxUnaryBytes bounds a unary answer, which is held until it is whole.
+	// maxUnaryBytes is the maximum size of a unary answer, which is buffered until it is complete.
 	maxUnaryBytes = 8 << 20
-	// hedgeDelayShare is the share of the objective after which a safe request without an answer is
-	// sent to a second endpoint.
+	// hedgeDelayShare is the share of the objective after which a safe request without an answer is also sent to a
+	// second endpoint.
 	hedgeDelayShare = 0.6
-	// refusalRetryAfter is when a caller may come back whose request found no free endpoint.
+	// refusalRetryAfter is the time after which a caller may retry a request that no endpoint could take.
 	refusalRetryAfter = 150 * time.Millisecond
 )
 
 var (
-	errAnswerTooLong = errors.New("relay: the answer is too long")
-	errPanic         = errors.New("relay: panic")
+	errAnswerTooLong = errors.New("relay: answer exceeds the size limit")
+	errPanic         = errors.New("relay: panic while sending a request")
 )
 
 type (
-	// job is one request on its way. It belongs to the goroutine that serves it.
+	// job is a request that is being served. Only the goroutine that serves the request uses it.
 	job struct {
 		relay     *Relay
 		forward   model.Forward
 		admission kernel.Admission
 		responder Responder
 		startedAt time.Time
-		// asked counts the endpoints that the request was sent to.
+		// attempts is the number of endpoints that the request was sent to. Attempts that are known to have sent
+		// nothing are subtracted.
 		attempts int
+		// excluded are the incarnations of the endpoints that were already chosen.
 		excluded []string
-		// mayHaveRun is true once the evidence no longer excludes that the request runs.
+		// mayHaveRun is true once an endpoint may have run the request.
 		mayHaveRun bool
-		// permitUntil is until when the permit of another node holds with which the endpoint was chosen; zero for none.
+		// permitUntil is when the other node's permit for the chosen endpoint expires; zero if no permit is needed.
 		permitUntil time.Time
-		// trial is true for a request that is held back and was permitted to run once.
+		// trial is true for a request that is held back and may run once.
 		trial      bool
 		stageTimes []StageTime
-		// estimates is what was expected of the stages' pools as the request came.
+		// estimates are the estimates for the stages' pools at the arrival of the request.
 		estimates []StageEstimate
 	}
 
-	// unaryResult is how one send of a unary request ended.
+	// unaryResult is the result of one attempt at a unary request.
 	unaryResult struct {
 		endpoint model.Endpoint
 		reply    *model.ForwardReply
@@ -60,7 +62,7 @@
 	}
 )
 
-// unary serves a request whose answer is passed on once it is whole.
+// serveUnary serves a request whose answer is written to the caller once it is complete.
 func (j *job) serveUnary(ctx context.Context) Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -71,8 +73,8 @@
 		return j.refuseNoEndpoint(model.NotRun)
 	}
 	running := 1
-	hedge := time.NewTimer(time.Duration(hedgeDelayShare * float64(j.admission.Route.Objective)))
-	defer hedge.Stop()
+	hedgeTimer := time.NewTimer(time.Duration(hedgeDelayShare * float64(j.admission.Route.Objective)))
+	defer hedgeTimer.Stop()
 	var failure *unaryResult
 	for {
 		select {
@@ -88,7 +90,7 @@
 			if running == 0 {
 				return j.finishFailed(ctx, failure, res)
 			}
-		case <-hedge.C:
+		case <-hedgeTimer.C:
 			if j.startHedge(ctx, p, results) {
 				running++
 			}
@@ -98,15 +100,16 @@
 	}
 }
 
-// lastFailure returns the newest failure that an endpoint itself answered with.
-func lastFailure(before *unaryResult, res unaryResult) *unaryResult {
+// lastFailure returns res if it is an answer of an endpoint that ran the request, previous otherwise.
+func lastFailure(previous *unaryResult, res unaryResult) *unaryResult {
 	if res.err == nil && !res.reply.NotRun {
 		return &res
 	}
-	return before
+	return previous
 }
 
-// launch sends the request to one more endpoint.
+// startAttempt sends the request to one more endpoint, whose result goes to results. It reports whether an endpoint
+// could be chosen.
 func (j *job) startAttempt(ctx context.Context, p *pool, results chan<- unaryResult) bool {
 	r := j.relay
 	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g gate) (choice, bool) {
@@ -125,8 +128,8 @@
 			res.err = errPanic
 			results <- res
 		})
-		ctx, over := r.begin(ctx, e, j.forward.Digest)
-		defer over()
+		ctx, end := r.begin(ctx, e, j.forward.Digest)
+		defer end()
 		res.reply, res.err = r.forward(ctx, send)
 		if res.err == nil {
 			res.body, res.err = readAnswer(res.reply)
@@ -136,7 +139,7 @@
 	return true
 }
 
-// readAnswer reads an answer to its end. The reply is closed.
+// readAnswer reads the whole body of a reply and closes the reply.
 func readAnswer(reply *model.ForwardReply) ([]byte, error) {
 	defer reply.Close()
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxUnaryBytes+1))
@@ -149,7 +152,7 @@
 	return body, nil
 }
 
-// good tells whether a result is the answer to pass on; it notes what the result shows of its
+// acceptResult reports whether a result is an answer for the caller. It records what the result shows about the
 // endpoint.
 func (j *job) acceptResult(p *pool, res *unaryResult) bool {
 	now := j.relay.now()
@@ -163,9 +166,9 @@
 	}
 	j.mayHaveRun = true
 	if !res.reply.Authentic && res.reply.Status < http.StatusMultipleChoices {
-		// A success that the endpoint did not sign is not its answer.
+		// A success that the endpoint did not sign is not accepted as its answer.
 		p.recordFailure(now, res.endpoint.Incarnation())
-		res.err = &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.New("relay: the answer is not signed")}
+		res.err = &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.New("relay: successful answer without the endpoint's signature")}
 		return false
 	}
 	if res.reply.Status >= http.StatusInternalServerError {
@@ -176,7 +179,7 @@
 	return true
 }
 
-// pass hands a whole answer to the caller.
+// writeAnswer writes a complete answer to the caller.
 func (j *job) writeAnswer(res unaryResult) Outcome {
 	header := res.reply.Header
 	header.Set("Content-Length", strconv.Itoa(len(res.body)))
@@ -185,8 +188,8 @@
 	return Outcome{Status: res.reply.Status, Whole: err == nil, Endpoint: res.endpoint.Name, Attempts: j.attempts}
 }
 
-// finishFailed ends a request whose sends all failed: with the failure that an endpoint itself gave,
-// or with a refusal.
+// finishFailed ends a request of which all attempts failed: with an endpoint's own signed failure if there is one, or
+// with a refusal.
 func (j *job) finishFailed(ctx context.Context, failure *unaryResult, last unaryResult) Outcome {
 	if ctx.Err() != nil {
 		return j.refuseContextDone(ctx)
@@ -204,7 +207,7 @@
 	return j.refuse(model.MayHaveRun, model.StageFailed, "the endpoint failed")
 }
 
-// ended ends a request whose time is up or whose caller left.
+// refuseContextDone refuses a request that has timed out or whose caller has disconnected.
 func (j *job) refuseContextDone(ctx context.Context) Outcome {
 	verdict := model.NotRun
 	if j.attempts > 0 {
@@ -216,12 +219,12 @@
 	return j.refuse(verdict, model.CallerGone, "the caller went away")
 }
 
-// allowedEndpoints returns the endpoints of the request's pool in the regions where it may be served.
+// allowedEndpoints returns the endpoints of the request's pool in the regions that may serve the request.
 func (j *job) allowedEndpoints() []model.Endpoint {
 	return j.admission.Homes.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
 }
 
-// refuseNoEndpoint refuses a request that no endpoint may get now.
+// refuseNoEndpoint refuses a request that may not be sent to any endpoint now.
 func (j *job) refuseNoEndpoint(verdict model.Verdict) Outcome {
 	r := j.relay
 	if refusal := kernel.AdmitPools(r.Registry(), j.forward, j.admission); refusal != nil {
@@ -238,14 +241,15 @@
 }
 
 func (j *job) refuse(verdict model.Verdict, reason model.Reason, detail string) Outcome {
-	retry := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if verdict == model.NotRun {
-		retry = kernel.ClampRetryAfter(refusalRetryAfter)
+		retryAfter = kernel.ClampRetryAfter(refusalRetryAfter)
 	}
-	refusal := model.NewRefusal(verdict, reason, retry, detail)
+	refusal := model.NewRefusal(verdict, reason, retryAfter, detail)
 	return Outcome{Refusal: refusal, Attempts: j.attempts}
 }
 
+// asFault returns err as an endpoint fault. After an error of an unknown kind, the request may have run.
 func asFault(err error) *endpoint.Fault {
 	var fault *endpoint.Fault
 	if errors.As(err, &fault) {
