--- a/relay/log.go
+++ b/relay/log.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// answerLogBurst and logSamplePeriod bound the lines on answers that were whole: refusals and
-	// failures are all logged, successes are a sample under load.
+	// answerLogBurst is the maximum number of lines on complete answers in each logSamplePeriod. Refusals and failures
+	// are all logged; under load, only a sample of the successes is.
 	answerLogBurst  = 10
 	logSamplePeriod = time.Second
-	// lateAnswerLogBurst bounds the lines on answers that came late, in the same period.
+	// lateAnswerLogBurst is the maximum number of lines on late answers in each logSamplePeriod.
 	lateAnswerLogBurst = 50
 )
 
@@ -22,7 +22,7 @@
 	return log.Sample(&zerolog.BurstSampler{Burst: burst, Period: logSamplePeriod})
 }
 
-// logOutcome writes the line that ends a request: what it was admitted under and how it ended.
+// logOutcome logs how a request ended, and the routing and rank that it was admitted with.
 func (r *Relay) logOutcome(f model.Forward, a kernel.Admission, view kernel.RoutingView, o Outcome) {
 	now := r.now()
 	log := &r.log
@@ -69,7 +69,7 @@
 	}
 }
 
-// stageTimeArray marshals what became of a request's stages.
+// stageTimeArray marshals the times of a request's stages.
 type stageTimeArray []StageTime
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
@@ -80,24 +80,24 @@
 	}
 }
 
-// stageEstimateArray marshals what was expected of pools.
+// stageEstimateArray marshals the estimates for a request's pools.
 type stageEstimateArray []StageEstimate
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (all stageEstimateArray) MarshalZerologArray(a *zerolog.Array) {
-	for _, o := range all {
-		a.Dict(zerolog.Dict().Str("Pool", o.Pool).Dur("Wait", o.Wait).Float64("RoomTaken", o.RoomTaken))
+func (estimates stageEstimateArray) MarshalZerologArray(a *zerolog.Array) {
+	for _, e := range estimates {
+		a.Dict(zerolog.Dict().Str("Pool", e.Pool).Dur("Wait", e.Wait).Float64("RoomTaken", e.RoomTaken))
 	}
 }
 
-// logFailedAttempt writes a line on a send that did not bring the answer.
+// logFailedAttempt logs an attempt that brought no answer.
 func (r *Relay) logFailedAttempt(f model.Forward, e model.Endpoint, attempt int, reason model.Reason, err error) {
 	r.log.Info().Str("Request", f.ID).Str("Digest", string(f.Digest)).Str("Endpoint", e.Incarnation()).Str("Pool", e.Pool).Int("Attempt", attempt).
 		Dur("RegistryAge", r.Registry().Age(r.now())).Str("Reason", string(reason)).AnErr("Error", err).
 		Msg("attempt failed")
 }
 
-// logRegistryChanges writes a line for each endpoint that came, went or began to leave.
+// logRegistryChanges logs each endpoint that was listed or removed, or whose state changed.
 func (r *Relay) logRegistryChanges(changes []kernel.RegistryChange) {
 	for _, change := range changes {
 		r.log.Info().Str("Endpoint", change.Endpoint.Incarnation()).Str("Pool", change.Endpoint.Pool).
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// defaultFirstEventTime stands in for the time to a stream's first event while too few were
-	// seen: a long prompt read beside others.
+	// defaultFirstEventTime is the assumed time to a stream's first event while too few have been measured. It is that
+	// of a long prompt that the engine reads together with others.
 	defaultFirstEventTime = 300 * time.Millisecond
 	firstEventQuantile    = 0.7
 )
 
 type (
-	// pool is what this node knows of one pool by its own requests.
+	// pool is what this node knows about a pool from its own requests.
 	pool struct {
 		name   string
 		mu     sync.Mutex
 		budget *kernel.FleetRetryBudget
-		// states is by the incarnations of endpoints.
+		// states is by incarnation of the endpoint.
 		states map[string]*endpointState
-		// firstEventTimes is the time until a stream's first event.
+		// firstEventTimes are the times from an attempt to its stream's first event.
 		firstEventTimes kernel.Quantiles
 	}
 
 	endpointState struct {
 		inFlight int
-		// reading is how many prompt tokens of requests without a first event it has.
+		// pendingPrefillTokens is the number of prompt tokens of this node's requests that have no first event yet.
 		pendingPrefillTokens int
-		load                 model.Load
-		loadAt               time.Time
-		health               kernel.Health
-		gate                 gateState
+		// load is the endpoint's last report, received at loadAt.
+		load   model.Load
+		loadAt time.Time
+		health kernel.Health
+		gate   gateState
 	}
 
-	// choice is an endpoint chosen for one send, counted as in flight.
+	// choice is an endpoint chosen for one attempt, which already counts as in flight.
 	choice struct {
 		endpoint model.Endpoint
-		// needsPermit is true where only another node may let this one send.
+		// needsPermit is true if this node may send only with a permit of another node.
 		needsPermit bool
 	}
 )
@@ -67,8 +68,8 @@
 	return s
 }
 
-// candidates returns the listed endpoints with what is known of them, but for those that this node may not send to now,
-// and forgets those that are gone.
+// candidates returns the listed endpoints that this node may send to now, with their state. It also drops the states of
+// endpoints that are no longer listed.
 func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate gate) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(listed))
 	for _, e := range listed {
@@ -88,7 +89,7 @@
 	return out
 }
 
-// pick chooses one of the listed endpoints for a unary request and counts it as in flight.
+// pick chooses one of the listed endpoints for a unary request and reserves it.
 func (p *pool) pick(now time.Time, listed []model.Endpoint, gate gate, domain string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,44 +101,47 @@
 	return p.reserve(now, gate, usable[i], 0), true
 }
 
-// pickEngine chooses one of the listed engines for a prompt and counts it as in flight.
+// pickEngine chooses one of the listed engines for a prompt and reserves it.
 func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate gate, prompt model.Prompt, key string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
-	choices := make([]kernel.EngineCandidate, 0, len(usable))
+	engines := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
-		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).pendingPrefillTokens})
+		engines = append(engines, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).pendingPrefillTokens})
 	}
-	i := kernel.PickEngine(now, choices, key)
+	i := kernel.PickEngine(now, engines, key)
 	if i < 0 {
 		return choice{}, false
 	}
 	return p.reserve(now, gate, usable[i], prompt.TokensIn), true
 }
 
-func (p *pool) reserve(now time.Time, gate gate, c kernel.Candidate, reading int) choice {
+// reserve counts a request, and the prompt tokens that its engine has to read, as in flight at an endpoint. If the
+// endpoint is ejected, the request is its probe.
+func (p *pool) reserve(now time.Time, gate gate, c kernel.Candidate, prefillTokens int) choice {
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
 		s.gate.sentAt = now
 	}
 	s.inFlight++
-	s.pendingPrefillTokens += reading
+	s.pendingPrefillTokens += prefillTokens
 	if c.Health.Ejected() {
 		s.health = s.health.WithProbe()
 	}
 	return choice{endpoint: c.Endpoint, needsPermit: needsPermit}
 }
 
-// permitted notes that an endpoint is sent to with another node's permit.
+// recordPermittedSend records that a request is sent to an endpoint with another node's permit.
 func (p *pool) recordPermittedSend(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).gate.sentAt = now
 }
 
-// permit has it decided whether another node may send to an endpoint in this one's place.
+// grantPermit calls decide for whether another node may send to an endpoint in place of this node. A granted permit
+// counts as a send of this node.
 func (p *pool) grantPermit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +153,8 @@
 	return granted, wait
 }
 
-// lastSentAt returns when something was last sent to an endpoint.
+// lastSentAt returns when this node last sent a request to an endpoint, or let another node do so by a permit; zero if
+// never.
 func (p *pool) lastSentAt(incarnation string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +164,7 @@
 	return time.Time{}
 }
 
-// recordFirstEvent notes that an engine has read a prompt.
+// recordFirstEvent records that an engine has sent the first event of a stream, and so has read the prompt.
 func (p *pool) recordFirstEvent(incarnation string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,14 +172,14 @@
 	p.firstEventTimes.Observe(took)
 }
 
-// dropPendingPrefill notes that a prompt will not be read.
+// dropPendingPrefill records that an engine will not read a prompt.
 func (p *pool) dropPendingPrefill(incarnation string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).pendingPrefillTokens -= tokens
 }
 
-// leave counts a request as no longer in flight.
+// release counts a request as no longer in flight at an endpoint.
 func (p *pool) release(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +200,7 @@
 	s.health = s.health.WithFailure(now)
 }
 
-// unreachable notes that an endpoint could not be connected to.
+// recordUnreachable records that no connection to an endpoint could be opened.
 func (p *pool) recordUnreachable(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,6 +208,7 @@
 	s.health = s.health.WithUnreachable(now)
 }
 
+// recordLoad records the load that an endpoint has reported; nil if it has not.
 func (p *pool) recordLoad(now time.Time, incarnation string, load *model.Load) {
 	if load == nil {
 		return
@@ -214,12 +220,15 @@
 	s.loadAt = now
 }
 
+// recordRequest counts a request towards the retry budget.
 func (p *pool) recordRequest(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.Request(now)
 }
 
+// takeRetry takes a retry from the budget that all nodes share; nodes is their number, or 0 if unknown. It reports
+// whether the retry is allowed.
 func (p *pool) takeRetry(now time.Time, nodes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -9,41 +9,42 @@
 )
 
 type (
-	// stageRun is the results of a request's stages and what becomes of them.
+	// stageRun is the state of a request's stages and of their results.
 	stageRun struct {
 		relay *Relay
 		plan  kernel.StagePlan
-		// inputs are what the engine needs; domain is where the prompt's prefix is cached.
-		inputs       []string
+		// inputs are the handles of the results that the engine needs.
+		inputs []string
+		// prefixDomain is the failure domain of the engine that is likely to have the prompt's prefix cached.
 		prefixDomain string
 
 		stages  []model.StageNode
 		regions kernel.AllowedRegions
-		// results has an entry for each stage that is done. It, started and released belong to the
-		// goroutine that serves the request.
+		// results has an entry for each stage that is done. Only the goroutine that serves the request uses results,
+		// started and inputsReleased.
 		results map[int][]kernel.ResultRef
 		started map[int]bool
-		// released is true once the engine's inputs were given up.
+		// inputsReleased is true once the engine's inputs have been freed.
 		inputsReleased bool
 
 		mu sync.Mutex
-		// held lists, by stage, the results that are still held.
+		// held has, by stage, the results that have not been freed.
 		held map[int][]kernel.ResultRef
 	}
 
-	// stageResult is how one stage ended.
+	// stageResult is the result of one stage.
 	stageResult struct {
 		stage   int
 		results []kernel.ResultRef
-		// inputsFreed is true where the batcher freed what the stage was made from.
+		// inputsFreed is true if the batcher has freed the inputs of the stage.
 		inputsFreed bool
 		refusal     *model.Refusal
 		time        StageTime
 	}
 )
 
-// runStages carries out all stages of a request. A stage starts when all that it follows are
-// done; the first failure ends them all. The results must be released.
+// runStages runs all stages of a request. A stage starts once all stages that it depends on are done; the first failure
+// cancels all others. The caller must release the stageRun, also after a refusal.
 func (j *job) runStages(ctx context.Context, p *pool) (*stageRun, *model.Refusal) {
 	run, refusal := j.planStages(ctx, p)
 	if refusal != nil || len(run.plan.FinalStages) == 0 {
@@ -51,30 +52,30 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan stageResult, len(run.stages))
-	running := j.startStages(ctx, run, done)
+	finished := make(chan stageResult, len(run.stages))
+	running := j.startStages(ctx, run, finished)
 	for running > 0 {
-		d := <-done
+		result := <-finished
 		running--
-		j.stageTimes = append(j.stageTimes, d.time)
-		run.hold(d.stage, d.results)
-		if d.inputsFreed {
-			run.forgetInputs(d.stage)
+		j.stageTimes = append(j.stageTimes, result.time)
+		run.hold(result.stage, result.results)
+		if result.inputsFreed {
+			run.forgetInputs(result.stage)
 		}
-		if d.refusal != nil {
+		if result.refusal != nil {
 			cancel()
-			go run.drainAfter(done, running)
-			return run, d.refusal
+			go run.drainAfter(finished, running)
+			return run, result.refusal
 		}
-		run.results[d.stage] = d.results
+		run.results[result.stage] = result.results
 		run.releaseConsumed()
-		running += j.startStages(ctx, run, done)
+		running += j.startStages(ctx, run, finished)
 	}
 	run.collectInputs()
 	return run, nil
 }
 
-// planStages plans a request's stages, and refuses it where they can't be done in time.
+// planStages plans a request's stages. It refuses the request if they can't be done in time.
 func (j *job) planStages(ctx context.Context, p *pool) (*stageRun, *model.Refusal) {
 	r := j.relay
 	run := &stageRun{
@@ -98,9 +99,9 @@
 		}
 	}
 	estimates := r.estimates(ctx, run.stages, groups)
-	for i, o := range estimates {
+	for i, estimate := range estimates {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: o.Wait, RoomTaken: o.RoomTaken})
+			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: estimate.Wait, RoomTaken: estimate.RoomTaken})
 		}
 	}
 	if anyQueued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
@@ -110,7 +111,7 @@
 	return run, kernel.AdmitStages(r.now(), j.forward, j.admission, run.plan, estimates)
 }
 
-// queue names the queue of a stage's pieces: that of a region that the request may be served in.
+// queueName returns the name of the queue of a stage's pieces: the pool's queue in a region that may serve the request.
 func (s *stageRun) queueName(stage int) string {
 	options := s.relay.options
 	pool := s.stages[stage].Pool
@@ -118,18 +119,19 @@
 	return s.relay.hub.queue(pool, region)
 }
 
-// queued tells whether any of several pools has a queue: only then does it matter who is late.
+// anyQueued reports whether one of the pools has a queue. Without a queue, how long a request has waited before makes
+// no difference.
 func anyQueued(estimates []kernel.PoolEstimate) bool {
-	for _, o := range estimates {
-		if o.Queued() {
+	for _, estimate := range estimates {
+		if estimate.Queued() {
 			return true
 		}
 	}
 	return false
 }
 
-// startStages starts the stages that are ready, and returns how many.
-func (j *job) startStages(ctx context.Context, run *stageRun, done chan<- stageResult) int {
+// startStages starts the stages that are ready and returns their number. Each sends its result to finished.
+func (j *job) startStages(ctx context.Context, run *stageRun, finished chan<- stageResult) int {
 	running := 0
 	for i := range run.stages {
 		if run.started[i] || !run.ready(i) {
@@ -144,26 +146,26 @@
 		group := j.newPieceGroup(run, i)
 		go func() {
 			defer j.relay.guard(func() {
-				done <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
+				finished <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
-			done <- j.runStage(ctx, i, group)
+			finished <- j.runStage(ctx, i, group)
 		}()
 	}
 	return running
 }
 
-// collectInputs lists the results that the engine needs.
+// collectInputs sets inputs to the results of the final stages.
 func (s *stageRun) collectInputs() {
-	var last []kernel.ResultRef
+	var refs []kernel.ResultRef
 	for _, i := range s.plan.FinalStages {
-		last = append(last, s.results[i]...)
+		refs = append(refs, s.results[i]...)
 	}
-	for _, m := range last {
-		s.inputs = append(s.inputs, m.Handle)
+	for _, ref := range refs {
+		s.inputs = append(s.inputs, ref.Handle)
 	}
 }
 
-// stale tells whether one of the engine's inputs went with an incarnation of its worker.
+// inputsStale reports whether one of the engine's inputs was lost because the worker that held it has restarted.
 func (s *stageRun) inputsStale() bool {
 	for _, i := range s.plan.FinalStages {
 		if kernel.AnyStale(s.results[i], s.relay.Registry().Superseded) {
@@ -173,7 +175,7 @@
 	return false
 }
 
-// ready tells whether all stages that one follows are done.
+// ready reports whether all stages that a stage depends on are done.
 func (s *stageRun) ready(stage int) bool {
 	for _, before := range s.stages[stage].After {
 		if _, ok := s.results[before]; !ok {
@@ -183,7 +185,7 @@
 	return true
 }
 
-// group prepares the pieces of a stage.
+// newPieceGroup returns the pieces of a stage.
 func (j *job) newPieceGroup(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	g := batchRequest{
@@ -212,13 +214,13 @@
 		g.domain = domain
 	}
 	pieces := kernel.PieceCount(j.forward, stage)
-	// Each piece fetches all inputs; without inputs, the results are what is moved later.
-	moved := inputBytes * int64(pieces)
+	// Each piece fetches all inputs. Without inputs, only the results are transferred, later.
+	transferBytes := inputBytes * int64(pieces)
 	if len(inputs) == 0 {
-		moved = node.ResultBytes * int64(pieces)
+		transferBytes = node.ResultBytes * int64(pieces)
 	}
-	full := j.relay.hub.lastEstimate(run.queueName(stage)).FullCall()
-	g.localityWait = kernel.LocalityWait(moved, full, g.due.Sub(j.relay.now())-full)
+	fullCall := j.relay.hub.lastEstimate(run.queueName(stage)).FullCall()
+	g.localityWait = kernel.LocalityWait(transferBytes, fullCall, g.due.Sub(j.relay.now())-fullCall)
 	for n := range pieces {
 		piece.Number = n
 		g.pieces = append(g.pieces, piece)
@@ -226,12 +228,13 @@
 	return g
 }
 
+// runStage has the pieces of a stage made and waits for their results.
 func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageResult {
-	began := j.relay.now()
-	done := j.relay.batch(ctx, group)
-	done.stage = stage
-	done.time.Stage = stage
-	done.time.Pool = group.pool
-	done.time.Elapsed = j.relay.now().Sub(began)
-	return done
+	startedAt := j.relay.now()
+	result := j.relay.batch(ctx, group)
+	result.stage = stage
+	result.time.Stage = stage
+	result.time.Pool = group.pool
+	result.time.Elapsed = j.relay.now().Sub(startedAt)
+	return result
 }
