--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -12,12 +12,12 @@
 	"basilstall.example/basilstall/ratecap"
 )
 
-// maxPermitRequests bounds the permits that are asked for before one send.
+// maxPermitRequests is the maximum number of permits that are requested for one attempt.
 const maxPermitRequests = 2
 
 var errNodeUnavailable = errors.New("relay: the node is leaving or does not answer")
 
-// newRateCapLimiter returns the node's part in keeping the rate caps of endpoints.
+// newRateCapLimiter returns the limiter of this node's sends to endpoints with rate caps.
 func (r *Relay) newRateCapLimiter() *ratecap.Limiter {
 	return ratecap.NewLimiter(r.ctx, r.options.Name, ratecap.Dependencies{
 		Announced: r.announced,
@@ -32,12 +32,15 @@
 	}, r.now, r.metrics, r.log)
 }
 
-// capPart returns which part of an endpoint's cap requests may use, and pieces as well.
+// capPart returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
+// size.
 func (r *Relay) capPart(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
 	return r.View().Table.Share(e.Pool)
 }
 
+// requestCapPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
+// denied, wait is the time until this node's turn.
 func (r *Relay) requestCapPermit(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error) {
 	if !r.reachable(node) {
 		return false, 0, errNodeUnavailable
@@ -47,68 +50,69 @@
 	return reply.Granted, reply.Wait, err
 }
 
+// handleCapPermit handles another node's request for a permit. It is denied for an incarnation that is not listed.
 func (r *Relay) handleCapPermit(_ context.Context, body []byte) (any, error) {
-	var question peer.CapPermit
-	if err := peer.DecodeBody(body, &question); err != nil {
+	var request peer.CapPermit
+	if err := peer.DecodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	e, listed := r.Registry().Find(model.NameOfIncarnation(question.Incarnation))
-	if !listed || e.Incarnation() != question.Incarnation {
+	e, listed := r.Registry().Find(model.NameOfIncarnation(request.Incarnation))
+	if !listed || e.Incarnation() != request.Incarnation {
 		return peer.CapPermitReply{}, nil
 	}
-	granted, wait := r.pool(question.Pool).grantPermit(r.now(), question.Incarnation, r.rateCaps.Permit)
+	granted, wait := r.pool(request.Pool).grantPermit(r.now(), request.Incarnation, r.rateCaps.Permit)
 	return peer.CapPermitReply{Granted: granted, Wait: wait}, nil
 }
 
-// SetRateCap takes over what the store says of an endpoint's rate cap.
+// SetRateCap applies the rate cap of an endpoint, or its absence, that is published in the store.
 func (r *Relay) SetRateCap(incarnation string, stated model.RateCap) {
 	r.rateCaps.ApplyNotice(incarnation, stated)
 }
 
-// admitRateCaps returns the refusal of a request whose pool has only endpoints at their rate caps.
+// admitRateCaps refuses a request if all endpoints of its pool are at their rate caps. It returns nil otherwise.
 func (r *Relay) admitRateCaps(a kernel.Admission) *model.Refusal {
 	endpoints := a.Homes.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
 	return r.rateCaps.AdmitPool(r.now(), a.Pool, endpoints, r.pool(a.Pool).lastSentAt)
 }
 
-// forward sends a request to an endpoint, once, and takes in what the answer says of the endpoint.
+// forward sends a request to an endpoint, once, and records the rate cap in the answer.
 func (r *Relay) forward(ctx context.Context, send Send) (*model.ForwardReply, error) {
-	asked := r.now()
+	sentAt := r.now()
 	r.rateCaps.RecordSend(send.Endpoint)
 	reply, err := r.wire.Forward(ctx, send)
 	if err == nil && !reply.Misdirected {
-		r.recordRateCap(asked, send.Endpoint, reply.RateCap, reply.Authentic)
+		r.recordRateCap(sentAt, send.Endpoint, reply.RateCap, reply.Authentic)
 	}
 	return reply, err
 }
 
-// runPieces makes one call for pieces, and takes in what the answer says of the endpoint.
+// runPieces makes one call for pieces and records the rate cap in the answer.
 func (r *Relay) runPieces(ctx context.Context, e model.Endpoint, pieces []model.Piece) (PieceReply, error) {
-	asked := r.now()
+	sentAt := r.now()
 	r.rateCaps.RecordSend(e)
 	reply, err := r.wire.RunPieces(ctx, e, pieces)
 	if !reply.Misdirected {
-		r.recordRateCap(asked, e, reply.RateCap, err == nil && !reply.NotRun)
+		r.recordRateCap(sentAt, e, reply.RateCap, err == nil && !reply.NotRun)
 	}
 	return reply, err
 }
 
-// recordRateCap takes in what an answer states of the requests that its endpoint takes. That there is none counts only in an
-// answer that is whole: a spoilt one may have lost it.
-func (r *Relay) recordRateCap(asked time.Time, e model.Endpoint, stated model.RateCap, whole bool) {
-	if stated.Stated || whole {
-		r.rateCaps.RecordAnswer(asked, e, stated)
+// recordRateCap records the rate cap in an answer to a request that was sent at sentAt. The absence of a cap counts
+// only in a complete answer: a damaged one may have lost it.
+func (r *Relay) recordRateCap(sentAt time.Time, e model.Endpoint, stated model.RateCap, complete bool) {
+	if stated.Stated || complete {
+		r.rateCaps.RecordAnswer(sentAt, e, stated)
 	}
 }
 
-// choose chooses an endpoint for one send. Where the choice falls on one that this node may send to only with another
-// node's permit, it asks for one; without it, the choice falls on another endpoint.
-func (j *job) chooseEndpoint(ctx context.Context, p *pool, pick func(now time.Time, g gate) (choice, bool), drop func(model.Endpoint)) (model.Endpoint, bool) {
+// chooseEndpoint chooses an endpoint for one attempt by pick. If this node may send to the endpoint only with another
+// node's permit, it requests one; if the permit is denied, it calls release for the endpoint and chooses another.
+func (j *job) chooseEndpoint(ctx context.Context, p *pool, pick func(now time.Time, g gate) (choice, bool), release func(model.Endpoint)) (model.Endpoint, bool) {
 	r := j.relay
 	j.permitUntil = time.Time{}
 	g := r.gate(p.name)
-	for asked := 0; ; asked++ {
-		g.permits = asked < maxPermitRequests
+	for requested := 0; ; requested++ {
+		g.permits = requested < maxPermitRequests
 		now := r.now()
 		c, ok := pick(now, g)
 		if !ok || !c.needsPermit {
@@ -119,6 +123,6 @@
 			j.permitUntil = now.Add(kernel.PermitLifetime)
 			return c.endpoint, true
 		}
-		drop(c.endpoint)
+		release(c.endpoint)
 	}
 }
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -10,8 +10,8 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// returning guards a kernel.Returning, which one node holds for each pool of stages: its batcher,
-// whom all nodes talk to anyway. It is soft state: with the batcher lost, callers that come back
+// refusedRequests is a kernel.RefusedRequests that is safe for concurrent use. For each pool of stages, one node holds
+// it: the pool's batcher, which all nodes talk to anyway. It is soft state: if the batcher is lost, callers that retry
 // count as new ones.
 type refusedRequests struct {
 	mu       sync.Mutex
@@ -22,19 +22,20 @@
 	return &refusedRequests{requests: kernel.NewRefusedRequests()}
 }
 
-func (m *refusedRequests) add(now time.Time, identity string, waited time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.requests.Add(now, identity, waited)
+func (s *refusedRequests) add(now time.Time, identity string, waited time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.requests.Add(now, identity, waited)
 }
 
-func (m *refusedRequests) takeWaited(now time.Time, identity string) time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.requests.TakeWaited(now, identity)
+func (s *refusedRequests) takeWaited(now time.Time, identity string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.requests.TakeWaited(now, identity)
 }
 
-// previousWait returns how long the caller of a request has waited since its first attempt.
+// previousWait returns how long the caller of a request has already waited since its first attempt. It is zero for a
+// new request, and if the node that keeps the refused requests gives no answer within reportTimeout.
 func (r *Relay) previousWait(ctx context.Context, f model.Forward, a kernel.Admission) time.Duration {
 	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" {
@@ -57,7 +58,8 @@
 	return reply.Waited
 }
 
-// recordRefused tells the coordinator that a request with stages was refused and may come back.
+// recordRefused records a refused request with stages at the node that keeps the refused requests, as its caller may
+// retry it.
 func (r *Relay) recordRefused(f model.Forward, a kernel.Admission) {
 	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" || len(a.Route.Stages) == 0 {
@@ -80,19 +82,20 @@
 	}()
 }
 
-// refusedRequestsCoordinator returns the node that remembers the refused requests of a route.
+// refusedRequestsCoordinator returns the node that keeps the refused requests of a route.
 func (r *Relay) refusedRequestsCoordinator(stages []model.StageNode) string {
 	return kernel.NodesByHash(stages[0].Pool, r.Reachable())[0]
 }
 
+// handleReturn handles a peer.Return: it records a refused request, or returns how long a caller has waited.
 func (r *Relay) handleReturn(_ context.Context, body []byte) (any, error) {
-	var m peer.Return
-	if err := peer.DecodeBody(body, &m); err != nil {
+	var message peer.Return
+	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
-	if m.Refused {
-		r.returning.add(r.now(), m.Identity, m.Waited)
+	if message.Refused {
+		r.returning.add(r.now(), message.Identity, message.Waited)
 		return peer.ReturnReply{}, nil
 	}
-	return peer.ReturnReply{Waited: r.returning.takeWaited(r.now(), m.Identity)}, nil
+	return peer.ReturnReply{Waited: r.returning.takeWaited(r.now(), message.Identity)}, nil
 }
--- a/relay/suspects.go
+++ b/relay/suspects.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// minProbeInterval and maxProbeInterval bound the time between two probes of a node that did not answer;
-	// each is twice the one before. Probes keep the wait for a lost node away from requests.
+	// minProbeInterval and maxProbeInterval bound the interval between probes of a node that did not answer, which
+	// doubles with each probe. Probes find out whether the node is back, so that no request has to wait for it.
 	minProbeInterval = 250 * time.Millisecond
 	maxProbeInterval = 4 * time.Second
 	probeTimeout     = 600 * time.Millisecond
 )
 
 type (
-	// suspects holds the nodes that did not answer lately or are leaving. Each is probed until it
-	// answers again.
+	// suspects holds the nodes that did not answer or are leaving. Each is probed until it answers again.
 	suspects struct {
 		ctx   context.Context
 		probe func(node string) bool
-		// back is called for a node that answers again.
+		// recovered is called when a node answers again.
 		recovered func(node string)
 
 		mu    sync.Mutex
 		nodes map[string]bool
 	}
 
-	// remoteGroups holds how to withdraw the groups of other nodes.
+	// remoteGroups holds the cancel functions of the piece groups that other nodes have sent here.
 	remoteGroups struct {
 		mu      sync.Mutex
 		cancels map[string]context.CancelFunc
 	}
 )
 
-func newSuspects(ctx context.Context, probe func(string) bool, back func(string)) *suspects {
-	return &suspects{ctx: ctx, probe: probe, recovered: back, nodes: map[string]bool{}}
+func newSuspects(ctx context.Context, probe func(string) bool, recovered func(string)) *suspects {
+	return &suspects{ctx: ctx, probe: probe, recovered: recovered, nodes: map[string]bool{}}
 }
 
-// suspect notes that a node did not answer; it reports whether that is news.
+// suspect records that a node did not answer or is leaving, and starts to probe it. It returns false if the node was
+// already suspected.
 func (s *suspects) suspect(node string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,8 +49,8 @@
 	}
 	s.nodes[node] = true
 	go func() {
-		pause := minProbeInterval
-		for clock.Sleep(s.ctx, pause) {
+		interval := minProbeInterval
+		for clock.Sleep(s.ctx, interval) {
 			if !s.suspected(node) {
 				return
 			}
@@ -58,14 +58,14 @@
 				s.clear(node)
 				return
 			}
-			pause = min(2*pause, maxProbeInterval)
+			interval = min(2*interval, maxProbeInterval)
 		}
 	}()
 	return true
 }
 
-// announced probes a node at once that has said that it started, where it is suspected: its next probe
-// may be seconds away, and until then it and others would work for the same pools.
+// probeNow probes a suspected node that has just announced its start. Its next regular probe may be seconds away, and
+// until then both it and other nodes would batch for the same pools.
 func (s *suspects) probeNow(node string) {
 	if !s.suspected(node) {
 		return
@@ -77,12 +77,13 @@
 	}()
 }
 
+// clear ends the suspicion of a node that is known to answer.
 func (s *suspects) clear(node string) {
 	s.mu.Lock()
-	known := s.nodes[node]
+	suspected := s.nodes[node]
 	delete(s.nodes, node)
 	s.mu.Unlock()
-	if known {
+	if suspected {
 		s.recovered(node)
 	}
 }
