--- a/relay/permits_test.go
+++ b/relay/permits_test.go
@@ -14,81 +14,84 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// permitHarness is a relay that has to ask another node before it may send to any endpoint of the pool, and that node's answers.
+// permitHarness is a relay that needs the permit of another node to send to any endpoint of the pool, and that node.
 type permitHarness struct {
 	*bed
-	granted        atomic.Bool
+	// granted is the other node's answer.
+	granted atomic.Bool
+	// permitRequests is the number of requests for permits that the other node has received.
 	permitRequests atomic.Int64
-	sent           []string
+	// sent are the endpoints that requests were sent to.
+	sent []string
 }
 
 func newPermitHarness(t *testing.T) *permitHarness {
-	b := &permitHarness{bed: newBed(t)}
+	h := &permitHarness{bed: newBed(t)}
 	sharer, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
 	t.Cleanup(func() { sharer.Close() })
 	sharer.Serve(kernel.Member{Node: "other"}, map[peer.Kind]peer.Handler{
 		peer.KindCapPermit: func(context.Context, []byte) (any, error) {
-			b.permitRequests.Add(1)
-			return peer.CapPermitReply{Granted: b.granted.Load(), Wait: 3 * time.Second}, nil
+			h.permitRequests.Add(1)
+			return peer.CapPermitReply{Granted: h.granted.Load(), Wait: 3 * time.Second}, nil
 		},
 	})
-	b.relay.SetNodes([]relay.Node{{Name: "other", Address: sharer.Address()}}, nil)
+	h.relay.SetNodes([]relay.Node{{Name: "other", Address: sharer.Address()}}, nil)
 	for _, name := range []string{"plain-0", "plain-1"} {
-		b.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
+		h.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
 	}
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	h.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if err := s.BeforeSend(); err != nil {
 			return nil, err
 		}
-		b.sent = append(b.sent, s.Endpoint.Name)
+		h.sent = append(h.sent, s.Endpoint.Name)
 		return reply("answer"), nil
 	}
-	// The relay looks each second which nodes there are.
-	for end := time.Now().Add(20 * time.Second); b.permitRequests.Load() == 0; time.Sleep(50 * time.Millisecond) {
-		must.True(t, time.Now().Before(end))
-		b.serve("/get/one")
+	// The limiter refreshes the list of nodes once a second.
+	for deadline := time.Now().Add(20 * time.Second); h.permitRequests.Load() == 0; time.Sleep(50 * time.Millisecond) {
+		must.True(t, time.Now().Before(deadline))
+		h.serve("/get/one")
 	}
-	b.sent = nil
-	return b
+	h.sent = nil
+	return h
 }
 
-// A request that only another node may let through is sent once that node grants it, and refused with when to come back
-// while it does not; what was denied is not asked again before its turn.
+// A request that needs another node's permit is sent once that node grants it. As long as the permit is denied, the
+// request is refused with the time until this node's turn, and the permit is not requested again before.
 func TestRequestIsSentWithPermitOfAnotherNode(t *testing.T) {
 	t.Parallel()
-	b := newPermitHarness(t)
-	refusal := b.serve("/get/one").Refusal
+	h := newPermitHarness(t)
+	refusal := h.serve("/get/one").Refusal
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.EndpointsCapped, refusal.Reason)
 	must.EqOp(t, model.NotRun, refusal.Verdict)
 	must.Between(t, time.Second, refusal.RetryAfter, 4*time.Second)
-	asked := b.permitRequests.Load()
-	must.NotNil(t, b.serve("/get/one").Refusal)
-	must.EqOp(t, asked, b.permitRequests.Load())
-	must.SliceEmpty(t, b.sent)
+	permitRequests := h.permitRequests.Load()
+	must.NotNil(t, h.serve("/get/one").Refusal)
+	must.EqOp(t, permitRequests, h.permitRequests.Load())
+	must.SliceEmpty(t, h.sent)
 
-	b.granted.Store(true)
+	h.granted.Store(true)
 	time.Sleep(3 * time.Second)
-	must.Nil(t, b.serve("/get/one").Refusal)
-	must.SliceLen(t, 1, b.sent)
+	must.Nil(t, h.serve("/get/one").Refusal)
+	must.SliceLen(t, 1, h.sent)
 }
 
-// A permit counts for a moment only: a request whose connection took longer to open is not sent with it. Guards against
-// sends that arrive together with those of the node that granted them.
+// A permit expires soon: a request whose connection takes longer to open must not be sent with it, as it could arrive
+// together with the next requests of the node that granted the permit.
 func TestExpiredPermitIsNotUsed(t *testing.T) {
 	t.Parallel()
-	b := newPermitHarness(t)
-	b.granted.Store(true)
+	h := newPermitHarness(t)
+	h.granted.Store(true)
 	time.Sleep(3 * time.Second)
-	late := 0
-	forward := b.wire.Forward
-	b.wire.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
-		late++
+	attempts := 0
+	forward := h.wire.Forward
+	h.wire.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
+		attempts++
 		time.Sleep(kernel.PermitLifetime)
 		return forward(ctx, s)
 	}
-	must.NotNil(t, b.serve("/get/one").Refusal)
-	must.Positive(t, late)
-	must.SliceEmpty(t, b.sent)
+	must.NotNil(t, h.serve("/get/one").Refusal)
+	must.Positive(t, attempts)
+	must.SliceEmpty(t, h.sent)
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -16,8 +16,8 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// A process may end and be back without a word on its connections: the list alone says that another start of it is
-// there. What was under way is counted as at any other end.
+// A process may crash and restart without its connections being reset, so that only the endpoint list shows the new
+// incarnation. The requests that were in flight count as after any other crash.
 func TestCallsToFormerIncarnationCountAsCrash(t *testing.T) {
 	b := newBed(t)
 	b.wire.Forward = func(ctx context.Context, _ relay.Send) (*model.ForwardReply, error) {
@@ -31,10 +31,10 @@
 			{Name: "plain-0", Started: time.UnixMilli(starts), Address: "a", Pool: "plain", State: model.Live},
 		}, nil, nil)
 		b.relay.ChangeRegistry(func(kernel.Registry) kernel.Registry { return registry })
-		ended := make(chan relay.Outcome, 1)
-		go func() { ended <- b.serve("/get/same") }()
+		outcomes := make(chan relay.Outcome, 1)
+		go func() { outcomes <- b.serve("/get/same") }()
 		select {
-		case outcome := <-ended:
+		case outcome := <-outcomes:
 			must.EqOp(t, model.Quarantined, outcome.Refusal.Reason)
 			must.EqOp(t, model.NotRun, outcome.Refusal.Verdict)
 			return
@@ -44,7 +44,7 @@
 	}
 }
 
-// What an endpoint cuts as it leaves was announced, and says nothing of the requests.
+// An endpoint that leaves cuts its connections. That is announced and must not count as a crash against the requests.
 func TestConnectionCutByLeavingEndpointIsNoCrash(t *testing.T) {
 	b := newBed(t)
 	var leave func()
--- a/relay/ratecaps_test.go
+++ b/relay/ratecaps_test.go
@@ -11,8 +11,8 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// An endpoint may be chosen for a request, and be known to state a rate cap by the time that a connection to it is open. The
-// request goes elsewhere, and that is no repeat.
+// A node may learn of an endpoint's rate cap after it has chosen the endpoint, but before the connection is open. The
+// request has to go to another endpoint, without counting as a retry.
 func TestRequestMovesOnIfRateCapArrivesBeforeSend(t *testing.T) {
 	b := newBed(t)
 	var sent []string
@@ -33,8 +33,8 @@
 	must.NotEq(t, capped, sent[0])
 }
 
-// The trial of a request that is held back is a send like any other: it goes to no endpoint beyond its rate cap, and is
-// still there once an endpoint takes it. Guards against a trial that passes the caps by.
+// Guards against a trial of a quarantined request that bypasses rate caps: it must not go to an endpoint beyond its
+// cap, and must not be used up by the refusal.
 func TestTrialObeysRateCaps(t *testing.T) {
 	b := newBed(t)
 	var sent []string
