--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,271 +14,273 @@
 )
 
 const (
-	// streamBuffer holds what arrives of a stream at once.
-	streamBuffer = 4 << 10
-	// mostSilence is how long a resumable stream may be silent before it goes on elsewhere: far
-	// above any pause of a healthy engine.
-	mostSilence = 1500 * time.Millisecond
+	// streamBufferBytes is the size of the buffer into which a stream is read.
+	streamBufferBytes = 4 << 10
+	// streamIdleTimeout is how long the engine of a resumable stream may send nothing before the stream is resumed at
+	// another engine. It is far above any pause of a healthy engine.
+	streamIdleTimeout = 1500 * time.Millisecond
 )
 
-var errSilent = errors.New("relay: the engine is silent")
+var errStreamIdle = errors.New("relay: the engine sent nothing within the idle timeout")
 
 type (
-	// streamState is what was passed on of a stream so far.
+	// streamState is the state of a stream, which all its attempts share.
 	streamState struct {
-		events events
-		begun  bool
-		status int
-		// firstAt is when the first event came.
-		firstAt time.Time
+		splitter   eventSplitter
+		headerSent bool
+		status     int
+		// firstEventAt is when the first event was received.
+		firstEventAt time.Time
 	}
 
-	// streamEnd is how one send of a stream ended.
-	streamEnd struct {
-		// whole is true where the stream came to its proper end.
-		whole bool
-		// callerGone is true where the caller takes nothing more.
+	// streamResult is the result of one attempt at a stream.
+	streamResult struct {
+		// complete is true if the stream ended between two events.
+		complete bool
+		// callerGone is true if writing to the caller failed.
 		callerGone bool
-		// passed is true where the endpoint's own failure was passed on.
-		passed bool
-		reply  *model.ForwardReply
-		err    error
+		// failureWritten is true if the engine's own failure was written to the caller.
+		failureWritten bool
+		reply          *model.ForwardReply
+		err            error
 	}
 )
 
-// stream serves a request that is answered by a series of events: first its stages, then the
-// engine, whose events are passed on as they come.
-func (j *job) stream(ctx context.Context) Outcome {
+// serveStream serves a request that is answered by a stream of events: it runs the stages and then sends the request to
+// an engine, whose events are written to the caller as they arrive.
+func (j *job) serveStream(ctx context.Context) Outcome {
 	p := j.relay.pool(j.admission.Pool)
-	p.request(j.relay.now())
+	p.recordRequest(j.relay.now())
 	stages, refusal := j.runStages(ctx, p)
 	defer stages.release()
 	if refusal != nil {
 		if ctx.Err() != nil {
-			return j.ended(ctx)
+			return j.refuseContextDone(ctx)
 		}
 		return Outcome{Refusal: refusal}
 	}
 	var state streamState
 	for {
-		e, end, ok := j.streamOnce(ctx, p, &state, stages)
+		e, result, ok := j.attemptStream(ctx, p, &state, stages)
 		if !ok {
-			return j.streamWithoutEngine(&state)
+			return j.finishWithoutEngine(&state)
 		}
-		if outcome, over := j.streamEnded(ctx, &state, end, e); over {
+		if outcome, done := j.finalOutcome(ctx, &state, result, e); done {
 			return outcome
 		}
 		switch {
-		case j.streamAgain(p, &state, stages, end):
-		case state.begun:
+		case j.allowStreamRetry(p, &state, stages, result):
+		case state.headerSent:
 			return j.streamOutcome(&state, e)
 		default:
-			return j.streamFailure(end)
+			return j.refuseFailedStream(result)
 		}
 	}
 }
 
-// streamOutcome says what came of the stream so far.
+// streamOutcome returns the outcome of a stream that ends here, incomplete.
 func (j *job) streamOutcome(state *streamState, e model.Endpoint) Outcome {
-	outcome := Outcome{Status: state.status, Endpoint: e.Name, Attempts: j.asked}
-	if state.begun {
-		outcome.First = state.firstAt.Sub(j.forward.ReceivedAt)
+	outcome := Outcome{Status: state.status, Endpoint: e.Name, Attempts: j.attempts}
+	if state.headerSent {
+		outcome.First = state.firstEventAt.Sub(j.forward.ReceivedAt)
 	}
 	return outcome
 }
 
-// streamEnded tells whether no other engine is to be asked, and what came of the stream then.
-func (j *job) streamEnded(ctx context.Context, state *streamState, end streamEnd, e model.Endpoint) (outcome Outcome, over bool) {
+// finalOutcome returns the outcome of a stream after an attempt. done is false if another engine may be tried.
+func (j *job) finalOutcome(ctx context.Context, state *streamState, result streamResult, e model.Endpoint) (outcome Outcome, done bool) {
 	outcome = j.streamOutcome(state, e)
 	switch {
-	case end.whole, end.passed:
+	case result.complete, result.failureWritten:
 		outcome.Whole = true
 		return outcome, true
-	case end.callerGone:
+	case result.callerGone:
 		return outcome, true
 	case ctx.Err() == nil:
 		return outcome, false
-	case state.begun:
+	case state.headerSent:
 		return outcome, true
 	default:
-		return j.ended(ctx), true
+		return j.refuseContextDone(ctx), true
 	}
 }
 
-// streamOnce makes one send; false means that there was no engine.
-func (j *job) streamOnce(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamEnd, bool) {
+// attemptStream makes one attempt at an engine. It returns false if there was no engine to send to.
+func (j *job) attemptStream(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamResult, bool) {
 	r := j.relay
 	tokens := j.forward.Prompt.TokensIn
-	e, ok := j.choose(ctx, p, func(now time.Time, g gate) (choice, bool) {
-		return p.pickEngine(now, j.atHome(), g, j.forward.Prompt, j.affinity(), j.excluded)
+	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g gate) (choice, bool) {
+		return p.pickEngine(now, j.allowedEndpoints(), g, j.forward.Prompt, j.affinityKey(), j.excluded)
 	}, func(e model.Endpoint) {
-		p.dropPrompt(e.Incarnation(), tokens)
-		p.leave(e.Incarnation())
+		p.dropPendingPrefill(e.Incarnation(), tokens)
+		p.release(e.Incarnation())
 	})
 	if !ok {
-		return e, streamEnd{}, false
+		return e, streamResult{}, false
 	}
-	defer p.leave(e.Incarnation())
+	defer p.release(e.Incarnation())
 	j.excluded = append(j.excluded, e.Incarnation())
-	j.asked++
-	began := r.now()
-	read := false
-	onFirst := func() {
-		if read {
+	j.attempts++
+	startedAt := r.now()
+	firstSeen := false
+	onFirstEvent := func() {
+		if firstSeen {
 			return
 		}
-		read = true
-		p.readPrompt(e.Incarnation(), tokens, r.now().Sub(began))
+		firstSeen = true
+		p.recordFirstEvent(e.Incarnation(), tokens, r.now().Sub(startedAt))
 		j.firstEvent(stages)
 	}
-	send := j.send(e, j.asked > 1)
+	send := j.newSend(e, j.attempts > 1)
 	send.Inputs = stages.inputs
-	admitted := send.BeforeSend
+	checkAdmission := send.BeforeSend
 	send.BeforeSend = func() error {
-		if stages.stale() {
-			return model.NewRefusal(j.verdict(), model.StageFailed, kernel.ClampRetryAfter(refusedRetry), "an input went with its worker")
+		if stages.inputsStale() {
+			return model.NewRefusal(j.verdict(), model.StageFailed, kernel.ClampRetryAfter(refusalRetryAfter), "an input went with its worker")
 		}
-		return admitted()
+		return checkAdmission()
 	}
-	send.After = state.events.last
-	end := j.relayEvents(ctx, p, send, state, onFirst)
-	if !read {
-		p.dropPrompt(e.Incarnation(), tokens)
+	send.After = state.splitter.lastID
+	result := j.relayEvents(ctx, p, send, state, onFirstEvent)
+	if !firstSeen {
+		p.dropPendingPrefill(e.Incarnation(), tokens)
 	}
-	j.noteStreamEnd(p, e, end)
-	return e, end, true
+	j.recordStreamResult(p, e, result)
+	return e, result, true
 }
 
-// affinity returns the key of the prompts that are to share an engine; empty for none.
-func (j *job) affinity() string {
-	// A trial goes where least is under way: it may end the engine.
+// affinityKey returns the key that requests for the same engine have in common; it is empty if any engine will do.
+func (j *job) affinityKey() string {
+	// A trial goes to the least loaded engine, as the request may crash it.
 	if j.trial || !j.relay.options.Policy.Uses(kernel.PrefixAffinity) {
 		return ""
 	}
 	return kernel.AffinityKey(j.forward.Prompt)
 }
 
-// relayEvents passes the events of one send on to the caller.
-func (j *job) relayEvents(ctx context.Context, p *pool, send Send, state *streamState, onFirst func()) streamEnd {
+// relayEvents sends a request to an engine and writes the events of the answer to the caller. It calls onFirstEvent
+// before each write; calls after the first have no effect.
+func (j *job) relayEvents(ctx context.Context, p *pool, send Send, state *streamState, onFirstEvent func()) streamResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := j.watchSilence(cancel)
-	defer silence.Stop()
-	ctx, over := j.relay.begin(ctx, send.Endpoint, j.forward.Digest)
-	defer over()
+	idleTimer := j.startIdleTimer(cancel)
+	defer idleTimer.Stop()
+	ctx, endCall := j.relay.begin(ctx, send.Endpoint, j.forward.Digest)
+	defer endCall()
 	reply, err := j.relay.forward(ctx, send)
 	if err != nil {
-		return streamEnd{err: err}
+		return streamResult{err: err}
 	}
 	defer reply.Close()
-	p.reported(j.relay.now(), send.Endpoint.Incarnation(), reply.Load)
+	p.recordLoad(j.relay.now(), send.Endpoint.Incarnation(), reply.Load)
 	if reply.NotRun {
-		return streamEnd{reply: reply}
+		return streamResult{reply: reply}
 	}
 	j.mayHaveRun = true
 	if reply.Status != http.StatusOK || !reply.Authentic {
-		return j.passFailure(reply, state)
+		return j.writeFailure(reply, state)
 	}
-	state.events.rest = nil
-	buffer := make([]byte, streamBuffer)
+	state.splitter.partial = nil
+	buffer := make([]byte, streamBufferBytes)
 	for {
 		n, err := reply.Body.Read(buffer)
 		if n > 0 {
-			silence.Reset(mostSilence)
-			if end, failed := j.passBytes(reply, state, buffer[:n], onFirst); failed {
-				return end
+			idleTimer.Reset(streamIdleTimeout)
+			if result, done := j.writeEvents(reply, state, buffer[:n], onFirstEvent); done {
+				return result
 			}
 		}
 		if err == io.EOF {
-			return j.streamClosed(reply, state)
+			return j.finishStream(reply, state)
 		}
 		if err != nil {
-			return streamEnd{err: &endpoint.Fault{Kind: endpoint.Cut, Verdict: model.MayHaveRun, Err: err}}
+			return streamResult{err: &endpoint.Fault{Kind: endpoint.Cut, Verdict: model.MayHaveRun, Err: err}}
 		}
 	}
 }
 
-// passBytes passes on the events that end with these bytes; failed tells that the send is over.
-func (j *job) passBytes(reply *model.ForwardReply, state *streamState, p []byte, onFirst func()) (end streamEnd, failed bool) {
-	whole, err := state.events.add(p)
+// writeEvents writes the events that p completes to the caller. done is true if the attempt has failed.
+func (j *job) writeEvents(reply *model.ForwardReply, state *streamState, p []byte, onFirstEvent func()) (result streamResult, done bool) {
+	events, err := state.splitter.add(p)
 	if err != nil {
-		return streamEnd{err: err}, true
+		return streamResult{err: err}, true
 	}
-	if len(whole) == 0 {
-		return streamEnd{}, false
+	if len(events) == 0 {
+		return streamResult{}, false
 	}
-	onFirst()
-	j.begin(reply, state)
-	if j.out.Write(whole) != nil {
-		return streamEnd{callerGone: true}, true
+	onFirstEvent()
+	j.sendHeader(reply, state)
+	if j.responder.Write(events) != nil {
+		return streamResult{callerGone: true}, true
 	}
-	return streamEnd{}, false
+	return streamResult{}, false
 }
 
-// watchSilence ends a send that makes no progress, where another can take its place.
-func (j *job) watchSilence(cancel context.CancelCauseFunc) *time.Timer {
-	if !j.admission.Route.Resumable || j.asked >= j.admission.Route.MaxAttempts {
+// startIdleTimer returns a timer that cancels an idle attempt if the stream can be resumed at another engine; otherwise
+// the timer does nothing.
+func (j *job) startIdleTimer(cancel context.CancelCauseFunc) *time.Timer {
+	if !j.admission.Route.Resumable || j.attempts >= j.admission.Route.MaxAttempts {
 		timer := time.NewTimer(0)
 		timer.Stop()
 		return timer
 	}
-	return time.AfterFunc(mostSilence, func() { cancel(errSilent) })
+	return time.AfterFunc(streamIdleTimeout, func() { cancel(errStreamIdle) })
 }
 
-func (j *job) begin(reply *model.ForwardReply, state *streamState) {
-	if state.begun {
+func (j *job) sendHeader(reply *model.ForwardReply, state *streamState) {
+	if state.headerSent {
 		return
 	}
-	state.begun = true
+	state.headerSent = true
 	state.status = reply.Status
-	state.firstAt = j.relay.now()
+	state.firstEventAt = j.relay.now()
 	reply.Header.Del("Content-Length")
-	j.out.Begin(reply.Status, reply.Header)
+	j.responder.Begin(reply.Status, reply.Header)
 }
 
-// streamClosed judges a stream that came to its end: it is whole unless it ends within an event.
-func (j *job) streamClosed(reply *model.ForwardReply, state *streamState) streamEnd {
-	if !state.events.clean() {
-		return streamEnd{err: &endpoint.Fault{Kind: endpoint.Cut, Verdict: model.MayHaveRun, Err: io.ErrUnexpectedEOF}}
+// finishStream returns the result of an attempt whose stream has ended: it is complete unless it ends within an event.
+func (j *job) finishStream(reply *model.ForwardReply, state *streamState) streamResult {
+	if !state.splitter.atEventBoundary() {
+		return streamResult{err: &endpoint.Fault{Kind: endpoint.Cut, Verdict: model.MayHaveRun, Err: io.ErrUnexpectedEOF}}
 	}
-	j.begin(reply, state)
-	return streamEnd{whole: true}
+	j.sendHeader(reply, state)
+	return streamResult{complete: true}
 }
 
-// passFailure passes an engine's own failure on, unless events of another were passed on or the
-// engine did not sign it.
-func (j *job) passFailure(reply *model.ForwardReply, state *streamState) streamEnd {
-	body, err := readWhole(reply)
+// writeFailure writes an engine's own failure to the caller, unless the caller already has events of another engine,
+// the engine did not sign the failure, or the stream can be retried at another engine.
+func (j *job) writeFailure(reply *model.ForwardReply, state *streamState) streamResult {
+	body, err := readAnswer(reply)
 	if err != nil {
-		return streamEnd{err: err}
+		return streamResult{err: err}
 	}
-	if state.begun || !reply.Authentic || reply.Status < http.StatusBadRequest {
-		return streamEnd{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: status %d", reply.Status)}}
+	if state.headerSent || !reply.Authentic || reply.Status < http.StatusBadRequest {
+		return streamResult{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: engine answered with status %d", reply.Status)}}
 	}
-	if j.admission.Route.Resumable && j.asked < j.admission.Route.MaxAttempts {
-		return streamEnd{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: status %d", reply.Status)}}
+	if j.admission.Route.Resumable && j.attempts < j.admission.Route.MaxAttempts {
+		return streamResult{err: &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: errors.Errorf("relay: engine answered with status %d", reply.Status)}}
 	}
-	state.begun = true
+	state.headerSent = true
 	state.status = reply.Status
-	j.out.Begin(reply.Status, reply.Header)
-	if j.out.Write(body) != nil {
-		return streamEnd{callerGone: true}
+	j.responder.Begin(reply.Status, reply.Header)
+	if j.responder.Write(body) != nil {
+		return streamResult{callerGone: true}
 	}
-	return streamEnd{passed: true}
+	return streamResult{failureWritten: true}
 }
 
-func (j *job) noteStreamEnd(p *pool, e model.Endpoint, end streamEnd) {
+func (j *job) recordStreamResult(p *pool, e model.Endpoint, result streamResult) {
 	switch {
-	case end.err != nil:
-		j.noteFault(p, e, asFault(end.err))
-	case end.whole:
-		p.succeeded(e.Incarnation())
-	case end.reply != nil && end.reply.NotRun:
-		j.relay.logAttempt(j.forward, e, j.asked, model.RetryNotRun, nil)
+	case result.err != nil:
+		j.recordFault(p, e, asFault(result.err))
+	case result.complete:
+		p.recordSuccess(e.Incarnation())
+	case result.reply != nil && result.reply.NotRun:
+		j.relay.logFailedAttempt(j.forward, e, j.attempts, model.RetryNotRun, nil)
 	}
 }
 
-// verdict says what may be told of the request so far.
+// verdict returns the verdict on the attempts so far.
 func (j *job) verdict() model.Verdict {
 	if j.mayHaveRun {
 		return model.MayHaveRun
@@ -286,11 +288,11 @@
 	return model.NotRun
 }
 
-// streamFailure is the refusal of a stream of which nothing was passed on.
-func (j *job) streamFailure(end streamEnd) Outcome {
+// refuseFailedStream refuses a stream of which nothing was written to the caller.
+func (j *job) refuseFailedStream(result streamResult) Outcome {
 	var refusal *model.Refusal
-	if errors.As(end.err, &refusal) {
-		return Outcome{Refusal: refusal, Attempts: j.asked}
+	if errors.As(result.err, &refusal) {
+		return Outcome{Refusal: refusal, Attempts: j.attempts}
 	}
 	if !j.mayHaveRun {
 		return j.refuse(model.NotRun, model.EndpointRefused, "no engine took the request")
@@ -298,10 +300,10 @@
 	return j.refuse(model.MayHaveRun, model.StageFailed, "the engine failed")
 }
 
-// streamWithoutEngine ends a stream for which there is no engine, or no other one.
-func (j *job) streamWithoutEngine(state *streamState) Outcome {
-	if state.begun {
-		return Outcome{Status: state.status, Attempts: j.asked}
+// finishWithoutEngine ends a stream for which there is no engine, or no further one.
+func (j *job) finishWithoutEngine(state *streamState) Outcome {
+	if state.headerSent {
+		return Outcome{Status: state.status, Attempts: j.attempts}
 	}
-	return j.noEndpoint(j.verdict())
+	return j.refuseNoEndpoint(j.verdict())
 }
