--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// pumpAgain is when a batcher at most looks again while pieces wait: a part of the time that
+	// pumpInterval is when a batcher at most looks again while pieces wait: a part of the time that
 	// a piece waits for its own failure domain.
-	pumpAgain = 30 * time.Millisecond
+	pumpInterval = 30 * time.Millisecond
 	// callTimeoutFactor is how many times its expected time a call for pieces may take before it is
 	// given up and its pieces are asked for elsewhere, and callGrace what is added to that.
 	callTimeoutFactor = 2.5
 	callGrace         = 300 * time.Millisecond
-	// reportMemory is how long a batcher's report on its queue counts; then it is asked again
+	// queueReportMaxAge is how long a batcher's report on its queue counts; then it is asked again
 	// before a request's stages begin.
-	reportMemory = 120 * time.Millisecond
+	queueReportMaxAge = 120 * time.Millisecond
 )
 
 type (
@@ -38,55 +38,55 @@
 	batcher struct {
 		relay *Relay
 		// name is that of the queue; its workers are the endpoints of a pool in a region.
-		name   string
-		pool   string
-		region string
+		queueName string
+		pool      string
+		region    string
 
 		mu      sync.Mutex
 		traits  model.PieceTraits
-		g       *kernel.BatchQueue
+		queue   *kernel.BatchQueue
 		waiters map[uint64]chan kernel.GroupOutcome
 		timer   *time.Timer
 		// report is the newest of the pool's batcher, as of reportedAt.
 		report     queueReport
 		reportedAt time.Time
-		// batchedAt is when the last group came.
-		batchedAt time.Time
+		// lastGroupAt is when the last group came.
+		lastGroupAt time.Time
 		// active is true while this node batches; current is the node that did so last, as far as
 		// is known here. begins is held while it is found out who is to.
-		active  bool
-		current string
+		active         bool
+		currentBatcher string
 		// begun counts how often this node began to batch.
-		begun  int
-		begins sync.Mutex
+		claims  int
+		claimMu sync.Mutex
 	}
 )
 
 // workers returns the endpoints that the queue's pieces go to.
-func (g *batcher) workers(registry kernel.Registry) []model.Endpoint {
-	if g.region == "" {
-		return registry.Endpoints(g.pool)
+func (b *batcher) workers(registry kernel.Registry) []model.Endpoint {
+	if b.region == "" {
+		return registry.Endpoints(b.pool)
 	}
-	return slices.DeleteFunc(slices.Clone(registry.Endpoints(g.pool)), func(e model.Endpoint) bool { return e.Region != g.region })
+	return slices.DeleteFunc(slices.Clone(registry.Endpoints(b.pool)), func(e model.Endpoint) bool { return e.Region != b.region })
 }
 
-// setRateCaps tells the queue what its workers say of the calls that they take.
-func (g *batcher) setRateCaps() {
-	g.mu.Lock()
-	for _, worker := range g.workers(g.relay.Registry()) {
-		g.g.SetRateCap(worker.Incarnation(), g.relay.rateCaps.PartialView(worker.Incarnation()).Cap)
+// updateRateCaps tells the queue what its workers say of the calls that they take.
+func (b *batcher) updateRateCaps() {
+	b.mu.Lock()
+	for _, worker := range b.workers(b.relay.Registry()) {
+		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.PartialView(worker.Incarnation()).Cap)
 	}
-	g.mu.Unlock()
-	g.pump()
+	b.mu.Unlock()
+	b.startCalls()
 }
 
 // peers returns those of several nodes that may batch for the queue: the ones in its region.
-func (g *batcher) peers(nodes []kernel.Peer) []kernel.Peer {
-	if g.region == "" {
+func (b *batcher) eligiblePeers(nodes []kernel.Peer) []kernel.Peer {
+	if b.region == "" {
 		return nodes
 	}
-	regions := g.relay.options.Regions
-	return slices.DeleteFunc(slices.Clone(nodes), func(n kernel.Peer) bool { return regions[n.Domain] != g.region })
+	regions := b.relay.options.Regions
+	return slices.DeleteFunc(slices.Clone(nodes), func(n kernel.Peer) bool { return regions[n.Domain] != b.region })
 }
 
 // queued tells whether pieces wait there.
@@ -94,166 +94,166 @@
 	return kernel.PoolEstimate{Wait: q.wait}.Queued()
 }
 
-// lastReport returns the newest report of the pool's batcher, if that came lately.
-func (g *batcher) lastReport() (queueReport, bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.report, g.relay.now().Sub(g.reportedAt) < reportMemory
+// recentReport returns the newest report of the pool's batcher, if that came lately.
+func (b *batcher) recentReport() (queueReport, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.report, b.relay.now().Sub(b.reportedAt) < queueReportMaxAge
 }
 
-func (g *batcher) noteReport(q queueReport) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.report = q
-	g.reportedAt = g.relay.now()
+func (b *batcher) recordReport(q queueReport) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.report = q
+	b.reportedAt = b.relay.now()
 }
 
 // reportFor returns the report to who asks for a group.
-func (g *batcher) reportFor(group kernel.PieceGroup) queueReport {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.reportForLocked(group)
+func (b *batcher) reportFor(group kernel.PieceGroup) queueReport {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.reportForLocked(group)
 }
 
-func (g *batcher) reportForLocked(group kernel.PieceGroup) queueReport {
-	now := g.relay.now()
-	return queueReport{wait: g.g.EstimateWait(now, group), roomTaken: g.g.RoomTaken(now)}
+func (b *batcher) reportForLocked(group kernel.PieceGroup) queueReport {
+	now := b.relay.now()
+	return queueReport{wait: b.queue.EstimateWait(now, group), roomTaken: b.queue.RoomTaken(now)}
 }
 
 // batch takes a group of this or another node in and waits for its end.
-func (g *batcher) batch(ctx context.Context, group kernel.PieceGroup, passedOver []string) batchResult {
-	if elsewhere := g.place(ctx, passedOver); elsewhere != "" {
+func (b *batcher) runGroup(ctx context.Context, group kernel.PieceGroup, excluded []string) batchResult {
+	if elsewhere := b.placeGroup(ctx, excluded); elsewhere != "" {
 		return batchResult{moved: true, movedTo: elsewhere}
 	}
-	now := g.relay.now()
-	if kernel.AnyStale(group.Inputs, g.relay.Registry().Superseded) {
+	now := b.relay.now()
+	if kernel.AnyStale(group.Inputs, b.relay.Registry().Superseded) {
 		return batchResult{outcome: kernel.GroupOutcome{Group: group.ID, Fault: model.PieceInputGone}}
 	}
 	done := make(chan kernel.GroupOutcome, 1)
-	g.mu.Lock()
-	report := g.reportForLocked(group)
-	accepted, retry := g.g.Add(now, group)
+	b.mu.Lock()
+	report := b.reportForLocked(group)
+	accepted, retry := b.queue.Add(now, group)
 	if accepted {
-		g.waiters[group.ID] = done
+		b.waiters[group.ID] = done
 	}
-	g.mu.Unlock()
+	b.mu.Unlock()
 	if !accepted {
-		g.relay.metrics.Event("PiecesRefused")
+		b.relay.metrics.Event("PiecesRefused")
 		return batchResult{refused: true, retryAfter: retry, report: report}
 	}
-	g.pump()
+	b.startCalls()
 	select {
 	case outcome := <-done:
 		if outcome.Fault == model.PieceMoved {
-			return batchResult{moved: true, movedTo: g.knownBatcher(nil)}
+			return batchResult{moved: true, movedTo: b.knownBatcher(nil)}
 		}
 		return batchResult{outcome: outcome, report: report}
 	case <-ctx.Done():
 	}
-	g.cancel(group.ID)
+	b.cancel(group.ID)
 	select {
 	case outcome := <-done:
 		// It ended at the same moment: what was made is of no use.
-		g.free(outcome.Made)
+		b.freeResults(outcome.Made)
 	default:
 	}
 	return batchResult{outcome: kernel.GroupOutcome{Fault: model.PieceLate}, report: report}
 }
 
-func (g *batcher) cancel(id uint64) {
-	g.mu.Lock()
-	made := g.g.Cancel(id)
-	delete(g.waiters, id)
-	g.mu.Unlock()
-	g.free(made)
+func (b *batcher) cancel(id uint64) {
+	b.mu.Lock()
+	made := b.queue.Cancel(id)
+	delete(b.waiters, id)
+	b.mu.Unlock()
+	b.freeResults(made)
 }
 
 // pump makes all calls that can be made now.
-func (g *batcher) pump() {
-	if g.relay.ctx.Err() != nil {
+func (b *batcher) startCalls() {
+	if b.relay.ctx.Err() != nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	for {
-		batch, ok := g.g.Next(g.relay.now())
+		batch, ok := b.queue.Next(b.relay.now())
 		if !ok {
 			break
 		}
-		go g.call(batch, g.g.Expected(batch), g.g.OverdueAfter(batch))
-		time.AfterFunc(batch.FetchTime(), g.freeFetched)
+		go b.runCall(batch, b.queue.Expected(batch), b.queue.OverdueAfter(batch))
+		time.AfterFunc(batch.FetchTime(), b.freeFetchedInputs)
 	}
-	if pieces, _ := g.g.Pending(); pieces > 0 {
-		g.timer.Reset(min(pumpAgain, max(time.Millisecond, g.g.Spacing()/2)))
+	if pieces, _ := b.queue.Pending(); pieces > 0 {
+		b.timer.Reset(min(pumpInterval, max(time.Millisecond, b.queue.Spacing()/2)))
 	}
 }
 
-func (g *batcher) call(batch kernel.PieceBatch, expected, overdueAfter time.Duration) {
-	r := g.relay
-	defer r.guard(func() {
-		g.mu.Lock()
-		ended := g.g.Failed(r.now(), batch)
-		g.mu.Unlock()
-		g.finish(ended)
-		g.pump()
+func (b *batcher) runCall(batch kernel.PieceBatch, expected, overdueAfter time.Duration) {
+	r := b.relay
+	defer r.recoverPanic(func() {
+		b.mu.Lock()
+		ended := b.queue.Failed(r.now(), batch)
+		b.mu.Unlock()
+		b.deliverOutcomes(ended)
+		b.startCalls()
 	})
 	timeout := time.Duration(callTimeoutFactor*float64(expected)) + callGrace
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
-	ctx, over := r.begin(ctx, batch.Endpoint, batch.Digests()...)
+	ctx, over := r.trackCall(ctx, batch.Endpoint, batch.Digests()...)
 	defer over()
-	overdue := time.AfterFunc(overdueAfter, func() { g.overdue(batch) })
+	overdue := time.AfterFunc(overdueAfter, func() { b.handleOverdue(batch) })
 	defer overdue.Stop()
 	reply, err := r.runPieces(ctx, batch.Endpoint, batch.Pieces)
-	crashed := g.crashed(batch, err)
+	crashed := b.checkCrash(batch, err)
 	now := r.now()
 	var ended []kernel.GroupOutcome
 	var unwanted []kernel.ResultRef
-	g.mu.Lock()
+	b.mu.Lock()
 	switch {
 	case err != nil && asFault(err).Kind == endpoint.Refused:
-		ended = g.g.Unreachable(now, batch)
+		ended = b.queue.Unreachable(now, batch)
 	case crashed:
-		ended = g.g.Crashed(now, batch)
+		ended = b.queue.Crashed(now, batch)
 	case err != nil:
-		ended = g.g.Failed(now, batch)
+		ended = b.queue.Failed(now, batch)
 	case reply.NotRun:
-		ended = g.g.Refused(now, batch)
+		ended = b.queue.Refused(now, batch)
 	default:
-		ended, unwanted = g.g.Done(now, batch, reply.Results)
+		ended, unwanted = b.queue.Done(now, batch, reply.Results)
 	}
-	g.mu.Unlock()
-	g.logCall(batch, reply, err)
-	g.finish(ended)
-	g.free(unwanted)
-	g.pump()
+	b.mu.Unlock()
+	b.logCall(batch, reply, err)
+	b.deliverOutcomes(ended)
+	b.freeResults(unwanted)
+	b.startCalls()
 }
 
 // crashed tells whether the worker's process ended in the middle of a call, and has that looked into where the
 // connection broke.
-func (g *batcher) crashed(batch kernel.PieceBatch, err error) bool {
+func (b *batcher) checkCrash(batch kernel.PieceBatch, err error) bool {
 	var fault *endpoint.Fault
 	if !errors.As(err, &fault) || fault.Kind != endpoint.Cut || fault.Verdict == model.NotRun {
 		return false
 	}
-	g.relay.brokeOff(batch.Endpoint, batch.Digests()...)
-	return g.relay.quarantine.HasCrashed(batch.Endpoint)
+	b.relay.recordDisconnect(batch.Endpoint, batch.Digests()...)
+	return b.relay.quarantine.HasCrashed(batch.Endpoint)
 }
 
 // overdue has the pieces of a call that takes too long made elsewhere, too.
-func (g *batcher) overdue(batch kernel.PieceBatch) {
-	r := g.relay
-	g.mu.Lock()
-	again := g.g.Overdue(r.now(), batch)
-	g.mu.Unlock()
+func (b *batcher) handleOverdue(batch kernel.PieceBatch) {
+	r := b.relay
+	b.mu.Lock()
+	again := b.queue.Overdue(r.now(), batch)
+	b.mu.Unlock()
 	r.metrics.Event("PieceCallOverdue")
-	r.log.Info().Str("Pool", g.name).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
+	r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 		Str("Request", batch.Pieces[0].Request).Int("Again", again).Msg("call for pieces overdue")
-	g.pump()
+	b.startCalls()
 }
 
-func (g *batcher) logCall(batch kernel.PieceBatch, reply PieceReply, err error) {
-	r := g.relay
+func (b *batcher) logCall(batch kernel.PieceBatch, reply PieceReply, err error) {
+	r := b.relay
 	r.metrics.Event("PieceCalls")
 	faults := map[model.PieceFault]int{}
 	for _, res := range reply.Results {
@@ -263,49 +263,49 @@
 		}
 	}
 	if len(faults) > 0 {
-		g.mu.Lock()
-		used, calls := g.g.Usage(batch.Endpoint.Incarnation())
-		g.mu.Unlock()
-		r.log.Info().Str("Pool", g.name).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
+		b.mu.Lock()
+		used, calls := b.queue.Usage(batch.Endpoint.Incarnation())
+		b.mu.Unlock()
+		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Any("Faults", faults).Int64("RoomUsed", used).Int("Calls", calls).
 			Msg("pieces not made")
 	}
 	switch {
 	case err != nil:
 		r.metrics.Event("PieceCallFailed")
-		r.log.Info().Str("Pool", g.name).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
+		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Err(err).Msg("call for pieces failed")
 	case reply.NotRun:
 		r.metrics.Event("PieceCallRefused")
-		r.log.Info().Str("Pool", g.name).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
+		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Msg("call for pieces refused")
 	}
 }
 
 // finish hands the outcomes of groups to those who wait for them.
-func (g *batcher) finish(ended []kernel.GroupOutcome) {
+func (b *batcher) deliverOutcomes(ended []kernel.GroupOutcome) {
 	for _, o := range ended {
-		g.mu.Lock()
-		waiting := g.waiters[o.Group]
-		delete(g.waiters, o.Group)
-		g.mu.Unlock()
+		b.mu.Lock()
+		waiting := b.waiters[o.Group]
+		delete(b.waiters, o.Group)
+		b.mu.Unlock()
 		if waiting != nil {
 			waiting <- o
 		} else {
-			g.free(o.Made)
+			b.freeResults(o.Made)
 		}
 	}
 }
 
-func (g *batcher) expire() {
-	now := g.relay.now()
-	g.mu.Lock()
-	ended := g.g.Expire(now)
-	g.mu.Unlock()
+func (b *batcher) expireGroups() {
+	now := b.relay.now()
+	b.mu.Lock()
+	ended := b.queue.Expire(now)
+	b.mu.Unlock()
 	for _, o := range ended {
 		if o.Fault == model.PieceStarved {
-			g.relay.metrics.Event("PiecesStarved")
+			b.relay.metrics.Event("PiecesStarved")
 		}
 	}
-	g.finish(ended)
+	b.deliverOutcomes(ended)
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -27,11 +27,11 @@
 	now := r.now()
 	log := &r.log
 	switch {
-	case o.Refusal != nil || !o.Whole:
+	case o.Refusal != nil || !o.Complete:
 	case o.Late:
-		log = &r.lateAnswers
+		log = &r.lateAnswersLog
 	default:
-		log = &r.answers
+		log = &r.answersLog
 	}
 	line := log.Info().Str("Request", f.ID).Str("Digest", string(f.Digest)).Str("Route", a.Route.Name).Str("Customer", a.Customer).Int("Rank", a.Rank).
 		Uint64("Routing", view.Table.Version()).Dur("RoutingAge", now.Sub(view.ProvenAt)).
@@ -45,8 +45,8 @@
 	if o.Endpoint != "" {
 		line = line.Str("Endpoint", o.Endpoint)
 	}
-	if o.First > 0 {
-		line = line.Dur("First", o.First)
+	if o.FirstEventTime > 0 {
+		line = line.Dur("First", o.FirstEventTime)
 	}
 	if o.Late {
 		line = line.Bool("Late", true)
@@ -62,7 +62,7 @@
 		line.Str("Outcome", "Refused").Str("Verdict", string(o.Refusal.Verdict)).
 			Str("Reason", string(o.Refusal.Reason)).Dur("RetryAfter", o.Refusal.RetryAfter).
 			Msg(o.Refusal.Detail)
-	case o.Whole:
+	case o.Complete:
 		line.Str("Outcome", "Answered").Int("Status", o.Status).Msg("request answered")
 	default:
 		line.Str("Outcome", "BrokenOff").Int("Status", o.Status).Msg("answer broken off")
@@ -70,7 +70,7 @@
 }
 
 // stageTimes marshals what became of a request's stages.
-type stageTimes []StageTime
+type stageTimes []StageTiming
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
 func (times stageTimes) MarshalZerologArray(a *zerolog.Array) {
--- a/relay/permits_test.go
+++ b/relay/permits_test.go
@@ -16,14 +16,14 @@
 
 // permitBed is a relay that has to ask another node before it may send to any endpoint of the pool, and that node's answers.
 type permitBed struct {
-	*bed
+	*testBed
 	granted atomic.Bool
 	asked   atomic.Int64
 	sent    []string
 }
 
 func newPermitBed(t *testing.T) *permitBed {
-	b := &permitBed{bed: newBed(t)}
+	b := &permitBed{testBed: newTestBed(t)}
 	sharer, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
 	t.Cleanup(func() { sharer.Close() })
@@ -37,7 +37,7 @@
 	for _, name := range []string{"plain-0", "plain-1"} {
 		b.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
 	}
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if err := s.BeforeSend(); err != nil {
 			return nil, err
 		}
@@ -82,8 +82,8 @@
 	b.granted.Store(true)
 	time.Sleep(3 * time.Second)
 	late := 0
-	forward := b.wire.Forward
-	b.wire.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
+	forward := b.deps.Forward
+	b.deps.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
 		late++
 		time.Sleep(kernel.PermitLifetime)
 		return forward(ctx, s)
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -25,7 +25,7 @@
 		budget *kernel.FleetRetryBudget
 		// states is by the incarnations of endpoints.
 		states map[string]*endpointState
-		// firstEvent is the time until a stream's first event.
+		// handleFirstEvent is the time until a stream's first event.
 		firstEvent kernel.Quantiles
 	}
 
@@ -36,7 +36,7 @@
 		load    model.Load
 		loadAt  time.Time
 		health  kernel.Health
-		gate    gateState
+		gate    sendState
 	}
 
 	// choice is an endpoint chosen for one send, counted as in flight.
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
+		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.RetryLimits, r.startedAt), states: map[string]*endpointState{}}
 		r.pools[name] = p
 	}
 	return p
@@ -69,7 +69,7 @@
 
 // candidates returns the listed endpoints with what is known of them, but for those that this node may not send to now,
 // and forgets those that are gone.
-func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate gate) []kernel.Candidate {
+func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate sendLimits) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(listed))
 	for _, e := range listed {
 		s := p.state(e.Incarnation())
@@ -89,7 +89,7 @@
 }
 
 // pick chooses one of the listed endpoints for a unary request and counts it as in flight.
-func (p *pool) pick(now time.Time, listed []model.Endpoint, gate gate, domain string, excluded []string) (choice, bool) {
+func (p *pool) pick(now time.Time, listed []model.Endpoint, gate sendLimits, domain string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
@@ -101,7 +101,7 @@
 }
 
 // pickEngine chooses one of the listed engines for a prompt and counts it as in flight.
-func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate gate, prompt model.Prompt, key string, excluded []string) (choice, bool) {
+func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate sendLimits, prompt model.Prompt, key string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
@@ -116,7 +116,7 @@
 	return p.take(now, gate, usable[i], prompt.TokensIn), true
 }
 
-func (p *pool) take(now time.Time, gate gate, c kernel.Candidate, reading int) choice {
+func (p *pool) take(now time.Time, gate sendLimits, c kernel.Candidate, reading int) choice {
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -20,15 +20,15 @@
 // newRateCaps returns the node's part in keeping the rate caps of endpoints.
 func (r *Relay) newRateCaps() *ratecap.Limiter {
 	return ratecap.NewLimiter(r.ctx, r.options.Name, ratecap.Dependencies{
-		Announced: r.announced,
+		Announced: r.announcedPeers,
 		Listed: func(incarnation string) bool {
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
 		Part:          r.capPart,
-		Publish:       r.wire.PublishRateCap,
+		Publish:       r.deps.PublishRateCap,
 		RequestPermit: r.askCapPermit,
-		Changed:       r.hub.setRateCaps,
+		Changed:       r.batchers.updateRateCaps,
 	}, r.now, r.metrics, r.log)
 }
 
@@ -39,7 +39,7 @@
 }
 
 func (r *Relay) askCapPermit(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error) {
-	if !r.reachable(node) {
+	if !r.isReachable(node) {
 		return false, 0, errNodeAway
 	}
 	var reply peer.CapPermitReply
@@ -75,7 +75,7 @@
 func (r *Relay) forward(ctx context.Context, send Send) (*model.ForwardReply, error) {
 	asked := r.now()
 	r.rateCaps.RecordSend(send.Endpoint)
-	reply, err := r.wire.Forward(ctx, send)
+	reply, err := r.deps.Forward(ctx, send)
 	if err == nil && !reply.Misdirected {
 		r.noteRateCap(asked, send.Endpoint, reply.RateCap, reply.Authentic)
 	}
@@ -86,7 +86,7 @@
 func (r *Relay) runPieces(ctx context.Context, e model.Endpoint, pieces []model.Piece) (PieceReply, error) {
 	asked := r.now()
 	r.rateCaps.RecordSend(e)
-	reply, err := r.wire.RunPieces(ctx, e, pieces)
+	reply, err := r.deps.RunPieces(ctx, e, pieces)
 	if !reply.Misdirected {
 		r.noteRateCap(asked, e, reply.RateCap, err == nil && !reply.NotRun)
 	}
@@ -103,12 +103,12 @@
 
 // choose chooses an endpoint for one send. Where the choice falls on one that this node may send to only with another
 // node's permit, it asks for one; without it, the choice falls on another endpoint.
-func (j *job) choose(ctx context.Context, p *pool, pick func(now time.Time, g gate) (choice, bool), drop func(model.Endpoint)) (model.Endpoint, bool) {
+func (j *job) choose(ctx context.Context, p *pool, pick func(now time.Time, g sendLimits) (choice, bool), drop func(model.Endpoint)) (model.Endpoint, bool) {
 	r := j.relay
 	j.permitUntil = time.Time{}
-	g := r.gate(p.name)
+	g := r.sendLimits(p.name)
 	for asked := 0; ; asked++ {
-		g.permits = asked < mostPermitsAsked
+		g.allowPermits = asked < mostPermitsAsked
 		now := r.now()
 		c, ok := pick(now, g)
 		if !ok || !c.needsPermit {
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -26,7 +26,7 @@
 	}
 	j.relay.logAttempt(j.forward, e, j.asked, fault.RetryReason(), fault)
 	if fault.Verdict != model.NotRun && fault.Kind == endpoint.Cut {
-		j.relay.brokeOff(e, j.forward.Digest)
+		j.relay.recordDisconnect(e, j.forward.Digest)
 	}
 }
 
@@ -69,7 +69,7 @@
 	if err != nil && asFault(err).Kind == endpoint.Withdrawn {
 		return true
 	}
-	return p.takeRepeat(j.relay.now(), j.relay.live())
+	return p.takeRepeat(j.relay.now(), j.relay.fleetSize())
 }
 
 // hedge sends a safe request to one more endpoint beside one that may be running it.
@@ -87,15 +87,15 @@
 // send prepares one send. Before the first, the request's admission is looked at once more.
 func (j *job) send(e model.Endpoint, again bool) Send {
 	send := Send{
-		Endpoint: e,
-		Forward:  j.forward,
-		Customer: j.admission.Customer,
-		Until:    j.admission.Deadline,
-		Fresh:    j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
+		Endpoint:        e,
+		Forward:         j.forward,
+		Customer:        j.admission.Customer,
+		Until:           j.admission.Deadline,
+		FreshConnection: j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
 	}
 	pickedAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
-		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
+		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -42,9 +42,9 @@
 	}
 	coordinator := r.returnCoordinator(a.Route.Stages)
 	if coordinator == r.options.Name {
-		return r.returning.waited(r.now(), identity)
+		return r.refusedRequests.waited(r.now(), identity)
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
 	var reply peer.ReturnReply
 	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindReturn, peer.Return{Identity: identity}, &reply) != nil {
@@ -66,12 +66,12 @@
 	waited := f.Waited + r.now().Sub(f.ReceivedAt)
 	coordinator := r.returnCoordinator(a.Route.Stages)
 	if coordinator == r.options.Name {
-		r.returning.refused(r.now(), identity, waited)
+		r.refusedRequests.refused(r.now(), identity, waited)
 		return
 	}
 	address := r.addressOf(coordinator)
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, releaseTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
 		defer cancel()
 		var reply peer.ReturnReply
 		if r.peers.Call(ctx, address, peer.KindReturn, peer.Return{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
@@ -91,8 +91,8 @@
 		return nil, err
 	}
 	if m.Refused {
-		r.returning.refused(r.now(), m.Identity, m.Waited)
+		r.refusedRequests.refused(r.now(), m.Identity, m.Waited)
 		return peer.ReturnReply{}, nil
 	}
-	return peer.ReturnReply{Waited: r.returning.waited(r.now(), m.Identity)}, nil
+	return peer.ReturnReply{Waited: r.refusedRequests.waited(r.now(), m.Identity)}, nil
 }
--- a/relay/room.go
+++ b/relay/room.go
@@ -12,112 +12,112 @@
 const (
 	// freeTimeout bounds a call that frees results.
 	freeTimeout = time.Second
-	// roomWorthAsking is from which room on, in bytes, endpoints are asked how much is free: they
+	// minPolledRoom is from which room on, in bytes, endpoints are asked how much is free: they
 	// answer in whole megabytes. The room of others is learnt from what they refuse.
-	roomWorthAsking = 8_000_000
-	// askRoomEvery is how often they are asked: their answers are some 200 ms old.
-	askRoomEvery = 400 * time.Millisecond
+	minPolledRoom = 8_000_000
+	// roomPollInterval is how often they are asked: their answers are some 200 ms old.
+	roomPollInterval = 400 * time.Millisecond
 )
 
 // free gives results up at their workers. Their room is given out again only once the worker has
 // confirmed: a call that overtakes the word would find no room.
-func (g *batcher) free(made []kernel.ResultRef) {
+func (b *batcher) freeResults(made []kernel.ResultRef) {
 	byWorker := map[string][]kernel.ResultRef{}
 	for _, m := range made {
 		byWorker[m.Worker] = append(byWorker[m.Worker], m)
 	}
 	for name, made := range byWorker {
-		g.mu.Lock()
-		worker, ok := g.g.Worker(name)
-		g.mu.Unlock()
+		b.mu.Lock()
+		worker, ok := b.queue.Worker(name)
+		b.mu.Unlock()
 		// What gets nothing more, or only so much, drops results by itself after a while, and so does the account.
-		if ok && g.mayAsk(worker) {
-			go g.freeAt(worker, made)
+		if ok && b.allowsExtraCalls(worker) {
+			go b.freeResultsAt(worker, made)
 		}
 	}
 }
 
-// freeFetched gives up the inputs that calls have fetched. Beside another batcher it does not: where
+// freeFetchedInputs gives up the inputs that calls have fetched. Beside another batcher it does not: where
 // two of them call the same worker, one call waits there for the other, and fetches later than reckoned.
-func (g *batcher) freeFetched() {
-	g.mu.Lock()
-	alone := g.active && !g.relay.Leaving()
-	g.mu.Unlock()
+func (b *batcher) freeFetchedInputs() {
+	b.mu.Lock()
+	alone := b.active && !b.relay.Leaving()
+	b.mu.Unlock()
 	if !alone {
 		return
 	}
-	g.mu.Lock()
-	fetched := g.g.TakeFetchedInputs(g.relay.now())
-	g.mu.Unlock()
+	b.mu.Lock()
+	fetched := b.queue.TakeFetchedInputs(b.relay.now())
+	b.mu.Unlock()
 	byQueue := map[string][]kernel.ResultRef{}
 	for _, m := range fetched {
-		queue := g.relay.hub.queueOf(m)
+		queue := b.relay.batchers.queueNameOf(m)
 		byQueue[queue] = append(byQueue[queue], m)
 	}
 	for _, made := range byQueue {
-		g.relay.release(made)
+		b.relay.releaseResults(made)
 	}
 }
 
-func (g *batcher) freeAt(worker model.Endpoint, made []kernel.ResultRef) {
-	ctx, cancel := context.WithTimeout(g.relay.ctx, freeTimeout)
+func (b *batcher) freeResultsAt(worker model.Endpoint, made []kernel.ResultRef) {
+	ctx, cancel := context.WithTimeout(b.relay.ctx, freeTimeout)
 	defer cancel()
-	if err := g.relay.wire.Free(ctx, worker, handlesOf(made)); err != nil {
+	if err := b.relay.deps.FreeResults(ctx, worker, resultHandles(made)); err != nil {
 		// The worker drops them by itself after a while, and so does the account.
-		g.relay.metrics.Event("FreeFailed")
+		b.relay.metrics.Event("FreeFailed")
 		return
 	}
-	g.mu.Lock()
+	b.mu.Lock()
 	for _, m := range made {
-		g.g.Release(g.relay.now(), m)
+		b.queue.Release(b.relay.now(), m)
 	}
-	g.mu.Unlock()
-	g.pump()
+	b.mu.Unlock()
+	b.startCalls()
 }
 
-// askRooms asks the workers for their room until no result of another batcher can be left: those
+// pollFreeRoom asks the workers for their room until no result of another batcher can be left: those
 // lapse one after the other, and room that is not known to be free is lost to requests.
-func (g *batcher) askRooms() {
+func (b *batcher) pollFreeRoom() {
 	for {
-		for _, worker := range g.workers(g.relay.Registry()) {
-			if g.mayAsk(worker) {
-				go g.askRoom(worker)
+		for _, worker := range b.workers(b.relay.Registry()) {
+			if b.allowsExtraCalls(worker) {
+				go b.fetchFreeRoom(worker)
 			}
 		}
-		if !clock.Sleep(g.relay.ctx, askRoomEvery) || !g.inherits() {
+		if !clock.Sleep(b.relay.ctx, roomPollInterval) || !b.mayHoldForeignResults() {
 			return
 		}
 	}
 }
 
-// mayAsk tells whether a worker may get what is no call for pieces.
-func (g *batcher) mayAsk(worker model.Endpoint) bool {
-	r := g.relay
-	traits, _ := r.View().Table.Pool(g.pool)
+// allowsExtraCalls tells whether a worker may get what is no call for pieces.
+func (b *batcher) allowsExtraCalls(worker model.Endpoint) bool {
+	r := b.relay
+	traits, _ := r.View().Table.Pool(b.pool)
 	bearsLittle := traits.ColdRate > 0 && kernel.IsCold(r.now(), worker)
 	return worker.State != model.Evacuated && !bearsLittle && !r.rateCaps.HasCap(worker.Incarnation())
 }
 
-func (g *batcher) inherits() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.g.MayHoldForeignResults(g.relay.now())
+func (b *batcher) mayHoldForeignResults() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.queue.MayHoldForeignResults(b.relay.now())
 }
 
-func (g *batcher) askRoom(worker model.Endpoint) {
-	ctx, cancel := context.WithTimeout(g.relay.ctx, freeTimeout)
+func (b *batcher) fetchFreeRoom(worker model.Endpoint) {
+	ctx, cancel := context.WithTimeout(b.relay.ctx, freeTimeout)
 	defer cancel()
-	free, err := g.relay.wire.Room(ctx, worker)
+	free, err := b.relay.deps.FreeRoom(ctx, worker)
 	if err != nil {
-		g.relay.metrics.Event("RoomUnknown")
+		b.relay.metrics.Event("RoomUnknown")
 		return
 	}
-	g.mu.Lock()
-	g.g.SetFreeRoom(g.relay.now(), worker.Incarnation(), free)
-	g.mu.Unlock()
+	b.mu.Lock()
+	b.queue.SetFreeRoom(b.relay.now(), worker.Incarnation(), free)
+	b.mu.Unlock()
 }
 
-func handlesOf(made []kernel.ResultRef) []string {
+func resultHandles(made []kernel.ResultRef) []string {
 	handles := make([]string, 0, len(made))
 	for _, m := range made {
 		handles = append(handles, m.Handle)
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -38,7 +38,7 @@
 		// inputsFreed is true where the batcher freed what the stage was made from.
 		inputsFreed bool
 		refusal     *model.Refusal
-		time        StageTime
+		time        StageTiming
 	}
 )
 
@@ -57,13 +57,13 @@
 		d := <-done
 		running--
 		j.stages = append(j.stages, d.time)
-		run.hold(d.stage, d.made)
+		run.holdResults(d.stage, d.made)
 		if d.inputsFreed {
 			run.forgetInputs(d.stage)
 		}
 		if d.refusal != nil {
 			cancel()
-			go run.drainAfter(done, running)
+			go run.drain(done, running)
 			return run, d.refusal
 		}
 		run.results[d.stage] = d.made
@@ -87,7 +87,7 @@
 		held:    map[int][]kernel.ResultRef{},
 	}
 	firstEvent := p.expectFirstEvent()
-	run.plan = kernel.PlanStages(j.forward, j.admission, r.hub.traitsOf(run.stages), firstEvent)
+	run.plan = kernel.PlanStages(j.forward, j.admission, r.batchers.poolTraits(run.stages), firstEvent)
 	if len(run.plan.FinalStages) == 0 {
 		return run, nil
 	}
@@ -97,7 +97,7 @@
 			groups[i] = j.group(run, i)
 		}
 	}
-	estimates := r.estimates(ctx, run.stages, groups)
+	estimates := r.estimateWaits(ctx, run.stages, groups)
 	for i, o := range estimates {
 		if kernel.PieceCount(j.forward, i) > 0 {
 			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: o.Wait, RoomTaken: o.RoomTaken})
@@ -115,7 +115,7 @@
 	options := s.relay.options
 	pool := s.stages[stage].Pool
 	region, _ := kernel.PieceRegion(s.relay.Registry(), pool, s.homes, options.Regions[options.Domain])
-	return s.relay.hub.queue(pool, region)
+	return s.relay.batchers.queueName(pool, region)
 }
 
 // queued tells whether any of several pools has a queue: only then does it matter who is late.
@@ -143,7 +143,7 @@
 		running++
 		group := j.group(run, i)
 		go func() {
-			defer j.relay.guard(func() {
+			defer j.relay.recoverPanic(func() {
 				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
 			done <- j.runStage(ctx, i, group)
@@ -187,13 +187,13 @@
 func (j *job) group(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	g := batchRequest{
-		pool:    run.queue(stage),
-		domain:  run.domain,
-		bytes:   node.ResultBytes,
-		askedAt: j.relay.now(),
-		due:     run.plan.Due[stage],
-		until:   run.plan.Until[stage],
-		rank:    j.admission.Rank,
+		pool:        run.queue(stage),
+		domain:      run.domain,
+		resultBytes: node.ResultBytes,
+		askedAt:     j.relay.now(),
+		due:         run.plan.Due[stage],
+		until:       run.plan.Until[stage],
+		rank:        j.admission.Rank,
 	}
 	var inputBytes int64
 	piece := model.Piece{Request: j.forward.ID, Digest: j.forward.Digest, Stage: stage, Deadline: run.plan.Until[stage]}
@@ -205,9 +205,9 @@
 		inputs = append(inputs, run.results[before]...)
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
 	}
-	piece.Inputs = handlesOf(inputs)
+	piece.Inputs = resultHandles(inputs)
 	g.inputs = inputs
-	g.freeInputs = run.soleConsumer(stage) && j.crowding(run, stage)
+	g.freeInputs = run.isSoleConsumer(stage) && j.inputRoomScarce(run, stage)
 	if domain := kernel.MostCommonDomain(inputs); domain != "" {
 		g.domain = domain
 	}
@@ -217,7 +217,7 @@
 	if len(inputs) == 0 {
 		moved = node.ResultBytes * int64(pieces)
 	}
-	full := j.relay.hub.lastEstimate(run.queue(stage)).FullCall()
+	full := j.relay.batchers.lastEstimate(run.queue(stage)).FullCall()
 	g.localityWait = kernel.LocalityWait(moved, full, g.due.Sub(j.relay.now())-full)
 	for n := range pieces {
 		piece.Number = n
@@ -228,7 +228,7 @@
 
 func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageDone {
 	began := j.relay.now()
-	done := j.relay.batch(ctx, group)
+	done := j.relay.runGroup(ctx, group)
 	done.stage = stage
 	done.time.Stage = stage
 	done.time.Pool = group.pool
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -52,7 +52,7 @@
 	p := j.relay.pool(j.admission.Pool)
 	p.request(j.relay.now())
 	stages, refusal := j.runStages(ctx, p)
-	defer stages.release()
+	defer stages.releaseAll()
 	if refusal != nil {
 		if ctx.Err() != nil {
 			return j.ended(ctx)
@@ -82,7 +82,7 @@
 func (j *job) streamOutcome(state *streamState, e model.Endpoint) Outcome {
 	outcome := Outcome{Status: state.status, Endpoint: e.Name, Attempts: j.asked}
 	if state.begun {
-		outcome.First = state.firstAt.Sub(j.forward.ReceivedAt)
+		outcome.FirstEventTime = state.firstAt.Sub(j.forward.ReceivedAt)
 	}
 	return outcome
 }
@@ -92,7 +92,7 @@
 	outcome = j.streamOutcome(state, e)
 	switch {
 	case end.whole, end.passed:
-		outcome.Whole = true
+		outcome.Complete = true
 		return outcome, true
 	case end.callerGone:
 		return outcome, true
@@ -109,7 +109,7 @@
 func (j *job) streamOnce(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamEnd, bool) {
 	r := j.relay
 	tokens := j.forward.Prompt.TokensIn
-	e, ok := j.choose(ctx, p, func(now time.Time, g gate) (choice, bool) {
+	e, ok := j.choose(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
 		return p.pickEngine(now, j.atHome(), g, j.forward.Prompt, j.affinity(), j.excluded)
 	}, func(e model.Endpoint) {
 		p.dropPrompt(e.Incarnation(), tokens)
@@ -129,7 +129,7 @@
 		}
 		read = true
 		p.readPrompt(e.Incarnation(), tokens, r.now().Sub(began))
-		j.firstEvent(stages)
+		j.handleFirstEvent(stages)
 	}
 	send := j.send(e, j.asked > 1)
 	send.Inputs = stages.inputs
@@ -140,7 +140,7 @@
 		}
 		return admitted()
 	}
-	send.After = state.events.last
+	send.LastEventID = state.events.last
 	end := j.relayEvents(ctx, p, send, state, onFirst)
 	if !read {
 		p.dropPrompt(e.Incarnation(), tokens)
@@ -164,7 +164,7 @@
 	defer cancel(nil)
 	silence := j.watchSilence(cancel)
 	defer silence.Stop()
-	ctx, over := j.relay.begin(ctx, send.Endpoint, j.forward.Digest)
+	ctx, over := j.relay.trackCall(ctx, send.Endpoint, j.forward.Digest)
 	defer over()
 	reply, err := j.relay.forward(ctx, send)
 	if err != nil {
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// takeOverAfter is how long a node has not batched for a pool when another may have done it:
+	// batcherIdleTimeout is how long a node has not batched for a pool when another may have done it:
 	// a pool in use gets pieces far more often.
-	takeOverAfter = 1500 * time.Millisecond
+	batcherIdleTimeout = 1500 * time.Millisecond
 	// takeOverTimeout bounds the question to those that may batch; the first pieces wait for it,
 	// and a node that was lost does not answer.
 	takeOverTimeout = 60 * time.Millisecond
-	// confirmEvery is how often a node that batches asks whether another does too: after a cut or a
+	// confirmInterval is how often a node that batches asks whether another does too: after a cut or a
 	// freeze both may, until they hear of each other.
-	confirmEvery = 500 * time.Millisecond
-	// takeOverAsks is how many nodes are asked beside the one that batched last: those that come
+	confirmInterval = 500 * time.Millisecond
+	// takeOverCandidates is how many nodes are asked beside the one that batched last: those that come
 	// first for the pool. Any node that sent pieces lately knows who batches.
-	takeOverAsks = 2
+	takeOverCandidates = 2
 )
 
 // place decides where a group is to be batched: here, where the name is empty, or at another node. Two
 // nodes that batch for one pool would give the same room out twice and call workers that are busy, so a
 // node that does not batch yet sends groups on to the one that does, and begins only where there is none.
-func (g *batcher) place(ctx context.Context, passedOver []string) (elsewhere string) {
-	g.begins.Lock()
-	defer g.begins.Unlock()
-	if g.batches() {
+func (b *batcher) placeGroup(ctx context.Context, excluded []string) (elsewhere string) {
+	b.claimMu.Lock()
+	defer b.claimMu.Unlock()
+	if b.recordGroup() {
 		return ""
 	}
-	if other := g.follows(passedOver); other != "" && g.relay.options.Policy.Uses(kernel.SingleBatcher) {
+	if other := b.expectedBatcher(excluded); other != "" && b.relay.options.Policy.Uses(kernel.SingleBatcher) {
 		return other
 	}
-	return g.begin(ctx, passedOver)
+	return b.claimPool(ctx, excluded)
 }
 
 // batches tells whether this node batches for the pool, and notes that a group came.
-func (g *batcher) batches() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.relay.now()
-	g.active = g.active && now.Sub(g.batchedAt) < takeOverAfter
-	g.batchedAt = now
-	return g.active
+func (b *batcher) recordGroup() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.relay.now()
+	b.active = b.active && now.Sub(b.lastGroupAt) < batcherIdleTimeout
+	b.lastGroupAt = now
+	return b.active
 }
 
 // follows returns the other node that batches, as far as is known here, or that is to; empty where it
 // is this one.
-func (g *batcher) follows(passedOver []string) string {
-	if other := g.knownBatcher(passedOver); other != "" {
+func (b *batcher) expectedBatcher(excluded []string) string {
+	if other := b.knownBatcher(excluded); other != "" {
 		return other
 	}
-	for _, node := range kernel.NodesByHash(g.name, g.peers(g.relay.Reachable())) {
-		if node == g.relay.options.Name {
+	for _, node := range kernel.NodesByHash(b.queueName, b.eligiblePeers(b.relay.Reachable())) {
+		if node == b.relay.options.Name {
 			return ""
 		}
-		if !slices.Contains(passedOver, node) {
+		if !slices.Contains(excluded, node) {
 			return node
 		}
 	}
@@ -69,86 +69,86 @@
 }
 
 // knownBatcher returns the other node that was last seen to batch, while it is reachable.
-func (g *batcher) knownBatcher(passedOver []string) string {
-	g.mu.Lock()
-	known := g.current
-	g.mu.Unlock()
-	if known == g.relay.options.Name || slices.Contains(passedOver, known) || !g.relay.reachable(known) {
+func (b *batcher) knownBatcher(excluded []string) string {
+	b.mu.Lock()
+	known := b.currentBatcher
+	b.mu.Unlock()
+	if known == b.relay.options.Name || slices.Contains(excluded, known) || !b.relay.isReachable(known) {
 		return ""
 	}
 	return known
 }
 
-func (g *batcher) noteBatcher(node string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.current = node
+func (b *batcher) setCurrentBatcher(node string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.currentBatcher = node
 }
 
 // begin asks those that may batch for the pool to hand it over. It returns the node that goes on to
 // batch instead; empty where this one does from now on.
-func (g *batcher) begin(ctx context.Context, passedOver []string) (elsewhere string) {
-	r := g.relay
-	g.mu.Lock()
-	g.g.TakeOver(r.now())
-	g.mu.Unlock()
-	yielded, other := g.askOthers(ctx, g.question(false))
-	if other != "" && !slices.Contains(passedOver, other) && r.options.Policy.Uses(kernel.SingleBatcher) {
-		g.noteBatcher(other)
+func (b *batcher) claimPool(ctx context.Context, excluded []string) (elsewhere string) {
+	r := b.relay
+	b.mu.Lock()
+	b.queue.TakeOver(r.now())
+	b.mu.Unlock()
+	yielded, other := b.requestTakeOver(ctx, b.takeOverRequest(false))
+	if other != "" && !slices.Contains(excluded, other) && r.options.Policy.Uses(kernel.SingleBatcher) {
+		b.setCurrentBatcher(other)
 		return other
 	}
-	g.mu.Lock()
-	g.active = true
-	g.current = r.options.Name
-	g.begun++
-	begun := g.begun
-	worthAsking := g.traits.Room >= roomWorthAsking
-	g.mu.Unlock()
+	b.mu.Lock()
+	b.active = true
+	b.currentBatcher = r.options.Name
+	b.claims++
+	begun := b.claims
+	worthAsking := b.traits.Room >= minPolledRoom
+	b.mu.Unlock()
 	r.metrics.Event("BatcherTookOver")
-	r.log.Info().Str("Pool", g.name).Bool("Yielded", yielded).Msg("batching begins here")
+	r.log.Info().Str("Pool", b.queueName).Bool("Yielded", yielded).Msg("batching begins here")
 	if worthAsking {
-		go g.askRooms()
+		go b.pollFreeRoom()
 	}
 	if r.options.Policy.Uses(kernel.SingleBatcher) {
-		go g.confirm(begun)
+		go b.confirmSole(begun)
 	}
 	return ""
 }
 
 // question is what other nodes are asked that may batch for the pool.
-func (g *batcher) question(batches bool) peer.TakeOver {
-	r := g.relay
-	return peer.TakeOver{Pool: g.name, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
+func (b *batcher) takeOverRequest(batches bool) peer.TakeOver {
+	r := b.relay
+	return peer.TakeOver{Pool: b.queueName, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
 }
 
 // confirm asks from time to time whether another node batches too, until this one batches no more or has
 // begun anew.
-func (g *batcher) confirm(begun int) {
-	r := g.relay
-	for clock.Sleep(r.ctx, confirmEvery) {
-		g.mu.Lock()
-		active := g.active && g.begun == begun && r.now().Sub(g.batchedAt) < takeOverAfter
-		g.mu.Unlock()
+func (b *batcher) confirmSole(begun int) {
+	r := b.relay
+	for clock.Sleep(r.ctx, confirmInterval) {
+		b.mu.Lock()
+		active := b.active && b.claims == begun && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
+		b.mu.Unlock()
 		if !active {
 			return
 		}
-		if _, other := g.askOthers(r.ctx, g.question(true)); other != "" {
-			g.stepDown(other)
+		if _, other := b.requestTakeOver(r.ctx, b.takeOverRequest(true)); other != "" {
+			b.stepDown(other)
 			return
 		}
 	}
 }
 
-// askOthers asks those that may batch for the pool. It tells whether one yielded, and returns the node that
+// requestTakeOver asks those that may batch for the pool. It tells whether one yielded, and returns the node that
 // does not.
-func (g *batcher) askOthers(ctx context.Context, question peer.TakeOver) (yielded bool, other string) {
+func (b *batcher) requestTakeOver(ctx context.Context, question peer.TakeOver) (yielded bool, other string) {
 	ctx, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
-	asked := g.formerBatchers()
-	for _, reply := range g.ask(ctx, asked, question) {
-		if named := reply.MovedTo; named != "" && named != g.relay.options.Name && !slices.Contains(asked, named) {
+	asked := b.possibleBatchers()
+	for _, reply := range b.callAll(ctx, asked, question) {
+		if named := reply.MovedTo; named != "" && named != b.relay.options.Name && !slices.Contains(asked, named) {
 			// Only the node itself knows whether it batches still.
-			reply = g.ask(ctx, []string{named}, question)[0]
+			reply = b.callAll(ctx, []string{named}, question)[0]
 		}
 		switch {
 		case reply.Batched:
@@ -161,8 +161,8 @@
 }
 
 // ask asks several nodes at once; nodes that do not answer leave empty replies.
-func (g *batcher) ask(ctx context.Context, nodes []string, question peer.TakeOver) []peer.TakeOverReply {
-	r := g.relay
+func (b *batcher) callAll(ctx context.Context, nodes []string, question peer.TakeOver) []peer.TakeOverReply {
+	r := b.relay
 	var asked sync.WaitGroup
 	replies := make([]peer.TakeOverReply, len(nodes))
 	for i, node := range nodes {
@@ -176,58 +176,58 @@
 	return replies
 }
 
-// formerBatchers returns the other nodes that may batch for the pool, whether they are reachable or not:
+// possibleBatchers returns the other nodes that may batch for the pool, whether they are reachable or not:
 // a node that is leaving may still hold groups that wait.
-func (g *batcher) formerBatchers() []string {
+func (b *batcher) possibleBatchers() []string {
 	var peers []kernel.Peer
-	for _, n := range *g.relay.nodes.Load() {
-		if n.Name != g.relay.options.Name {
+	for _, n := range *b.relay.nodes.Load() {
+		if n.Name != b.relay.options.Name {
 			peers = append(peers, kernel.Peer{Name: n.Name, Domain: n.Domain, Capacity: n.Capacity})
 		}
 	}
-	order := kernel.NodesByHash(g.name, g.peers(peers))
-	nodes := order[:min(takeOverAsks, len(order))]
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if slices.Contains(order, g.current) && !slices.Contains(nodes, g.current) {
-		nodes = append(slices.Clone(nodes), g.current)
+	order := kernel.NodesByHash(b.queueName, b.eligiblePeers(peers))
+	nodes := order[:min(takeOverCandidates, len(order))]
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if slices.Contains(order, b.currentBatcher) && !slices.Contains(nodes, b.currentBatcher) {
+		nodes = append(slices.Clone(nodes), b.currentBatcher)
 	}
 	return nodes
 }
 
 // yield answers a node that batches or is about to: this one leaves the pool to it, or says who batches.
-func (g *batcher) yield(m peer.TakeOver) peer.TakeOverReply {
-	r := g.relay
-	g.mu.Lock()
-	active := g.active && r.now().Sub(g.batchedAt) < takeOverAfter
-	g.mu.Unlock()
+func (b *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
+	r := b.relay
+	b.mu.Lock()
+	active := b.active && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
+	b.mu.Unlock()
 	if !active {
-		return peer.TakeOverReply{MovedTo: g.knownBatcher([]string{m.Node})}
+		return peer.TakeOverReply{MovedTo: b.knownBatcher([]string{m.Node})}
 	}
 	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
 	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
-	switch kernel.AnswerClaim(g.name, own, other) {
+	switch kernel.AnswerClaim(b.queueName, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
 	case kernel.SharePool:
 		return peer.TakeOverReply{}
 	default:
 		r.suspects.clear(m.Node)
-		g.stepDown(m.Node)
+		b.stepDown(m.Node)
 		return peer.TakeOverReply{Batched: true}
 	}
 }
 
 // stepDown leaves the pool to another node.
-func (g *batcher) stepDown(to string) {
-	r := g.relay
-	g.mu.Lock()
-	g.active, g.current = false, to
-	moved := g.g.HandOver()
-	g.mu.Unlock()
-	g.finish(moved)
+func (b *batcher) stepDown(to string) {
+	r := b.relay
+	b.mu.Lock()
+	b.active, b.currentBatcher = false, to
+	moved := b.queue.HandOver()
+	b.mu.Unlock()
+	b.deliverOutcomes(moved)
 	r.metrics.Event("BatcherYielded")
-	r.log.Info().Str("Pool", g.name).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
+	r.log.Info().Str("Pool", b.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
 func (r *Relay) answerTakeOver(_ context.Context, body []byte) (any, error) {
@@ -235,9 +235,9 @@
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
-	g := r.hub.find(m.Pool)
-	if g == nil {
+	b := r.batchers.find(m.Pool)
+	if b == nil {
 		return peer.TakeOverReply{}, nil
 	}
-	return g.yield(m), nil
+	return b.answerTakeOver(m), nil
 }
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -46,7 +46,7 @@
 		permitUntil time.Time
 		// trial is true for a request that is held back and was permitted to run once.
 		trial  bool
-		stages []StageTime
+		stages []StageTiming
 		// estimates is what was expected of the stages' pools as the request came.
 		estimates []StageEstimate
 	}
@@ -109,7 +109,7 @@
 // launch sends the request to one more endpoint.
 func (j *job) launch(ctx context.Context, p *pool, results chan<- unaryResult) bool {
 	r := j.relay
-	e, ok := j.choose(ctx, p, func(now time.Time, g gate) (choice, bool) {
+	e, ok := j.choose(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
 		return p.pick(now, j.atHome(), g, r.options.Domain, j.excluded)
 	}, func(e model.Endpoint) { p.leave(e.Incarnation()) })
 	if !ok {
@@ -121,11 +121,11 @@
 	go func() {
 		defer p.leave(e.Incarnation())
 		res := unaryResult{endpoint: e}
-		defer r.guard(func() {
+		defer r.recoverPanic(func() {
 			res.err = errPanic
 			results <- res
 		})
-		ctx, over := r.begin(ctx, e, j.forward.Digest)
+		ctx, over := r.trackCall(ctx, e, j.forward.Digest)
 		defer over()
 		res.reply, res.err = r.forward(ctx, send)
 		if res.err == nil {
@@ -182,7 +182,7 @@
 	header.Set("Content-Length", strconv.Itoa(len(res.body)))
 	j.out.Begin(res.reply.Status, header)
 	err := j.out.Write(res.body)
-	return Outcome{Status: res.reply.Status, Whole: err == nil, Endpoint: res.endpoint.Name, Attempts: j.asked}
+	return Outcome{Status: res.reply.Status, Complete: err == nil, Endpoint: res.endpoint.Name, Attempts: j.asked}
 }
 
 // giveUp ends a request whose sends all failed: with the failure that an endpoint itself gave,
