--- a/relay/batch.go
+++ b/relay/batch.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// batchReplyGrace is how long beyond the time by which a group is due its sender waits for the
-	// batcher's answer before it turns to the next node.
+	// batchReplyGrace is how long after the end of a group's time its sender still waits for the batcher's reply.
 	batchReplyGrace = 200 * time.Millisecond
-	// queueReportTimeout bounds the question for a batcher's queue; without an answer in time the
-	// request is taken as if there were none.
+	// queueReportTimeout bounds the request for a batcher's queue report. Without a reply in time, the pieces
+	// are assumed not to wait.
 	queueReportTimeout = 40 * time.Millisecond
-	// notifyTimeout bounds the word to a batcher that results are no longer needed.
+	// notifyTimeout bounds calls that inform another node, such as that results are no longer needed.
 	notifyTimeout = time.Second
-	// maxBatcherFailures is how many nodes that do not answer a group is sent to: each costs the time after
-	// which silence counts. maxBatchersAsked bounds all that are asked: those that do not batch say so
-	// within a round trip, and name who does.
+	// maxBatcherFailures is how many nodes may fail to answer before a group is refused: each one costs
+	// peerSilenceTimeout. maxBatchersAsked bounds all nodes that a group is sent to: those that do not batch
+	// reply within a round trip and name the node that does.
 	maxBatcherFailures = 3
 	maxBatchersAsked   = 12
 )
 
 type (
-	// batchRequest is the pieces of one stage of one request.
+	// batchRequest asks for the pieces of one stage of one request. The fields are those of kernel.PieceGroup.
 	batchRequest struct {
+		// pool is the name of the queue.
 		pool   string
 		pieces []model.Piece
-		// inputs are what each piece is made from; with freeInputs nothing else needs them.
+		// inputs are the results that each piece is made from. If freeInputs is set, nothing else needs them.
 		inputs      []kernel.ResultRef
 		freeInputs  bool
 		resultBytes int64
 		domain      string
-		// localityWait is how long the pieces wait for the domain.
+		// localityWait is how long the pieces wait for an endpoint in domain.
 		localityWait time.Duration
 		rank         int
 		askedAt      time.Time
 		due          time.Time
 		until        time.Time
-		// excluded names the nodes that did not answer or batch no more.
+		// excluded names the nodes that did not answer, are leaving, or named another batcher.
 		excluded []string
 	}
 
-	// batchResult is a batcher's answer.
+	// batchResult is a batcher's reply.
 	batchResult struct {
 		outcome kernel.GroupOutcome
 		refused bool
-		// leaving tells that the node batches no more because it leaves, moved that another one
-		// batches, which movedTo names where it is known.
-		leaving    bool
+		// leaving is true if the node no longer batches because it is leaving.
+		leaving bool
+		// moved is true if another node batches for the pool; movedTo is its name, if known.
 		moved      bool
 		movedTo    string
 		retryAfter time.Duration
@@ -62,9 +62,8 @@
 	}
 )
 
-// batch has the pieces of a group made by the pool's batcher: one node for each pool, the same
-// for all nodes, so that pieces of all requests share calls. A batcher that doesn't answer is
-// passed over for the next one.
+// runGroup has the pieces of a group made by the pool's batcher: all nodes use the same one for a pool, so
+// that the pieces of all requests can share calls. If a batcher does not answer, the next one is asked.
 func (r *Relay) runGroup(ctx context.Context, req batchRequest) stageDone {
 	b := r.batchers.find(req.pool)
 	if b == nil {
@@ -111,8 +110,8 @@
 	return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(refusedRetry), "no node batched the pieces of pool "+req.pool)}
 }
 
-// selectBatcher returns the node to ask for a pool's pieces: the one that batched last, else the first by
-// hash; empty where all were passed over.
+// selectBatcher returns the node to ask for a pool's pieces: the last known batcher, or else the first node by
+// hash. It is empty if all nodes are excluded.
 func (r *Relay) selectBatcher(b *batcher, excluded []string) string {
 	if known := b.knownBatcher(excluded); known != "" {
 		return known
@@ -122,14 +121,14 @@
 			return node
 		}
 	}
-	// Where all others leave too, a node that is leaving batches for its own requests.
+	// If all other nodes are leaving too, a leaving node batches for its own requests.
 	if !slices.Contains(excluded, r.options.Name) {
 		return r.options.Name
 	}
 	return ""
 }
 
-// done says what a batcher's answer means for the stage.
+// stageResult converts a batcher's reply to the result of the stage.
 func (result batchResult) stageResult(req batchRequest) stageDone {
 	pool := req.pool
 	if result.refused {
@@ -141,7 +140,7 @@
 	done.time.Estimate = result.report.wait
 	fault := result.outcome.Fault
 	if fault == "" && len(done.made) != len(req.pieces) {
-		// Only a whole set of results may become an input.
+		// An incomplete set of results must not be used as an input.
 		fault = model.PieceFailed
 	}
 	if fault != "" {
@@ -152,14 +151,14 @@
 	return done
 }
 
-// estimates returns how long the pieces of several stages would wait, by stage. Batchers that have not
-// reported on their queues lately are asked, and those that have a queue: who waits how long in it depends
-// on the size of the results and on when they are due.
+// estimateWaits returns the estimates for the pieces of several stages, by stage. It asks batchers without a
+// recent queue report, and those whose queue is not empty: how long pieces wait in it depends on the size of
+// their results and on when they are due.
 func (r *Relay) estimateWaits(ctx context.Context, stages []model.StageNode, groups map[int]batchRequest) []kernel.PoolEstimate {
 	out := r.batchers.poolTraits(stages)
 	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var reports sync.WaitGroup
 	for i, req := range groups {
 		b := r.batchers.find(req.pool)
 		if b == nil {
@@ -169,16 +168,16 @@
 			out[i].Wait, out[i].RoomTaken = last.wait, last.roomTaken
 			continue
 		}
-		asked.Go(func() {
+		reports.Go(func() {
 			last := r.requestQueueReport(ctx, b, req)
 			out[i].Wait, out[i].RoomTaken = last.wait, last.roomTaken
 		})
 	}
-	asked.Wait()
+	reports.Wait()
 	return out
 }
 
-// requestQueueReport asks the pool's batcher how long pieces wait.
+// requestQueueReport asks the pool's batcher how long the pieces of a group would wait.
 func (r *Relay) requestQueueReport(ctx context.Context, b *batcher, req batchRequest) queueReport {
 	node := r.selectBatcher(b, nil)
 	if node == r.options.Name {
@@ -202,7 +201,7 @@
 	r.log.Info().Str("Request", req.pieces[0].Request).Str("Pool", req.pool).Str("Batcher", node).Err(err).Msg("batcher did not answer")
 }
 
-// group returns the request as the kernel takes it.
+// pieceGroup returns the request as a group of the kernel.
 func (req batchRequest) pieceGroup(id uint64) kernel.PieceGroup {
 	return kernel.PieceGroup{
 		ID:           id,
@@ -228,7 +227,7 @@
 	return ""
 }
 
-// release frees results of one queue by way of its batcher, which keeps account of the room.
+// releaseResults frees results of one queue through its batcher, which tracks the room that they take.
 func (r *Relay) releaseResults(made []kernel.ResultRef) {
 	queue := r.batchers.queueNameOf(made[0])
 	b := r.batchers.find(queue)
@@ -246,7 +245,7 @@
 		defer cancel()
 		var empty peer.Empty
 		if r.peers.Call(ctx, address, peer.KindRelease, peer.Release{Pool: queue, Made: made}, &empty) != nil {
-			// Without a batcher to keep account, the workers are told from here.
+			// The batcher was not reached: free the results at their workers from this node.
 			r.metrics.Event("ReleaseFailed")
 			b.freeResults(made)
 		}
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -14,55 +14,60 @@
 )
 
 const (
-	// pumpInterval is when a batcher at most looks again while pieces wait: a part of the time that
-	// a piece waits for its own failure domain.
+	// pumpInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
+	// a piece waits for an endpoint in its failure domain.
 	pumpInterval = 30 * time.Millisecond
-	// callTimeoutFactor is how many times its expected time a call for pieces may take before it is
-	// given up and its pieces are asked for elsewhere, and callGrace what is added to that.
+	// A call for pieces times out after callTimeoutFactor times its expected duration plus callGrace; its pieces
+	// are then requested from another endpoint.
 	callTimeoutFactor = 2.5
 	callGrace         = 300 * time.Millisecond
-	// queueReportMaxAge is how long a batcher's report on its queue counts; then it is asked again
-	// before a request's stages begin.
+	// queueReportMaxAge is how long a batcher's queue report may be used; after that, the batcher is asked again
+	// before the stages of a request begin.
 	queueReportMaxAge = 120 * time.Millisecond
 )
 
 type (
-	// queueReport is what a batcher reports of its queue: how long the pieces that it was asked for wait,
-	// and which share of the pool's room is taken.
+	// queueReport is a batcher's report on its queue.
 	queueReport struct {
-		wait      time.Duration
+		// wait is how long the pieces that the batcher was asked about would wait.
+		wait time.Duration
+		// roomTaken is the share of the pool's room that is taken, from 0 to 1.
 		roomTaken float64
 	}
 
-	// batcher drives a kernel.BatchQueue.
+	// batcher runs the calls of a kernel.BatchQueue while this node batches for the pool, and otherwise knows
+	// which node does.
 	batcher struct {
-		relay *Relay
-		// name is that of the queue; its workers are the endpoints of a pool in a region.
+		relay     *Relay
 		queueName string
-		pool      string
-		region    string
+		// The workers of the queue are the endpoints of pool in region, or in all regions if region is empty.
+		pool   string
+		region string
 
-		mu      sync.Mutex
-		traits  model.PieceTraits
-		queue   *kernel.BatchQueue
+		mu     sync.Mutex
+		traits model.PieceTraits
+		queue  *kernel.BatchQueue
+		// waiters has, by group ID, the channels on which the senders of groups wait for the outcome.
 		waiters map[uint64]chan kernel.GroupOutcome
-		timer   *time.Timer
-		// report is the newest of the pool's batcher, as of reportedAt.
+		// timer calls startCalls.
+		timer *time.Timer
+		// report is the newest report of the pool's batcher, received at reportedAt.
 		report     queueReport
 		reportedAt time.Time
-		// lastGroupAt is when the last group came.
+		// lastGroupAt is when the last group arrived.
 		lastGroupAt time.Time
-		// active is true while this node batches; current is the node that did so last, as far as
-		// is known here. begins is held while it is found out who is to.
-		active         bool
+		// active is true while this node batches.
+		active bool
+		// currentBatcher is the last node known to batch for the pool.
 		currentBatcher string
-		// begun counts how often this node began to batch.
-		claims  int
+		// claims counts how often this node began to batch.
+		claims int
+		// claimMu is held while the nodes decide which one batches.
 		claimMu sync.Mutex
 	}
 )
 
-// workers returns the endpoints that the queue's pieces go to.
+// workers returns the endpoints that make the queue's pieces.
 func (b *batcher) workers(registry kernel.Registry) []model.Endpoint {
 	if b.region == "" {
 		return registry.Endpoints(b.pool)
@@ -70,7 +75,7 @@
 	return slices.DeleteFunc(slices.Clone(registry.Endpoints(b.pool)), func(e model.Endpoint) bool { return e.Region != b.region })
 }
 
-// updateRateCaps tells the queue what its workers say of the calls that they take.
+// updateRateCaps sets the rate caps of the workers in the queue.
 func (b *batcher) updateRateCaps() {
 	b.mu.Lock()
 	for _, worker := range b.workers(b.relay.Registry()) {
@@ -80,7 +85,7 @@
 	b.startCalls()
 }
 
-// peers returns those of several nodes that may batch for the queue: the ones in its region.
+// eligiblePeers returns those of the nodes that may batch for the queue: the ones in its region.
 func (b *batcher) eligiblePeers(nodes []kernel.Peer) []kernel.Peer {
 	if b.region == "" {
 		return nodes
@@ -89,12 +94,12 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(n kernel.Peer) bool { return regions[n.Domain] != b.region })
 }
 
-// queued tells whether pieces wait there.
+// queued reports whether pieces wait in the queue.
 func (q queueReport) queued() bool {
 	return kernel.PoolEstimate{Wait: q.wait}.Queued()
 }
 
-// recentReport returns the newest report of the pool's batcher, if that came lately.
+// recentReport returns the newest report of the pool's batcher, and whether it is recent enough to be used.
 func (b *batcher) recentReport() (queueReport, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +113,7 @@
 	b.reportedAt = b.relay.now()
 }
 
-// reportFor returns the report to who asks for a group.
+// reportFor returns the queue report for the sender of a group.
 func (b *batcher) reportFor(group kernel.PieceGroup) queueReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -120,7 +125,8 @@
 	return queueReport{wait: b.queue.EstimateWait(now, group), roomTaken: b.queue.RoomTaken(now)}
 }
 
-// batch takes a group of this or another node in and waits for its end.
+// runGroup adds a group of this or another node to the queue and waits for its outcome. If another node
+// batches for the pool, it returns the name of that node instead.
 func (b *batcher) runGroup(ctx context.Context, group kernel.PieceGroup, excluded []string) batchResult {
 	if elsewhere := b.placeGroup(ctx, excluded); elsewhere != "" {
 		return batchResult{moved: true, movedTo: elsewhere}
@@ -153,7 +159,7 @@
 	b.cancel(group.ID)
 	select {
 	case outcome := <-done:
-		// It ended at the same moment: what was made is of no use.
+		// The group ended at the same moment: nobody needs its results.
 		b.freeResults(outcome.Made)
 	default:
 	}
@@ -168,7 +174,7 @@
 	b.freeResults(made)
 }
 
-// pump makes all calls that can be made now.
+// startCalls starts all calls that can be made now.
 func (b *batcher) startCalls() {
 	if b.relay.ctx.Err() != nil {
 		return
@@ -229,8 +235,8 @@
 	b.startCalls()
 }
 
-// crashed tells whether the worker's process ended in the middle of a call, and has that looked into where the
-// connection broke.
+// checkCrash reports whether the worker's process ended during a call. If the connection broke, it has the
+// quarantine check this.
 func (b *batcher) checkCrash(batch kernel.PieceBatch, err error) bool {
 	var fault *endpoint.Fault
 	if !errors.As(err, &fault) || fault.Kind != endpoint.Cut || fault.Verdict == model.NotRun {
@@ -240,15 +246,15 @@
 	return b.relay.quarantine.HasCrashed(batch.Endpoint)
 }
 
-// overdue has the pieces of a call that takes too long made elsewhere, too.
+// handleOverdue has the pieces of a call that takes too long also made by other endpoints.
 func (b *batcher) handleOverdue(batch kernel.PieceBatch) {
 	r := b.relay
 	b.mu.Lock()
-	again := b.queue.Overdue(r.now(), batch)
+	requeued := b.queue.Overdue(r.now(), batch)
 	b.mu.Unlock()
 	r.metrics.Event("PieceCallOverdue")
 	r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
-		Str("Request", batch.Pieces[0].Request).Int("Again", again).Msg("call for pieces overdue")
+		Str("Request", batch.Pieces[0].Request).Int("Again", requeued).Msg("call for pieces overdue")
 	b.startCalls()
 }
 
@@ -282,7 +288,7 @@
 	}
 }
 
-// finish hands the outcomes of groups to those who wait for them.
+// deliverOutcomes sends the outcomes of groups to their waiters. Results without a waiter are freed.
 func (b *batcher) deliverOutcomes(ended []kernel.GroupOutcome) {
 	for _, o := range ended {
 		b.mu.Lock()
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -10,6 +10,7 @@
 	"basilstall.example/basilstall/peer"
 )
 
+// callBatcher sends a group to a node, which may be this one, and waits for its outcome.
 func (r *Relay) callBatcher(ctx context.Context, node string, b *batcher, req batchRequest) (batchResult, error) {
 	if node == r.options.Name {
 		return b.runGroup(ctx, req.pieceGroup(r.lastGroupID.Add(1)), req.excluded), nil
@@ -21,7 +22,7 @@
 	var reply peer.BatchReply
 	err := r.peers.Call(callCtx, address, peer.KindBatch, message, &reply)
 	if ctx.Err() != nil || callCtx.Err() != nil {
-		// The time is up. That says nothing of the batcher: its silence would have ended the call.
+		// Out of time. The batcher is not at fault: if it were silent, the call would have failed earlier.
 		r.cancelGroup(address, message)
 		return batchResult{outcome: kernel.GroupOutcome{Fault: model.PieceLate}}, nil
 	}
@@ -39,7 +40,7 @@
 	}, nil
 }
 
-// batchMessage returns the request as another node takes it.
+// batchMessage returns the message that sends the request to another node.
 func (r *Relay) batchMessage(req batchRequest) peer.Batch {
 	now := r.now()
 	first := req.pieces[0]
@@ -67,7 +68,7 @@
 	return message
 }
 
-// cancelGroup withdraws a group whose request was given up.
+// cancelGroup cancels a group at another node after its request was abandoned.
 func (r *Relay) cancelGroup(address string, m peer.Batch) {
 	go func() {
 		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
@@ -79,7 +80,7 @@
 	}()
 }
 
-// Handlers answer other nodes' calls to this one's batchers.
+// Handlers returns the handlers of the messages that other nodes send to this one.
 func (r *Relay) Handlers() map[peer.Kind]peer.Handler {
 	handlers := map[peer.Kind]peer.Handler{
 		peer.KindBatch:       r.answerBatch,
@@ -175,7 +176,7 @@
 	return peer.ProbeReply{Leaving: r.Leaving()}, nil
 }
 
-// probe asks a node whether it batches pieces.
+// probe reports whether a node answers and is not leaving.
 func (r *Relay) probe(node string) bool {
 	address := r.addressOf(node)
 	if address == "" {
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -12,8 +12,8 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// A request may be chosen an endpoint for, and then wait for a connection while the endpoint's failure domain is
-// evacuated. It goes elsewhere, and the endpoint's health is not blamed.
+// The failure domain of an endpoint may be evacuated after the endpoint was chosen for a request, while the connection
+// is being opened. The request goes to another endpoint, and the first one's health does not suffer.
 func TestEvacuationBeforeSendMovesRequest(t *testing.T) {
 	b := newTestBed(t)
 	now := time.Now()
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -9,25 +9,28 @@
 )
 
 type (
-	// gate keeps what a pool's endpoints get of all nodes within what they bear. All sends of requests pass it.
+	// sendLimits limits the requests that this node sends to the endpoints of a pool, so that all nodes together stay
+	// within the bounds of cold endpoints and within rate caps. All sends of requests are subject to it.
 	sendLimits struct {
 		self string
-		// startedAt is when this node started; leaving tells that it is on its way out.
+		// startedAt is when this node started; leaving is true if it is about to stop.
 		startedAt time.Time
 		leaving   bool
-		// cold is what cold endpoints may get, of the nodes that announced returns.
+		// cold is what each sender may send to a cold endpoint. The senders are chosen from the nodes that announced
+		// returns.
 		cold      kernel.ColdShare
 		announced func() []kernel.Peer
-		// caps holds the endpoints that bound what they take.
+		// caps limits what is sent to endpoints with rate caps.
 		caps *ratecap.Limiter
-		// permits is true where endpoints may be chosen that need another node's permit.
+		// allowPermits is true if endpoints may be chosen that require a permit of another node.
 		allowPermits bool
 	}
 
-	// sendState is what a node knows of its own sends to an endpoint.
+	// sendState is the state of a node's sends to one endpoint.
 	sendState struct {
+		// sentAt is when the node last sent to the endpoint or granted another node a permit to do so.
 		sentAt time.Time
-		// cold is whether it may send while the endpoint is cold.
+		// coldRole is whether the node may send while the endpoint is cold.
 		coldRole kernel.ColdRole
 	}
 )
@@ -38,7 +41,8 @@
 	return sendLimits{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.ColdLimits.FractionalShare(table.Share(pool), traits.ColdRate), announced: r.announcedPeers, caps: r.rateCaps}
 }
 
-// admits tells whether an endpoint may get a request from this node now, and whether only with another node's permit.
+// admits reports whether this node may send a request to an endpoint now, and whether it needs a permit of another
+// node to do so.
 func (l sendLimits) admits(now time.Time, e model.Endpoint, s *endpointState) (admitted, needsPermit bool) {
 	switch {
 	case !l.admitsCold(now, e, &s.gate):
@@ -46,7 +50,7 @@
 	case l.caps.Admits(now, e, s.gate.sentAt):
 		return true, false
 	default:
-		// An ejected endpoint gets a probe now and then: that needs no other node.
+		// No permits are requested for the occasional probes of an ejected endpoint.
 		return l.allowPermits && !s.health.Ejected() && l.caps.MayRequestPermit(now, e.Incarnation()), true
 	}
 }
--- a/relay/held.go
+++ b/relay/held.go
@@ -6,6 +6,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
+// holdResults adds results to those held for a stage.
 func (s *stageRun) holdResults(stage int, made []kernel.ResultRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -14,7 +15,8 @@
 	}
 }
 
-// crowding tells whether what a stage is made from lies where room is scarce.
+// inputRoomScarce reports whether room is scarce where the inputs of a stage are held, so that they should be freed as
+// soon as they have been fetched.
 func (j *job) inputRoomScarce(run *stageRun, stage int) bool {
 	if !j.relay.options.Policy.Uses(kernel.FreeInputsOnceFetched) {
 		return false
@@ -22,15 +24,14 @@
 	return slices.ContainsFunc(run.stages[stage].After, func(before int) bool { return run.roomScarce(before) })
 }
 
-// scarce tells whether the room where a stage's results lie is scarce.
+// roomScarce reports whether room is scarce in the pool that holds a stage's results.
 func (s *stageRun) roomScarce(stage int) bool {
 	return s.relay.batchers.lastEstimate(s.queue(stage)).Scarce()
 }
 
-// handleFirstEvent gives the engine's inputs up where nothing is likely to need them again: no other engine
-// may be asked, or their room is scarce. Held for the length of a stream they would take several times
-// the room; the price is that a stream that breaks off can't go on at another engine. Its caller is served
-// as soon by asking again.
+// handleFirstEvent frees the engine's inputs at the first event of its stream, if the stream cannot be resumed at
+// another engine or if room is scarce. Held for the length of the stream, they would take several times the room. In
+// return, a stream that breaks off cannot be resumed; a new request of its caller is served as soon.
 func (j *job) handleFirstEvent(run *stageRun) {
 	early := j.relay.options.Policy.Uses(kernel.FreeInputsAtFirstEvent) && slices.ContainsFunc(run.plan.FinalStages, run.roomScarce)
 	if j.admission.Route.Resumable && !early {
@@ -40,7 +41,7 @@
 	run.releaseAll()
 }
 
-// isSoleConsumer tells whether no other stage needs what a stage is made from.
+// isSoleConsumer reports whether no other stage needs any of the inputs of a stage.
 func (s *stageRun) isSoleConsumer(stage int) bool {
 	for _, before := range s.stages[stage].After {
 		for k, other := range s.stages {
@@ -52,7 +53,7 @@
 	return true
 }
 
-// forgetInputs notes that what a stage was made from was freed by its batcher.
+// forgetInputs records that the batcher has freed the inputs of a stage.
 func (s *stageRun) forgetInputs(stage int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// releaseConsumed frees the results of stages whose followers are all done.
+// releaseConsumed frees the results that no unfinished stage and no engine needs.
 func (s *stageRun) releaseConsumed() {
 	for i := range s.stages {
 		if _, done := s.results[i]; done && !slices.Contains(s.plan.FinalStages, i) && s.isConsumed(i) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// consumed tells whether all stages that follow one are done.
+// isConsumed reports whether all stages that follow a stage are done.
 func (s *stageRun) isConsumed(stage int) bool {
 	for k, follower := range s.stages {
 		if _, done := s.results[k]; !done && slices.Contains(follower.After, stage) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// release frees all results that are still held; it may be called again.
+// releaseAll frees all results that are still held. It may be called more than once.
 func (s *stageRun) releaseAll() {
 	s.mu.Lock()
 	var stages []int
@@ -103,7 +104,7 @@
 	}
 }
 
-// drain frees what stages still make for a request that was given up.
+// drain waits for the stages of an abandoned request that still run, and frees all results.
 func (s *stageRun) drain(done <-chan stageDone, running int) {
 	for range running {
 		d := <-done
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -9,15 +9,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-// hub holds this node's batchers, one for each pool that carries out pieces, and what other nodes'
-// batchers reported of their queues.
+// batcherSet holds the batchers of this node: one for each region of each pool that makes pieces.
 type batcherSet struct {
 	relay *Relay
-	// regions are those that the settings tell apart; each pool has a batcher in each of them, so that pieces reach
-	// no node outside the regions that their request may be served in.
+	// regions lists the regions in the settings. Each pool has a batcher in each region, so that pieces are only
+	// sent to nodes in regions that their request may be served in. With fewer than two regions in the settings,
+	// it holds just the empty name, and each pool has one batcher.
 	regions []string
 	mu      sync.Mutex
-	// pools holds the batchers by the names of their queues.
+	// byQueue holds the batchers by the names of their queues.
 	byQueue map[string]*batcher
 }
 
@@ -34,7 +34,7 @@
 	return s
 }
 
-// queue names the queue of a pool's pieces in a region.
+// queueName returns the name of the queue of a pool's pieces in a region.
 func (s *batcherSet) queueName(pool, region string) string {
 	if len(s.regions) < 2 {
 		return pool
@@ -42,12 +42,12 @@
 	return pool + "@" + region
 }
 
-// queueNameOf names the queue that results were made from.
+// queueNameOf returns the name of the queue whose workers made a result.
 func (s *batcherSet) queueNameOf(made kernel.ResultRef) string {
 	return s.queueName(made.Pool, s.relay.options.Regions[made.Domain])
 }
 
-// applyRouting brings the batchers in line with the routing.
+// applyRouting creates and updates the batchers of the pools in a routing table.
 func (s *batcherSet) applyRouting(table *kernel.RouteTable) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,18 +61,18 @@
 	}
 }
 
-// applyPool brings the batcher of a queue in line with what the routing says of its pool, whose pieces may use a part of what
-// cold endpoints bear.
-func (s *batcherSet) applyPool(queue, region string, pool model.Pool, part float64) {
-	b := s.byQueue[queue]
+// applyPool creates or updates the batcher of a queue. Its calls may use only a part, from 0 to 1, of the bound of
+// cold endpoints.
+func (s *batcherSet) applyPool(name, region string, pool model.Pool, part float64) {
+	b := s.byQueue[name]
 	if b == nil {
 		b = &batcher{
-			relay: s.relay, queueName: queue, pool: pool.Name, region: region,
+			relay: s.relay, queueName: name, pool: pool.Name, region: region,
 			queue: kernel.NewBatchQueue(*pool.Pieces), waiters: map[uint64]chan kernel.GroupOutcome{},
 		}
 		b.queue.SetPolicy(s.relay.options.Policy)
 		b.timer = time.AfterFunc(time.Hour, b.startCalls)
-		s.byQueue[queue] = b
+		s.byQueue[name] = b
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,14 +90,14 @@
 	}
 }
 
-// updateRateCaps tells all batchers what workers say of the calls that they take.
+// updateRateCaps passes the rate caps of the workers to all batchers.
 func (s *batcherSet) updateRateCaps() {
 	for _, b := range s.all() {
 		b.updateRateCaps()
 	}
 }
 
-// endStale ends the groups whose inputs went with an incarnation of their worker.
+// endStale ends the groups with inputs that were lost with an earlier incarnation of their worker.
 func (s *batcherSet) endStale() {
 	for _, b := range s.all() {
 		b.mu.Lock()
@@ -123,7 +123,7 @@
 	return s.byQueue[queue]
 }
 
-// poolTraits returns what the routing says of the pools of several stages.
+// poolTraits returns estimates that hold just the traits of the pools of several stages.
 func (s *batcherSet) poolTraits(stages []model.StageNode) []kernel.PoolEstimate {
 	out := make([]kernel.PoolEstimate, len(stages))
 	for i, stage := range stages {
@@ -136,7 +136,7 @@
 	return out
 }
 
-// lastEstimate returns the newest estimate for a queue, however old it is.
+// lastEstimate returns the newest estimate for a queue, regardless of its age.
 func (s *batcherSet) lastEstimate(queue string) kernel.PoolEstimate {
 	b := s.find(queue)
 	if b == nil {
--- a/relay/incarnations.go
+++ b/relay/incarnations.go
@@ -10,14 +10,14 @@
 	"basilstall.example/basilstall/model"
 )
 
-// errEndpointRestarted ends calls to a process that has started again: nothing of them is left there, and
-// waiting for their time-outs would cost streams that can go on elsewhere seconds.
+// errEndpointRestarted is the cause of cancelled calls to an endpoint that has restarted. The new process knows
+// nothing of them, and waiting for their time-outs would delay the resumption of streams by seconds.
 var errEndpointRestarted = errors.New("relay: the endpoint has started again")
 
-// incarnations holds the calls under way by the incarnation of the endpoint that they were made to.
+// callTracker holds the calls in flight by the incarnation of their endpoint.
 type callTracker struct {
 	mu sync.Mutex
-	// calls has, for each call, the requests that it is for.
+	// calls holds the requests of each call, by incarnation and by the call's cancel function.
 	calls map[string]map[*context.CancelCauseFunc][]model.Digest
 }
 
@@ -25,8 +25,8 @@
 	return &callTracker{calls: map[string]map[*context.CancelCauseFunc][]model.Digest{}}
 }
 
-// begin returns a context for a call to an endpoint for some requests; it ends with the endpoint's incarnation. The
-// function that it returns is to be called when the call is over.
+// trackCall registers a call to an endpoint for some requests. The context that it returns is cancelled when the
+// endpoint restarts. The returned function must be called when the call is over.
 func (r *Relay) trackCall(ctx context.Context, e model.Endpoint, digests ...model.Digest) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	t := r.activeCalls
@@ -51,7 +51,7 @@
 	}
 }
 
-// end ends the calls to an incarnation and returns how many there were, and for which requests.
+// cancelCalls cancels the calls to an incarnation and returns their number and their requests.
 func (t *callTracker) cancelCalls(incarnation string) (calls int, digests []model.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,15 +62,15 @@
 	return len(t.calls[incarnation]), digests
 }
 
-// cancelStaleCalls ends what hangs on endpoints that have started again: calls under way, idle
-// connections, and pieces whose inputs lay there.
+// cancelStaleCalls handles the endpoints that have restarted: it cancels their calls, closes their idle connections
+// and ends the groups of pieces whose inputs they held.
 func (r *Relay) cancelStaleCalls(changes []kernel.RegistryChange) {
-	again := false
+	restarted := false
 	for _, c := range changes {
 		if c.Before.Name == "" {
 			continue
 		}
-		again = true
+		restarted = true
 		r.metrics.Event("EndpointStartedAgain")
 		ended, digests := r.activeCalls.cancelCalls(c.Before.Incarnation())
 		if len(digests) > 0 {
@@ -79,13 +79,14 @@
 		r.deps.CloseIdle(c.Before.Address)
 		r.log.Info().Str("Endpoint", c.Before.Incarnation()).Int("Calls", ended).Msg("calls to a former incarnation ended")
 	}
-	if again {
+	if restarted {
 		r.batchers.endStale()
 	}
 }
 
-// recordDisconnect has it looked into whether an endpoint that broke off was ended by what it worked on. What one that is
-// leaving cuts was announced.
+// recordDisconnect reports to the quarantine that the connection to an endpoint broke while it worked on requests,
+// which may have crashed it. Endpoints that are leaving or no longer listed are not reported: they have announced
+// that they close their connections.
 func (r *Relay) recordDisconnect(e model.Endpoint, digests ...model.Digest) {
 	now, listed := r.Registry().Find(e.Name)
 	if !listed || now.State == model.Leaving {
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -10,8 +10,7 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// SetNodes takes over which nodes there are, this one included, and which of them have just announced
-// themselves.
+// SetNodes sets the nodes of the fleet, including this one, and names those that have just announced themselves.
 func (r *Relay) SetNodes(nodes []Node, announced []string) {
 	r.nodes.Store(&nodes)
 	r.nodesKnown.Store(true)
@@ -20,8 +19,8 @@
 	}
 }
 
-// Reachable returns the nodes that are not leaving and answer, as far as is known. This one is among them,
-// unless it is leaving and there are others.
+// Reachable returns the nodes that are not leaving and not suspected. This node is included unless it is leaving
+// and there are others.
 func (r *Relay) Reachable() []kernel.Peer {
 	var out []kernel.Peer
 	for _, n := range *r.nodes.Load() {
@@ -35,7 +34,7 @@
 	return out
 }
 
-// announced returns the nodes that have announced themselves and are not leaving, whether they answer or not.
+// announcedPeers returns the nodes that have announced themselves and are not leaving, whether or not they answer.
 func (r *Relay) announcedPeers() []kernel.Peer {
 	var out []kernel.Peer
 	for _, n := range *r.nodes.Load() {
@@ -46,7 +45,7 @@
 	return out
 }
 
-// reachable tells whether another node is not leaving and answers, as far as is known.
+// isReachable reports whether another node is known, not leaving and not suspected.
 func (r *Relay) isReachable(node string) bool {
 	for _, n := range *r.nodes.Load() {
 		if n.Name == node {
@@ -56,36 +55,36 @@
 	return false
 }
 
-// Ask calls another node by its name, for a reply that may be large: it ends where nothing comes from the
-// node for a time.
+// CallUnlessSilent calls another node by its name, for a reply that may be large. The call fails if nothing is
+// received from the node for the time given by silence.
 func (r *Relay) CallUnlessSilent(ctx context.Context, silence time.Duration, node string, kind peer.Kind, message, reply any) error {
 	return r.peers.CallUnlessSilent(ctx, silence, r.addressOf(node), kind, message, reply)
 }
 
-// callNode calls another node by its name. One that is silent is passed over from then on; a caller who has left, or
-// waits no longer, says nothing of it.
+// callNode calls another node by its name. A node that fails to answer is suspected, except if the call ended with
+// ctx.
 func (r *Relay) callNode(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 	err := r.peers.Call(ctx, r.addressOf(node), kind, message, reply)
-	if silent := (*peer.CallError)(nil); errors.As(err, &silent) && ctx.Err() == nil {
+	if unanswered := (*peer.CallError)(nil); errors.As(err, &unanswered) && ctx.Err() == nil {
 		r.Suspect(node, err)
 	}
 	return err
 }
 
-// Suspect notes that a node did not answer; it is probed until it does.
+// Suspect records that a node did not answer. The node is probed until it does.
 func (r *Relay) Suspect(node string, err error) {
 	if r.suspects.suspect(node) {
 		r.log.Info().Str("Peer", node).Err(err).Msg("node does not answer")
 	}
 }
 
-// MaxIdleConnections returns how many idle connections this node may keep to an endpoint of a pool.
+// MaxIdleConnections returns how many idle connections this node may keep to each endpoint of a pool.
 func (r *Relay) MaxIdleConnections(pool string) int {
 	traits, _ := r.View().Table.Pool(pool)
 	return kernel.MaxIdleConnections(traits.MaxConns, r.fleetSize())
 }
 
-// live returns how many nodes share the fleet's budgets; 0 while that is not known.
+// fleetSize returns how many nodes share the limits of the fleet, or 0 while that is not known.
 func (r *Relay) fleetSize() int {
 	if !r.nodesKnown.Load() {
 		return 0
--- a/relay/panic.go
+++ b/relay/panic.go
@@ -5,14 +5,14 @@
 	"runtime/debug"
 )
 
-// guard keeps a panic of one request's work from ending the process, and with it all others'. It is
-// deferred at the head of each goroutine; then ends what the goroutine was to end.
+// recoverPanic keeps a panic in the work on one request from ending the process and with it all other requests. It is
+// deferred at the start of each goroutine. After a panic, onPanic does what the goroutine had to do before its end.
 func (r *Relay) recoverPanic(onPanic func()) {
 	v := recover()
 	if v == nil {
 		return
 	}
 	r.metrics.Event("Panic")
-	r.log.Error().Str("Panic", fmt.Sprint(v)).Str("Stack", string(debug.Stack())).Msg("panic; the request fails")
+	r.log.Error().Str("Panic", fmt.Sprint(v)).Str("Stack", string(debug.Stack())).Msg("panic while a request was handled; the request fails")
 	onPanic()
 }
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// quickProbeTimeout is how long a node may take to say that it is there when a batcher was lost: many
-	// round trips between hosts.
+	// quickProbeTimeout bounds the probes of possible successors of a lost batcher: many round trips between
+	// hosts.
 	quickProbeTimeout = 100 * time.Millisecond
-	// maxParallelProbes is how many nodes are asked at once. With three of five nodes lost at one moment,
-	// one of these answers nine times in ten; asked one after the other, a request would wait for the
-	// silence of each.
+	// maxParallelProbes is how many nodes are probed at the same time. If three of five nodes are lost at once,
+	// one of those probed answers nine times in ten. Probed one after the other, a request would wait for the
+	// time-out of each lost node.
 	maxParallelProbes = 5
 )
 
 var errProbeUnanswered = errors.New("relay: no answer to a probe")
 
-// probeForBatcher returns the first node for a pool that answers at once, of those that were not passed
-// over; this node where none does.
+// probeForBatcher returns the known batcher of a pool, if that is not excluded. Otherwise it probes the first nodes
+// by hash and returns the first one that answers, or this node if none does.
 func (r *Relay) probeForBatcher(ctx context.Context, b *batcher, excluded []string) string {
 	if known := b.knownBatcher(excluded); known != "" || !r.options.Policy.Uses(kernel.ProbeSuccessors) {
 		return r.selectBatcher(b, excluded)
@@ -41,19 +41,19 @@
 	return r.options.Name
 }
 
-// probeAll tells which of several nodes answer at once and are not leaving. Those that do not answer are
-// suspected.
+// probeAll reports which of several nodes answer within quickProbeTimeout and are not leaving. Those that do not
+// answer are suspected.
 func (r *Relay) probeAll(ctx context.Context, nodes []string) []bool {
 	ctx, cancel := context.WithTimeout(ctx, quickProbeTimeout)
 	defer cancel()
 	answered := make([]bool, len(nodes))
-	var asked sync.WaitGroup
+	var probes sync.WaitGroup
 	for i, node := range nodes {
 		if node == r.options.Name {
 			answered[i] = true
 			continue
 		}
-		asked.Go(func() {
+		probes.Go(func() {
 			var reply peer.ProbeReply
 			err := r.peers.Call(ctx, r.addressOf(node), peer.KindProbe, peer.Empty{}, &reply)
 			answered[i] = err == nil && !reply.Leaving
@@ -62,6 +62,6 @@
 			}
 		})
 	}
-	asked.Wait()
+	probes.Wait()
 	return answered
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay takes callers' requests through their stages to endpoints and passes the answers
-// back as they come. It does the I/O around the kernel's decisions; how requests, pieces and
-// replies look on the wire is left to the seams that it is given.
+// Package relay runs callers' requests: it has the pieces of their stages made, sends each request to an
+// endpoint and streams the answer back. It does the I/O for the decisions of package kernel; the
+// functions in Dependencies implement the wire formats.
 package relay
 
 import (
@@ -20,53 +20,53 @@
 )
 
 const (
-	// sweepInterval is how often idle connections and what waits too long are looked over.
+	// sweepInterval is how often groups of pieces that can no longer be made in time are ended.
 	sweepInterval = 200 * time.Millisecond
-	// peerSilenceTimeout is after which time a node that does not answer is held lost, with the pieces that
-	// wait for it: several times what a collection of garbage or a used-up processor quota takes, and
-	// a third of the slack of a usual objective.
+	// peerSilenceTimeout is how long a node may be silent before it counts as lost, with the pieces that
+	// wait for it: several times the pause of a garbage collection or an exhausted CPU quota, and a third
+	// of the slack of a usual objective.
 	peerSilenceTimeout = 600 * time.Millisecond
 )
 
 type (
-	// Relay serves callers' requests. It is safe for concurrent use.
+	// Relay serves callers' requests, and batches pieces for other nodes. It is safe for concurrent use.
 	Relay struct {
-		options Options
-		deps    Dependencies
-		now     func() time.Time
-		// startedAt is when the node started.
+		options   Options
+		deps      Dependencies
+		now       func() time.Time
 		startedAt time.Time
 		log       zerolog.Logger
-		// answers and lateAnswersLog are samples of log.
+		// answersLog and lateAnswersLog write samples to log.
 		answersLog     zerolog.Logger
 		lateAnswersLog zerolog.Logger
 		metrics        *metric.Set
 		peers          *peer.Client
 
-		// registryMu is held while the registry changes: several tables of the store bear on it.
+		// registryMu serializes updates of the registry, which follow from changes of several tables of the store.
 		registryMu sync.Mutex
 
 		mu       sync.Mutex
 		view     atomic.Pointer[kernel.RoutingView]
 		registry atomic.Pointer[kernel.Registry]
 		nodes    atomic.Pointer[[]Node]
-		// nodesKnown is true once it was told which nodes there are.
+		// nodesKnown is true after the first call of SetNodes.
 		nodesKnown atomic.Bool
 		pools      map[string]*pool
 		batchers   *batcherSet
-		// suspects are nodes that did not answer; remote holds other nodes' groups here.
-		suspects     *suspects
+		// suspects holds the nodes that did not answer.
+		suspects *suspects
+		// remoteGroups holds the groups of other nodes that this one batches.
 		remoteGroups *remoteGroups
-		// incarnations ends the calls to endpoints that have started again.
+		// activeCalls holds the calls in flight, which are cancelled when their endpoint restarts.
 		activeCalls *callTracker
-		// returning holds the refused requests of the pools that this node batches for.
+		// refusedRequests holds the refused requests of the pools that this node coordinates.
 		refusedRequests *returning
-		// quarantine holds back the requests that end the endpoints that run them.
+		// quarantine holds back requests that crash the endpoints that run them.
 		quarantine *quarantine.Coordinator
-		// rateCaps holds the endpoints that bound what they take.
+		// rateCaps limits what is sent to endpoints that state a rate cap.
 		rateCaps *ratecap.Limiter
 
-		// stopsAt is when a leaving node will be gone; nil while it is not leaving.
+		// stopsAt is when a leaving node will stop; nil while it is not leaving.
 		stopsAt     atomic.Pointer[time.Time]
 		inFlight    atomic.Int64
 		lastGroupID atomic.Uint64
@@ -74,23 +74,23 @@
 		cancel      context.CancelFunc
 	}
 
-	// Node is another node, or this one, as a batcher of pieces.
+	// Node is a node that can batch pieces: another one or this one.
 	Node struct {
 		Name    string
 		Domain  string
 		Address string
-		// Capacity is what its host can carry relative to others.
+		// Capacity is the capacity of the node's host relative to others.
 		Capacity float64
 		Leaving  bool
 	}
 )
 
-// NewRelay returns a relay that knows no routing and no endpoint yet. The clock must count the
-// time in which the process was suspended.
-func NewRelay(options Options, wire Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Relay {
+// NewRelay returns a relay that knows no routing and no endpoint yet. The clock must include the time in
+// which the process was suspended.
+func NewRelay(options Options, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Relay {
 	r := &Relay{
 		options:        options,
-		deps:           wire,
+		deps:           deps,
 		now:            now,
 		startedAt:      now(),
 		log:            log,
@@ -107,7 +107,7 @@
 	r.activeCalls = newCallTracker()
 	r.refusedRequests = newReturning()
 	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
-		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.StoreQuarantine,
+		Peers: r.Reachable, Call: r.callNode, Connect: deps.Connect, Store: deps.StoreQuarantine,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
 	metrics.Gauge("endpoints_with_rate_cap", func() float64 { return float64(r.rateCaps.Len()) })
@@ -134,24 +134,24 @@
 	return r
 }
 
-// Close ends the relay's work at once.
+// Close stops the relay and cancels its calls.
 func (r *Relay) Close() {
 	r.cancel()
 	r.peers.Close()
 }
 
-// Leave makes the relay batch no more pieces for other nodes and take no more requests that
-// might not end before a time.
+// Leave makes the relay batch no more pieces for other nodes, and refuse requests that might not end
+// before stopsAt.
 func (r *Relay) Leave(stopsAt time.Time) {
 	r.stopsAt.Store(&stopsAt)
 }
 
-// Leaving tells whether callers are to open their next connection elsewhere.
+// Leaving reports whether Leave was called: callers should open new connections to other nodes.
 func (r *Relay) Leaving() bool {
 	return r.stopsAt.Load() != nil
 }
 
-// Ready tells whether callers should open new connections here, and why not.
+// Ready reports whether callers should open new connections to this node, and if not, why.
 func (r *Relay) Ready() (bool, string) {
 	view := r.View()
 	switch {
@@ -168,7 +168,7 @@
 	}
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests that are being served.
 func (r *Relay) InFlight() int64 {
 	return r.inFlight.Load()
 }
@@ -178,13 +178,13 @@
 	return *r.view.Load()
 }
 
-// Registry returns what is known of endpoints.
+// Registry returns the endpoints that are known.
 func (r *Relay) Registry() kernel.Registry {
 	return *r.registry.Load()
 }
 
-// SetRouting takes in what a store call that began at a time showed: a table, or, with nil, that
-// nothing newer exists.
+// SetRouting applies the result of a store call that began at the given time: a new table, or nil if the
+// present one is still the newest.
 func (r *Relay) SetRouting(began time.Time, table *kernel.RouteTable) {
 	r.mu.Lock()
 	old := *r.view.Load()
@@ -200,7 +200,7 @@
 	r.batchers.setEndpoints(r.Registry())
 }
 
-// UpdateRegistry takes over what is newly known of endpoints.
+// UpdateRegistry replaces the registry by the result of change, and applies the differences.
 func (r *Relay) UpdateRegistry(change func(before kernel.Registry) kernel.Registry) {
 	r.registryMu.Lock()
 	defer r.registryMu.Unlock()
@@ -214,7 +214,7 @@
 	r.quarantine.ApplyEndpointList(registry.Endpoints)
 }
 
-// ApplyEvacuationChange takes over which failure domains are evacuated, and which no longer.
+// ApplyEvacuationChange applies a change of the evacuated failure domains.
 func (r *Relay) ApplyEvacuationChange(change kernel.EvacuationChange) {
 	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
 	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
@@ -231,13 +231,13 @@
 	}
 }
 
-// ApplyQuarantineChange takes over which requests the store says are held back, and which no longer.
+// ApplyQuarantineChange applies a change of the held requests that was read from the store.
 func (r *Relay) ApplyQuarantineChange(change kernel.QuarantineChange) {
 	r.quarantine.ApplyChange(change)
 }
 
-// Serve takes one request to its end. It returns once the answer was passed on, or with a
-// refusal where none was begun.
+// Serve runs one request. It returns once the answer has been passed on, or a refusal if no answer was
+// begun.
 func (r *Relay) Serve(ctx context.Context, f model.Forward, out Responder) Outcome {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
@@ -295,7 +295,7 @@
 	return outcome
 }
 
-// refuseUnstarted ends a request for which nothing was begun.
+// refuseUnstarted refuses a request before any work on it has started.
 func (r *Relay) refuseUnstarted(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
 	r.metrics.Refused(refusal)
 	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -20,15 +20,17 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// bed is a relay whose endpoints are functions.
+// testBed is a relay whose endpoints are functions.
 type testBed struct {
 	relay *relay.Relay
-	deps  relay.Dependencies
-	body  strings.Builder
-	freed chan []string
-	// version is the routing's.
+	// deps are called by the relay; a test may replace Forward, RunPieces and Connect at any time.
+	deps relay.Dependencies
+	// body has all that was sent to callers.
+	body strings.Builder
+	// freed receives the handles of the results that were freed.
+	freed          chan []string
 	routingVersion uint64
-	// clock is the relay's made-up time in nanoseconds since 1970; 0 while it goes by the time of the machine.
+	// fakeNow is the relay's time in nanoseconds since the Unix epoch; if it is 0, the relay uses the system clock.
 	fakeNow atomic.Int64
 }
 
@@ -53,7 +55,7 @@
 		FreeRoom: func(context.Context, model.Endpoint) (int64, error) { return 18_000_000, nil },
 		Connect:  func(context.Context, string) error { return nil },
 	}
-	wire := relay.Dependencies{
+	deps := relay.Dependencies{
 		Forward: func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) { return b.deps.Forward(ctx, s) },
 		RunPieces: func(ctx context.Context, e model.Endpoint, p []model.Piece) (relay.PieceReply, error) {
 			return b.deps.RunPieces(ctx, e, p)
@@ -67,12 +69,12 @@
 	}
 	options := relay.Options{Name: "node", Domain: "d", RetryLimits: kernel.FleetRetryLimits{Ratio: 1, Slack: 100, Window: 10 * time.Second}}
 	now := func() time.Time {
-		if madeUp := b.fakeNow.Load(); madeUp != 0 {
-			return time.Unix(0, madeUp)
+		if fake := b.fakeNow.Load(); fake != 0 {
+			return time.Unix(0, fake)
 		}
 		return time.Now()
 	}
-	b.relay = relay.NewRelay(options, wire, now, metric.NewSet(), zerolog.Nop())
+	b.relay = relay.NewRelay(options, deps, now, metric.NewSet(), zerolog.Nop())
 	t.Cleanup(b.relay.Close)
 	b.relay.SetNodes(nil, nil)
 	b.setObjective(time.Minute)
@@ -87,12 +89,12 @@
 	return b
 }
 
-// setObjective puts a routing in force whose routes have an objective; each call is the next version.
+// setObjective applies a new version of the routing in which all routes have the given objective.
 func (b *testBed) setObjective(objective time.Duration) {
 	b.setRoutes(objective)
 }
 
-// route puts a routing in force that has a route more.
+// addRoute applies a new version of the routing with an additional route.
 func (b *testBed) addRoute(route model.Route) {
 	b.setRoutes(time.Minute, route)
 }
@@ -164,8 +166,8 @@
 	}
 }
 
-// A pool may be handed over to a node that can't be reached from here. Groups that were to move there are
-// refused, and no engine gets a request without its inputs.
+// If a pool is handed over to a node that cannot be reached, the groups that would move there are refused. Guards
+// against engines that get a request without its inputs.
 func TestGroupIsRefusedIfNextBatcherIsUnreachable(t *testing.T) {
 	b := newTestBed(t)
 	started, proceed := make(chan struct{}, 8), make(chan struct{})
@@ -199,13 +201,13 @@
 	must.NotNil(t, refused.Refusal)
 	must.EqOp(t, model.NotRun, refused.Refusal.Verdict)
 	close(proceed)
-	must.True(t, (<-first).Complete, must.Sprint("what was under way is brought to its end"))
+	must.True(t, (<-first).Complete, must.Sprint("calls in flight are completed"))
 	must.EqOp(t, 1, <-inputs)
 	must.EqOp(t, 0, len(inputs))
 }
 
-// A batcher may answer late because a call takes long. Only silence says that it is lost: taken for lost,
-// another node would batch beside it.
+// A batcher may answer late because a call takes long. Only a silent batcher counts as lost. Guards against a second
+// node that batches for the same pool at the same time.
 func TestLateGroupDoesNotSuspectBatcher(t *testing.T) {
 	b := newTestBed(t)
 	batcher, err := peer.NewServer("127.0.0.1:0", "")
@@ -223,25 +225,25 @@
 	f := model.Forward{ID: "id", Method: "POST", URI: "/gen/1", Path: "/gen/1", Host: "h", ReceivedAt: now, Deadline: now.Add(600 * time.Millisecond), Pieces: []int{1}}
 	outcome := b.relay.Serve(context.Background(), f, relay.Responder{Begin: func(int, http.Header) {}, Write: func([]byte) error { return nil }})
 	must.NotNil(t, outcome.Refusal)
-	must.SliceLen(t, 2, b.relay.Reachable(), must.Sprint("this node and the other one"))
+	must.SliceLen(t, 2, b.relay.Reachable(), must.Sprint("this node and the batcher are reachable"))
 }
 
-// Seen: a request waited for its pieces until its caller left, though they could long no longer be on time and
-// nothing told the caller. How: the batcher ended such pieces by the request's deadline alone. Proved by the
-// batcher's queue as the caller left. The endpoint here never comes free, and the request has a minute.
+// Pieces that can no longer be made by their objective are ended, and the request is refused, long before its deadline
+// of a minute; the endpoint here never becomes free. Guards against batchers that end such pieces only at the deadline
+// of the request, so that its caller waits without any notice until it gives up.
 func TestRequestWithStarvedPiecesIsRefused(t *testing.T) {
 	b := newTestBed(t)
-	started, over := make(chan struct{}, 1), make(chan struct{})
-	defer close(over)
+	started, finish := make(chan struct{}, 1), make(chan struct{})
+	defer close(finish)
 	b.deps.RunPieces = func(context.Context, model.Endpoint, []model.Piece) (relay.PieceReply, error) {
 		started <- struct{}{}
-		<-over
+		<-finish
 		return relay.PieceReply{NotRun: true}, nil
 	}
 	b.setObjective(50 * time.Millisecond)
 	outcomes := make(chan relay.Outcome, 2)
 	go func() { outcomes <- b.serve("/gen/1", 1) }()
-	// Sent before the call has started, the second request's piece could join it and would not wait.
+	// Before the call has started, the piece of the second request could join it and would not have to wait.
 	<-started
 	go func() { outcomes <- b.serve("/gen/1", 1) }()
 	outcome := <-outcomes
--- a/relay/room.go
+++ b/relay/room.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// freeTimeout bounds a call that frees results.
+	// freeTimeout bounds a call that frees results or asks for free room.
 	freeTimeout = time.Second
-	// minPolledRoom is from which room on, in bytes, endpoints are asked how much is free: they
-	// answer in whole megabytes. The room of others is learnt from what they refuse.
+	// minPolledRoom is the least room of a worker, in bytes, from which on workers are asked for their free room:
+	// they report it in whole megabytes. Whether smaller ones have room shows in the pieces that they refuse.
 	minPolledRoom = 8_000_000
-	// roomPollInterval is how often they are asked: their answers are some 200 ms old.
+	// roomPollInterval is how often workers are asked for their free room: their replies are about 200 ms old.
 	roomPollInterval = 400 * time.Millisecond
 )
 
-// free gives results up at their workers. Their room is given out again only once the worker has
-// confirmed: a call that overtakes the word would find no room.
+// freeResults frees results at their workers. Their room is used again only after the worker has confirmed: a call
+// that arrives before the confirmation would find no room.
 func (b *batcher) freeResults(made []kernel.ResultRef) {
 	byWorker := map[string][]kernel.ResultRef{}
 	for _, m := range made {
@@ -30,15 +30,15 @@
 		b.mu.Lock()
 		worker, ok := b.queue.Worker(name)
 		b.mu.Unlock()
-		// What gets nothing more, or only so much, drops results by itself after a while, and so does the account.
+		// Other workers drop the results by themselves after a while, and so does the queue.
 		if ok && b.allowsExtraCalls(worker) {
 			go b.freeResultsAt(worker, made)
 		}
 	}
 }
 
-// freeFetchedInputs gives up the inputs that calls have fetched. Beside another batcher it does not: where
-// two of them call the same worker, one call waits there for the other, and fetches later than reckoned.
+// freeFetchedInputs frees the inputs that calls have fetched. It does nothing while another node may batch too: if
+// two batchers call the same worker, one call waits for the other and fetches its inputs later than expected.
 func (b *batcher) freeFetchedInputs() {
 	b.mu.Lock()
 	alone := b.active && !b.relay.Leaving()
@@ -51,8 +51,8 @@
 	b.mu.Unlock()
 	byQueue := map[string][]kernel.ResultRef{}
 	for _, m := range fetched {
-		queue := b.relay.batchers.queueNameOf(m)
-		byQueue[queue] = append(byQueue[queue], m)
+		name := b.relay.batchers.queueNameOf(m)
+		byQueue[name] = append(byQueue[name], m)
 	}
 	for _, made := range byQueue {
 		b.relay.releaseResults(made)
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(b.relay.ctx, freeTimeout)
 	defer cancel()
 	if err := b.relay.deps.FreeResults(ctx, worker, resultHandles(made)); err != nil {
-		// The worker drops them by itself after a while, and so does the account.
+		// The worker drops them by itself after a while, and so does the queue.
 		b.relay.metrics.Event("FreeFailed")
 		return
 	}
@@ -75,8 +75,8 @@
 	b.startCalls()
 }
 
-// pollFreeRoom asks the workers for their room until no result of another batcher can be left: those
-// lapse one after the other, and room that is not known to be free is lost to requests.
+// pollFreeRoom asks the workers for their free room until no results of another batcher can be left: those expire
+// one by one, and room that is not known to be free is not used.
 func (b *batcher) pollFreeRoom() {
 	for {
 		for _, worker := range b.workers(b.relay.Registry()) {
@@ -90,12 +90,13 @@
 	}
 }
 
-// allowsExtraCalls tells whether a worker may get what is no call for pieces.
+// allowsExtraCalls reports whether a worker may get calls other than those for pieces. Evacuated workers get none,
+// and workers that are cold or state a rate cap accept only few calls.
 func (b *batcher) allowsExtraCalls(worker model.Endpoint) bool {
 	r := b.relay
 	traits, _ := r.View().Table.Pool(b.pool)
-	bearsLittle := traits.ColdRate > 0 && kernel.IsCold(r.now(), worker)
-	return worker.State != model.Evacuated && !bearsLittle && !r.rateCaps.HasCap(worker.Incarnation())
+	limited := traits.ColdRate > 0 && kernel.IsCold(r.now(), worker)
+	return worker.State != model.Evacuated && !limited && !r.rateCaps.HasCap(worker.Incarnation())
 }
 
 func (b *batcher) mayHoldForeignResults() bool {
--- a/relay/room_test.go
+++ b/relay/room_test.go
@@ -10,8 +10,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Results that nobody needs are not given up at a worker that is cold, nor is it asked for its room: such calls may count
-// among the few that it bears. Guards against calls to cold workers that pass their bound by.
+// A cold worker gets only calls for pieces. It is not asked to free results or for its free room, because such calls
+// may count towards the few that it accepts. Guards against calls to cold workers that bypass their bound.
 func TestColdWorkerGetsOnlyPieceCalls(t *testing.T) {
 	b := newTestBed(t)
 	b.relay.UpdateRegistry(func(before kernel.Registry) kernel.Registry {
@@ -22,7 +22,7 @@
 	must.True(t, b.serve("/gen/1", 1).Complete)
 	select {
 	case freed := <-b.freed:
-		t.Fatal("freed", freed)
+		t.Fatal("results were freed at a cold worker:", freed)
 	case <-time.After(500 * time.Millisecond):
 	}
 }
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// batcherIdleTimeout is how long a node has not batched for a pool when another may have done it:
-	// a pool in use gets pieces far more often.
+	// batcherIdleTimeout is how long after its last group a node no longer counts as the pool's batcher: a pool in
+	// use gets pieces far more often, so another node may batch by then.
 	batcherIdleTimeout = 1500 * time.Millisecond
-	// takeOverTimeout bounds the question to those that may batch; the first pieces wait for it,
-	// and a node that was lost does not answer.
+	// takeOverTimeout bounds the requests to the possible batchers of a pool. The first pieces wait for the
+	// replies, and a lost node does not reply.
 	takeOverTimeout = 60 * time.Millisecond
-	// confirmInterval is how often a node that batches asks whether another does too: after a cut or a
-	// freeze both may, until they hear of each other.
+	// confirmInterval is how often a batcher checks whether another node batches too. After a network partition or
+	// a suspended process both may, until they hear from each other.
 	confirmInterval = 500 * time.Millisecond
-	// takeOverCandidates is how many nodes are asked beside the one that batched last: those that come
-	// first for the pool. Any node that sent pieces lately knows who batches.
+	// takeOverCandidates is how many nodes, the first by hash of the pool, are asked in addition to the last known
+	// batcher. Any node that recently sent pieces knows the batcher.
 	takeOverCandidates = 2
 )
 
-// place decides where a group is to be batched: here, where the name is empty, or at another node. Two
-// nodes that batch for one pool would give the same room out twice and call workers that are busy, so a
-// node that does not batch yet sends groups on to the one that does, and begins only where there is none.
+// placeGroup returns the other node that is to batch a group, or an empty name if this one is. Two nodes that
+// batch for one pool would assign the same room twice and call busy workers, so a node that does not batch
+// redirects groups to the one that does, and begins to batch only if there is none.
 func (b *batcher) placeGroup(ctx context.Context, excluded []string) (elsewhere string) {
 	b.claimMu.Lock()
 	defer b.claimMu.Unlock()
@@ -41,7 +41,7 @@
 	return b.claimPool(ctx, excluded)
 }
 
-// batches tells whether this node batches for the pool, and notes that a group came.
+// recordGroup records that a group arrived, and reports whether this node batches for the pool.
 func (b *batcher) recordGroup() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,8 +51,7 @@
 	return b.active
 }
 
-// follows returns the other node that batches, as far as is known here, or that is to; empty where it
-// is this one.
+// expectedBatcher returns the known batcher, or else the first node by hash. It is empty if that is this node.
 func (b *batcher) expectedBatcher(excluded []string) string {
 	if other := b.knownBatcher(excluded); other != "" {
 		return other
@@ -68,7 +67,7 @@
 	return ""
 }
 
-// knownBatcher returns the other node that was last seen to batch, while it is reachable.
+// knownBatcher returns the last known batcher if it is another node that is reachable and not excluded.
 func (b *batcher) knownBatcher(excluded []string) string {
 	b.mu.Lock()
 	known := b.currentBatcher
@@ -85,8 +84,8 @@
 	b.currentBatcher = node
 }
 
-// begin asks those that may batch for the pool to hand it over. It returns the node that goes on to
-// batch instead; empty where this one does from now on.
+// claimPool asks the possible batchers to hand the pool over. It returns the node that continues to batch, or an
+// empty name if this one batches from now on.
 func (b *batcher) claimPool(ctx context.Context, excluded []string) (elsewhere string) {
 	r := b.relay
 	b.mu.Lock()
@@ -101,33 +100,33 @@
 	b.active = true
 	b.currentBatcher = r.options.Name
 	b.claims++
-	begun := b.claims
-	worthAsking := b.traits.Room >= minPolledRoom
+	claim := b.claims
+	pollRoom := b.traits.Room >= minPolledRoom
 	b.mu.Unlock()
 	r.metrics.Event("BatcherTookOver")
 	r.log.Info().Str("Pool", b.queueName).Bool("Yielded", yielded).Msg("batching begins here")
-	if worthAsking {
+	if pollRoom {
 		go b.pollFreeRoom()
 	}
 	if r.options.Policy.Uses(kernel.SingleBatcher) {
-		go b.confirmSole(begun)
+		go b.confirmSole(claim)
 	}
 	return ""
 }
 
-// question is what other nodes are asked that may batch for the pool.
+// takeOverRequest returns the message to the possible batchers of the pool.
 func (b *batcher) takeOverRequest(batches bool) peer.TakeOver {
 	r := b.relay
 	return peer.TakeOver{Pool: b.queueName, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
 }
 
-// confirm asks from time to time whether another node batches too, until this one batches no more or has
-// begun anew.
-func (b *batcher) confirmSole(begun int) {
+// confirmSole regularly checks whether another node batches too, and steps down if so. It returns once this node
+// no longer batches under the given claim.
+func (b *batcher) confirmSole(claim int) {
 	r := b.relay
 	for clock.Sleep(r.ctx, confirmInterval) {
 		b.mu.Lock()
-		active := b.active && b.claims == begun && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
+		active := b.active && b.claims == claim && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
 		b.mu.Unlock()
 		if !active {
 			return
@@ -139,16 +138,16 @@
 	}
 }
 
-// requestTakeOver asks those that may batch for the pool. It tells whether one yielded, and returns the node that
-// does not.
-func (b *batcher) requestTakeOver(ctx context.Context, question peer.TakeOver) (yielded bool, other string) {
+// requestTakeOver sends a request to the possible batchers of the pool. It reports whether one yielded, and
+// returns the node that continues to batch, if any.
+func (b *batcher) requestTakeOver(ctx context.Context, request peer.TakeOver) (yielded bool, other string) {
 	ctx, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
 	asked := b.possibleBatchers()
-	for _, reply := range b.callAll(ctx, asked, question) {
+	for _, reply := range b.callAll(ctx, asked, request) {
 		if named := reply.MovedTo; named != "" && named != b.relay.options.Name && !slices.Contains(asked, named) {
-			// Only the node itself knows whether it batches still.
-			reply = b.callAll(ctx, []string{named}, question)[0]
+			// Only that node knows whether it still batches.
+			reply = b.callAll(ctx, []string{named}, request)[0]
 		}
 		switch {
 		case reply.Batched:
@@ -160,24 +159,24 @@
 	return yielded, other
 }
 
-// ask asks several nodes at once; nodes that do not answer leave empty replies.
-func (b *batcher) callAll(ctx context.Context, nodes []string, question peer.TakeOver) []peer.TakeOverReply {
+// callAll sends a request to several nodes in parallel. The reply of a node that does not answer is empty.
+func (b *batcher) callAll(ctx context.Context, nodes []string, request peer.TakeOver) []peer.TakeOverReply {
 	r := b.relay
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	replies := make([]peer.TakeOverReply, len(nodes))
 	for i, node := range nodes {
-		asked.Go(func() {
-			if r.peers.Call(ctx, r.addressOf(node), peer.KindTakeOver, question, &replies[i]) != nil {
+		calls.Go(func() {
+			if r.peers.Call(ctx, r.addressOf(node), peer.KindTakeOver, request, &replies[i]) != nil {
 				r.metrics.Event("TakeOverUnanswered")
 			}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return replies
 }
 
-// possibleBatchers returns the other nodes that may batch for the pool, whether they are reachable or not:
-// a node that is leaving may still hold groups that wait.
+// possibleBatchers returns the other nodes that may batch for the pool, reachable or not: a leaving node may still
+// hold waiting groups.
 func (b *batcher) possibleBatchers() []string {
 	var peers []kernel.Peer
 	for _, n := range *b.relay.nodes.Load() {
@@ -195,7 +194,8 @@
 	return nodes
 }
 
-// yield answers a node that batches or is about to: this one leaves the pool to it, or says who batches.
+// answerTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
+// node that batches.
 func (b *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
 	r := b.relay
 	b.mu.Lock()
@@ -218,7 +218,7 @@
 	}
 }
 
-// stepDown leaves the pool to another node.
+// stepDown hands the pool over to another node.
 func (b *batcher) stepDown(to string) {
 	r := b.relay
 	b.mu.Lock()
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -10,43 +10,44 @@
 )
 
 type (
-	// Options are what a relay is told at its start.
+	// Options configures a relay.
 	Options struct {
-		// Name and Domain are the node's.
+		// Name and Domain are the name and the failure domain of the node.
 		Name   string
 		Domain string
-		// Regions holds the region of each failure domain; a domain that it does not name belongs to the region "".
+		// Regions holds the region of each failure domain. Domains that are not listed are in the region "".
 		Regions map[string]string
-		// Capacity is what the host can carry relative to others.
+		// Capacity is the capacity of the node's host relative to others.
 		Capacity float64
-		// MaxRoutingAge is the greatest age of the routing that API keys are trusted by; zero means
-		// that keys are trusted however old the routing is.
+		// MaxRoutingAge is the maximum age of the routing up to which API keys are trusted; 0 means that they are
+		// trusted regardless of its age.
 		MaxRoutingAge time.Duration
-		// Budget bounds the repeated sends of all nodes together to each pool.
+		// RetryLimits bounds the repeated sends of all nodes together to each pool.
 		RetryLimits kernel.FleetRetryLimits
-		// Cold bounds what all nodes together send to cold endpoints.
+		// ColdLimits bounds what all nodes together send to cold endpoints.
 		ColdLimits kernel.ColdLimits
-		// Policy says which mechanisms decide.
+		// Policy selects the scheduling mechanisms in use.
 		Policy kernel.Policy
 	}
 
-	// Wire is how the relay reaches endpoints.
+	// Dependencies are the functions through which a relay reaches endpoints and the store.
 	Dependencies struct {
 		// Forward sends a request to an endpoint, once.
 		Forward func(ctx context.Context, send Send) (*model.ForwardReply, error)
 		// RunPieces makes one call for pieces. The results are in the order of the pieces.
 		RunPieces func(ctx context.Context, e model.Endpoint, pieces []model.Piece) (PieceReply, error)
-		// Free gives up results that an endpoint holds.
+		// FreeResults frees results that an endpoint holds.
 		FreeResults func(ctx context.Context, e model.Endpoint, handles []string) error
-		// Room returns how many bytes of results an endpoint has room for now.
+		// FreeRoom returns how many bytes of results an endpoint has room for now.
 		FreeRoom func(ctx context.Context, e model.Endpoint) (int64, error)
 		// Connect opens a connection to an address and keeps it for a later call.
 		Connect func(ctx context.Context, address string) error
-		// StoreQuarantine writes into the store which requests are held back, and which no longer.
+		// StoreQuarantine writes a change of the held requests to the store.
 		StoreQuarantine func(ctx context.Context, change kernel.QuarantineChange) error
-		// PublishRateCap writes into the store what an endpoint says of the requests that it takes, for all nodes to learn.
+		// PublishRateCap writes the rate cap that an endpoint states, or that it states none, to the store, from which
+		// all nodes learn it.
 		PublishRateCap func(ctx context.Context, incarnation string, stated model.RateCap) error
-		// Retire closes the idle connections to an address.
+		// CloseIdle closes the idle connections to an address.
 		CloseIdle func(address string)
 	}
 
@@ -55,67 +56,72 @@
 		Endpoint model.Endpoint
 		Forward  model.Forward
 		Customer string
-		// Until is when the endpoint should stop.
+		// Until is the deadline up to which the endpoint should work on the request.
 		Until time.Time
-		// Inputs are the results that the request needs.
+		// Inputs are the handles of the results that the request needs.
 		Inputs []string
-		// After is the ID of the last event that the caller has of a resumed stream.
+		// LastEventID is the ID of the last event that the caller has received of a resumed stream; empty for other
+		// sends.
 		LastEventID string
-		// Fresh asks for a connection that has not been idle for long: the request must not be
+		// FreshConnection demands a connection that has not been idle for long, because the request must not be
 		// repeated.
 		FreshConnection bool
-		// BeforeSend decides, when a connection is open, whether the request is still to be sent.
+		// BeforeSend is called when a connection is open. If it returns an error, the request is not sent.
 		BeforeSend func() error
 	}
 
 	// PieceReply is an endpoint's answer to a call for pieces.
 	PieceReply struct {
-		// NotRun is the endpoint's word that it did nothing; there are no results then.
+		// NotRun is true if the endpoint states that it did not run the call; there are no results then.
 		NotRun bool
-		// Misdirected is true where another endpoint has the address now; it implies NotRun.
+		// Misdirected is true if the address now belongs to another endpoint; it implies NotRun.
 		Misdirected bool
-		// RateCap is what the endpoint says of the requests that it takes.
+		// RateCap is the rate cap that the endpoint states, if any.
 		RateCap model.RateCap
 		Results []model.PieceResult
 	}
 
-	// Responder passes an answer back to a caller.
+	// Responder sends an answer to a caller.
 	Responder struct {
-		// Begin sends status and header; it is called once.
+		// Begin sends the status and the header. It is called at most once.
 		Begin func(status int, header http.Header)
-		// Write sends a part of the body at once.
+		// Write sends a part of the body without buffering it.
 		Write func(p []byte) error
 	}
 
-	// Outcome is how a request ended: with a refusal before Begin, else with an answer that is
-	// whole or was broken off.
+	// Outcome is how a request ended: with a refusal before Begin, or with an answer that is complete or was broken
+	// off.
 	Outcome struct {
 		Refusal  *model.Refusal
 		Status   int
 		Complete bool
-		// Endpoint and Attempts say who answered and how many endpoints were asked.
+		// Endpoint is the name of the endpoint that answered; Attempts is how many endpoints the request was sent to.
 		Endpoint string
 		Attempts int
-		// First is how long the request waited for the first event of its stream; zero where none came.
+		// FirstEventTime is how long after its arrival the request got the first event of its stream; 0 if there was
+		// none.
 		FirstEventTime time.Duration
-		// Stages says what became of the stages that were begun.
+		// Stages has an entry for each stage that ended.
 		Stages []StageTiming
-		// Estimates is what was expected of the stages' pools where the request was refused for it.
+		// Estimates has the estimates for the pools of the stages; it is set only if the request was refused because
+		// of them.
 		Estimates []StageEstimate
-		// Late tells that the answer began after its objective.
+		// Late is true if the wait for the first event, since the first attempt of the caller, exceeded the objective of
+		// the route.
 		Late bool
 	}
 
-	// StageEstimate is what was expected of a pool before a stage: how long its pieces wait, and which share
-	// of its room is taken.
+	// StageEstimate is the estimate for the pool of a stage before the stage is started.
 	StageEstimate struct {
-		Pool      string
-		Wait      time.Duration
+		Pool string
+		// Wait is how long the pieces of the stage are expected to wait.
+		Wait time.Duration
+		// RoomTaken is the share of the pool's room that is taken, from 0 to 1.
 		RoomTaken float64
 	}
 
-	// StageTiming says how long a stage took, how much of that its pieces waited for a call, and which
-	// wait the batcher estimated when they came.
+	// StageTiming is how long a stage took and how it ended. Waited is how long its pieces waited for a call, Estimate
+	// the wait that the batcher estimated when they arrived.
 	StageTiming struct {
 		Stage    int
 		Pool     string
