--- a/relay/relay.go
+++ b/relay/relay.go
@@ -45,6 +45,7 @@
 		// registryMu serializes updates of the registry, which follow from changes of several tables of the store.
 		registryMu sync.Mutex
 
+		// mu guards pools and updates of view.
 		mu       sync.Mutex
 		view     atomic.Pointer[kernel.RoutingView]
 		registry atomic.Pointer[kernel.Registry]
