--- a/relay/batch.go
+++ b/relay/batch.go
@@ -64,10 +64,10 @@
 
 // runGroup has the pieces of a group made by the pool's batcher: all nodes use the same one for a pool, so
 // that the pieces of all requests can share calls. If a batcher does not answer, the next one is asked.
-func (r *Relay) runGroup(ctx context.Context, req batchRequest) stageDone {
+func (r *Relay) runGroup(ctx context.Context, req batchRequest) stageResult {
 	b := r.batchers.find(req.pool)
 	if b == nil {
-		return stageDone{refusal: model.NewRefusal(model.NotRun, model.NoEndpoint, kernel.ClampRetryAfter(refusedRetry), "the pool "+req.pool+" is not known")}
+		return stageResult{refusal: model.NewRefusal(model.NotRun, model.NoEndpoint, kernel.ClampRetryAfter(refusalRetryAfter), "the pool "+req.pool+" is not known")}
 	}
 	node := r.selectBatcher(b, nil)
 	failed := 0
@@ -107,7 +107,7 @@
 			node = r.selectBatcher(b, req.excluded)
 		}
 	}
-	return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(refusedRetry), "no node batched the pieces of pool "+req.pool)}
+	return stageResult{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(refusalRetryAfter), "no node batched the pieces of pool "+req.pool)}
 }
 
 // selectBatcher returns the node to ask for a pool's pieces: the last known batcher, or else the first node by
@@ -129,23 +129,23 @@
 }
 
 // stageResult converts a batcher's reply to the result of the stage.
-func (result batchResult) stageResult(req batchRequest) stageDone {
+func (result batchResult) stageResult(req batchRequest) stageResult {
 	pool := req.pool
 	if result.refused {
-		return stageDone{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
+		return stageResult{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
 	}
-	done := stageDone{made: result.outcome.Made}
+	done := stageResult{results: result.outcome.Made}
 	done.inputsFreed = result.outcome.InputsFreed
 	done.time.Waited = result.outcome.Waited
 	done.time.Estimate = result.report.wait
 	fault := result.outcome.Fault
-	if fault == "" && len(done.made) != len(req.pieces) {
+	if fault == "" && len(done.results) != len(req.pieces) {
 		// An incomplete set of results must not be used as an input.
 		fault = model.PieceFailed
 	}
 	if fault != "" {
 		done.time.Fault = fault
-		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusedRetry)),
+		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusalRetryAfter)),
 			fmt.Sprintf("pool %s: pieces not made: %s", pool, fault))
 	}
 	return done
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -87,9 +87,9 @@
 		peer.KindBatchCancel: r.answerBatchCancel,
 		peer.KindRelease:     r.answerRelease,
 		peer.KindProbe:       r.answerProbe,
-		peer.KindReturn:      r.answerReturn,
+		peer.KindReturn:      r.handleReturn,
 		peer.KindTakeOver:    r.answerTakeOver,
-		peer.KindCapPermit:   r.answerCapPermit,
+		peer.KindCapPermit:   r.handleCapPermit,
 	}
 	maps.Copy(handlers, r.quarantine.Handlers())
 	return handlers
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -28,7 +28,7 @@
 
 	// sendState is the state of a node's sends to one endpoint.
 	sendState struct {
-		// sentAt is when the node last sent to the endpoint or granted another node a permit to do so.
+		// lastSentAt is when the node last sent to the endpoint or granted another node a permit to do so.
 		sentAt time.Time
 		// coldRole is whether the node may send while the endpoint is cold.
 		coldRole kernel.ColdRole
--- a/relay/held.go
+++ b/relay/held.go
@@ -26,7 +26,7 @@
 
 // roomScarce reports whether room is scarce in the pool that holds a stage's results.
 func (s *stageRun) roomScarce(stage int) bool {
-	return s.relay.batchers.lastEstimate(s.queue(stage)).Scarce()
+	return s.relay.batchers.lastEstimate(s.queueName(stage)).Scarce()
 }
 
 // handleFirstEvent frees the engine's inputs at the first event of its stream, if the stream cannot be resumed at
@@ -37,7 +37,7 @@
 	if j.admission.Route.Resumable && !early {
 		return
 	}
-	run.released = len(run.plan.FinalStages) > 0
+	run.inputsReleased = len(run.plan.FinalStages) > 0
 	run.releaseAll()
 }
 
@@ -105,10 +105,10 @@
 }
 
 // drain waits for the stages of an abandoned request that still run, and frees all results.
-func (s *stageRun) drain(done <-chan stageDone, running int) {
+func (s *stageRun) drain(done <-chan stageResult, running int) {
 	for range running {
 		d := <-done
-		s.holdResults(d.stage, d.made)
+		s.holdResults(d.stage, d.results)
 	}
 	s.releaseAll()
 }
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -15,7 +15,7 @@
 	r.nodes.Store(&nodes)
 	r.nodesKnown.Store(true)
 	for _, name := range announced {
-		r.suspects.announced(name)
+		r.suspects.probeNow(name)
 	}
 }
 
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// fallbackFirstEvent stands in for the time to a stream's first event while too few were
+	// defaultFirstEventTime stands in for the time to a stream's first event while too few were
 	// seen: a long prompt read beside others.
-	fallbackFirstEvent = 300 * time.Millisecond
-	firstEventQuantile = 0.7
+	defaultFirstEventTime = 300 * time.Millisecond
+	firstEventQuantile    = 0.7
 )
 
 type (
@@ -32,11 +32,11 @@
 	endpointState struct {
 		inFlight int
 		// reading is how many prompt tokens of requests without a first event it has.
-		reading int
-		load    model.Load
-		loadAt  time.Time
-		health  kernel.Health
-		gate    sendState
+		pendingPrefillTokens int
+		load                 model.Load
+		loadAt               time.Time
+		health               kernel.Health
+		gate                 sendState
 	}
 
 	// choice is an endpoint chosen for one send, counted as in flight.
@@ -97,7 +97,7 @@
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.take(now, gate, usable[i], 0), true
+	return p.reserve(now, gate, usable[i], 0), true
 }
 
 // pickEngine chooses one of the listed engines for a prompt and counts it as in flight.
@@ -107,23 +107,23 @@
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
 	choices := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
-		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).reading})
+		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).pendingPrefillTokens})
 	}
 	i := kernel.PickEngine(now, choices, key)
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.take(now, gate, usable[i], prompt.TokensIn), true
+	return p.reserve(now, gate, usable[i], prompt.TokensIn), true
 }
 
-func (p *pool) take(now time.Time, gate sendLimits, c kernel.Candidate, reading int) choice {
+func (p *pool) reserve(now time.Time, gate sendLimits, c kernel.Candidate, reading int) choice {
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
 		s.gate.sentAt = now
 	}
 	s.inFlight++
-	s.reading += reading
+	s.pendingPrefillTokens += reading
 	if c.Health.Ejected() {
 		s.health = s.health.WithProbe()
 	}
@@ -131,14 +131,14 @@
 }
 
 // permitted notes that an endpoint is sent to with another node's permit.
-func (p *pool) permitted(now time.Time, incarnation string) {
+func (p *pool) recordPermittedSend(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).gate.sentAt = now
 }
 
 // permit has it decided whether another node may send to an endpoint in this one's place.
-func (p *pool) permit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
+func (p *pool) grantPermit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
@@ -149,8 +149,8 @@
 	return granted, wait
 }
 
-// sentAt returns when something was last sent to an endpoint.
-func (p *pool) sentAt(incarnation string) time.Time {
+// lastSentAt returns when something was last sent to an endpoint.
+func (p *pool) lastSentAt(incarnation string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.states[incarnation]; s != nil {
@@ -159,36 +159,36 @@
 	return time.Time{}
 }
 
-// readPrompt notes that an engine has read a prompt.
-func (p *pool) readPrompt(incarnation string, tokens int, took time.Duration) {
+// recordFirstEvent notes that an engine has read a prompt.
+func (p *pool) recordFirstEvent(incarnation string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).reading -= tokens
+	p.state(incarnation).pendingPrefillTokens -= tokens
 	p.firstEvent.Observe(took)
 }
 
-// dropPrompt notes that a prompt will not be read.
-func (p *pool) dropPrompt(incarnation string, tokens int) {
+// dropPendingPrefill notes that a prompt will not be read.
+func (p *pool) dropPendingPrefill(incarnation string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).reading -= tokens
+	p.state(incarnation).pendingPrefillTokens -= tokens
 }
 
 // leave counts a request as no longer in flight.
-func (p *pool) leave(incarnation string) {
+func (p *pool) release(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).inFlight--
 }
 
-func (p *pool) succeeded(incarnation string) {
+func (p *pool) recordSuccess(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithSuccess()
 }
 
-func (p *pool) failed(now time.Time, incarnation string) {
+func (p *pool) recordFailure(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
@@ -196,14 +196,14 @@
 }
 
 // unreachable notes that an endpoint could not be connected to.
-func (p *pool) unreachable(now time.Time, incarnation string) {
+func (p *pool) recordUnreachable(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithUnreachable(now)
 }
 
-func (p *pool) reported(now time.Time, incarnation string, load *model.Load) {
+func (p *pool) recordLoad(now time.Time, incarnation string, load *model.Load) {
 	if load == nil {
 		return
 	}
@@ -214,20 +214,20 @@
 	s.loadAt = now
 }
 
-func (p *pool) request(now time.Time) {
+func (p *pool) recordRequest(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.Request(now)
 }
 
-func (p *pool) takeRepeat(now time.Time, nodes int) bool {
+func (p *pool) takeRetry(now time.Time, nodes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.TakeRetry(now, nodes)
 }
 
-func (p *pool) expectFirstEvent() time.Duration {
+func (p *pool) estimateFirstEventTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.firstEvent.Quantile(firstEventQuantile, fallbackFirstEvent)
+	return p.firstEvent.Quantile(firstEventQuantile, defaultFirstEventTime)
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -18,7 +18,7 @@
 
 // A process may end and be back without a word on its connections: the list alone says that another start of it is
 // there. What was under way is counted as at any other end.
-func TestCallsToAFormerIncarnationCountAgainstTheirRequest(t *testing.T) {
+func TestCallsToFormerIncarnationCountAsCrash(t *testing.T) {
 	b := newTestBed(t)
 	b.deps.Forward = func(ctx context.Context, _ relay.Send) (*model.ForwardReply, error) {
 		<-ctx.Done()
@@ -45,7 +45,7 @@
 }
 
 // What an endpoint cuts as it leaves was announced, and says nothing of the requests.
-func TestAnEndpointThatLeavesIsNotEndedByItsRequests(t *testing.T) {
+func TestConnectionCutByLeavingEndpointIsNoCrash(t *testing.T) {
 	b := newTestBed(t)
 	var leave func()
 	b.deps.Forward = func(context.Context, relay.Send) (*model.ForwardReply, error) {
--- a/relay/ratecaps_test.go
+++ b/relay/ratecaps_test.go
@@ -13,7 +13,7 @@
 
 // An endpoint may be chosen for a request, and be known to state a rate cap by the time that a connection to it is open. The
 // request goes elsewhere, and that is no repeat.
-func TestARequestWhoseEndpointStatesARateCapBeforeItIsSent(t *testing.T) {
+func TestRequestMovesOnIfRateCapArrivesBeforeSend(t *testing.T) {
 	b := newTestBed(t)
 	var sent []string
 	capped := ""
@@ -35,7 +35,7 @@
 
 // The trial of a request that is held back is a send like any other: it goes to no endpoint beyond its rate cap, and is
 // still there once an endpoint takes it. Guards against a trial that passes the caps by.
-func TestATrialKeepsWithinRateCaps(t *testing.T) {
+func TestTrialObeysRateCaps(t *testing.T) {
 	b := newTestBed(t)
 	var sent []string
 	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -61,7 +61,7 @@
 		// activeCalls holds the calls in flight, which are cancelled when their endpoint restarts.
 		activeCalls *callTracker
 		// refusedRequests holds the refused requests of the pools that this node coordinates.
-		refusedRequests *returning
+		refusedRequests *refusedRequests
 		// quarantine holds back requests that crash the endpoints that run them.
 		quarantine *quarantine.Coordinator
 		// rateCaps limits what is sent to endpoints that state a rate cap.
@@ -95,8 +95,8 @@
 		now:            now,
 		startedAt:      now(),
 		log:            log,
-		answersLog:     sampled(log, answersBurst),
-		lateAnswersLog: sampled(log, lateBurst),
+		answersLog:     sampled(log, answerLogBurst),
+		lateAnswersLog: sampled(log, lateAnswerLogBurst),
 		metrics:        metrics,
 		peers:          peer.NewClient(options.Name, ""),
 		pools:          map[string]*pool{},
@@ -106,7 +106,7 @@
 	r.batchers = newBatcherSet(r)
 	r.remoteGroups = newRemoteGroups()
 	r.activeCalls = newCallTracker()
-	r.refusedRequests = newReturning()
+	r.refusedRequests = newRefusedRequests()
 	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: deps.Connect, Store: deps.StoreQuarantine,
 	}, now, metrics, log)
@@ -119,7 +119,7 @@
 	r.registry.Store(&registry)
 	r.view.Store(&kernel.RoutingView{})
 	r.nodes.Store(&[]Node{})
-	r.rateCaps = r.newRateCaps()
+	r.rateCaps = r.newRateCapLimiter()
 	go func() {
 		ticker := time.NewTicker(sweepInterval)
 		defer ticker.Stop()
@@ -209,7 +209,7 @@
 	registry := change(before)
 	r.registry.Store(&registry)
 	changes := registry.Changes(before)
-	r.logRegistry(changes)
+	r.logRegistryChanges(changes)
 	r.batchers.setEndpoints(registry)
 	r.cancelStaleCalls(changes)
 	r.quarantine.ApplyEndpointList(registry.Endpoints)
@@ -251,7 +251,7 @@
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
 	}
 	if refusal == nil {
-		refusal = r.refusesCapped(admission)
+		refusal = r.admitRateCaps(admission)
 	}
 	if refusal != nil {
 		return r.refuseUnstarted(f, admission, view, refusal)
@@ -263,17 +263,17 @@
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
-	job := &job{relay: r, forward: f, admission: admission, out: out, began: r.now(), trial: trial}
+	job := &job{relay: r, forward: f, admission: admission, responder: out, startedAt: r.now(), trial: trial}
 	var outcome Outcome
 	if admission.Route.Kind == model.Stream {
-		outcome = job.stream(ctx)
+		outcome = job.serveStream(ctx)
 	} else {
-		outcome = job.unary(ctx)
+		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stages
+	outcome.Stages = job.stageTimes
 	f = job.forward
 	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stages) == 0 {
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
@@ -281,7 +281,7 @@
 		r.metrics.Refused(outcome.Refusal)
 		r.metrics.RefusedAfter(outcome.Refusal, r.now().Sub(f.ReceivedAt))
 		if outcome.Refusal.Verdict == model.NotRun && outcome.Refusal.RetryAfter > 0 {
-			r.noteRefused(job.forward, admission)
+			r.recordRefused(job.forward, admission)
 		}
 	case !outcome.Complete:
 		r.metrics.Event("AnswerBrokenOff")
@@ -292,7 +292,7 @@
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
 		r.quarantine.CancelTrial(f.Digest)
 	}
-	r.logEnd(f, admission, view, outcome)
+	r.logOutcome(f, admission, view, outcome)
 	return outcome
 }
 
@@ -300,6 +300,6 @@
 func (r *Relay) refuseUnstarted(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
 	r.metrics.Refused(refusal)
 	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
-	r.logEnd(f, a, view, Outcome{Refusal: refusal})
+	r.logOutcome(f, a, view, Outcome{Refusal: refusal})
 	return Outcome{Refusal: refusal}
 }
