--- a/relay/permits_test.go
+++ b/relay/permits_test.go
@@ -16,7 +16,7 @@
 
 // permitHarness is a relay that needs the permit of another node to send to any endpoint of the pool, and that node.
 type permitHarness struct {
-	*bed
+	*testBed
 	// granted is the other node's answer.
 	granted atomic.Bool
 	// permitRequests is the number of requests for permits that the other node has received.
@@ -26,7 +26,7 @@
 }
 
 func newPermitHarness(t *testing.T) *permitHarness {
-	h := &permitHarness{bed: newBed(t)}
+	h := &permitHarness{testBed: newTestBed(t)}
 	sharer, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
 	t.Cleanup(func() { sharer.Close() })
@@ -40,7 +40,7 @@
 	for _, name := range []string{"plain-0", "plain-1"} {
 		h.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
 	}
-	h.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	h.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if err := s.BeforeSend(); err != nil {
 			return nil, err
 		}
@@ -85,8 +85,8 @@
 	h.granted.Store(true)
 	time.Sleep(3 * time.Second)
 	attempts := 0
-	forward := h.wire.Forward
-	h.wire.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
+	forward := h.deps.Forward
+	h.deps.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
 		attempts++
 		time.Sleep(kernel.PermitLifetime)
 		return forward(ctx, s)
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -37,7 +37,7 @@
 		load   model.Load
 		loadAt time.Time
 		health kernel.Health
-		gate   gateState
+		gate   sendState
 	}
 
 	// choice is an endpoint chosen for one attempt, which already counts as in flight.
@@ -53,7 +53,7 @@
 	defer r.mu.Unlock()
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
+		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.RetryLimits, r.startedAt), states: map[string]*endpointState{}}
 		r.pools[name] = p
 	}
 	return p
@@ -70,7 +70,7 @@
 
 // candidates returns the listed endpoints that this node may send to now, with their state. It also drops the states of
 // endpoints that are no longer listed.
-func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate gate) []kernel.Candidate {
+func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate sendLimits) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(listed))
 	for _, e := range listed {
 		s := p.state(e.Incarnation())
@@ -90,7 +90,7 @@
 }
 
 // pick chooses one of the listed endpoints for a unary request and reserves it.
-func (p *pool) pick(now time.Time, listed []model.Endpoint, gate gate, domain string, excluded []string) (choice, bool) {
+func (p *pool) pick(now time.Time, listed []model.Endpoint, gate sendLimits, domain string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
@@ -102,7 +102,7 @@
 }
 
 // pickEngine chooses one of the listed engines for a prompt and reserves it.
-func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate gate, prompt model.Prompt, key string, excluded []string) (choice, bool) {
+func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate sendLimits, prompt model.Prompt, key string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
@@ -119,7 +119,7 @@
 
 // reserve counts a request, and the prompt tokens that its engine has to read, as in flight at an endpoint. If the
 // endpoint is ejected, the request is its probe.
-func (p *pool) reserve(now time.Time, gate gate, c kernel.Candidate, prefillTokens int) choice {
+func (p *pool) reserve(now time.Time, gate sendLimits, c kernel.Candidate, prefillTokens int) choice {
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -20,15 +20,15 @@
 // newRateCapLimiter returns the limiter of this node's sends to endpoints with rate caps.
 func (r *Relay) newRateCapLimiter() *ratecap.Limiter {
 	return ratecap.NewLimiter(r.ctx, r.options.Name, ratecap.Dependencies{
-		Announced: r.announced,
+		Announced: r.announcedPeers,
 		Listed: func(incarnation string) bool {
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
 		Part:          r.capPart,
-		Publish:       r.wire.PublishRateCap,
+		Publish:       r.deps.PublishRateCap,
 		RequestPermit: r.requestCapPermit,
-		Changed:       r.hub.setRateCaps,
+		Changed:       r.batchers.updateRateCaps,
 	}, r.now, r.metrics, r.log)
 }
 
@@ -42,7 +42,7 @@
 // requestCapPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
 // denied, wait is the time until this node's turn.
 func (r *Relay) requestCapPermit(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error) {
-	if !r.reachable(node) {
+	if !r.isReachable(node) {
 		return false, 0, errNodeUnavailable
 	}
 	var reply peer.CapPermitReply
@@ -79,7 +79,7 @@
 func (r *Relay) forward(ctx context.Context, send Send) (*model.ForwardReply, error) {
 	sentAt := r.now()
 	r.rateCaps.RecordSend(send.Endpoint)
-	reply, err := r.wire.Forward(ctx, send)
+	reply, err := r.deps.Forward(ctx, send)
 	if err == nil && !reply.Misdirected {
 		r.recordRateCap(sentAt, send.Endpoint, reply.RateCap, reply.Authentic)
 	}
@@ -90,7 +90,7 @@
 func (r *Relay) runPieces(ctx context.Context, e model.Endpoint, pieces []model.Piece) (PieceReply, error) {
 	sentAt := r.now()
 	r.rateCaps.RecordSend(e)
-	reply, err := r.wire.RunPieces(ctx, e, pieces)
+	reply, err := r.deps.RunPieces(ctx, e, pieces)
 	if !reply.Misdirected {
 		r.recordRateCap(sentAt, e, reply.RateCap, err == nil && !reply.NotRun)
 	}
@@ -107,12 +107,12 @@
 
 // chooseEndpoint chooses an endpoint for one attempt by pick. If this node may send to the endpoint only with another
 // node's permit, it requests one; if the permit is denied, it calls release for the endpoint and chooses another.
-func (j *job) chooseEndpoint(ctx context.Context, p *pool, pick func(now time.Time, g gate) (choice, bool), release func(model.Endpoint)) (model.Endpoint, bool) {
+func (j *job) chooseEndpoint(ctx context.Context, p *pool, pick func(now time.Time, g sendLimits) (choice, bool), release func(model.Endpoint)) (model.Endpoint, bool) {
 	r := j.relay
 	j.permitUntil = time.Time{}
-	g := r.gate(p.name)
+	g := r.sendLimits(p.name)
 	for requested := 0; ; requested++ {
-		g.permits = requested < maxPermitRequests
+		g.allowPermits = requested < maxPermitRequests
 		now := r.now()
 		c, ok := pick(now, g)
 		if !ok || !c.needsPermit {
--- a/relay/ratecaps_test.go
+++ b/relay/ratecaps_test.go
@@ -14,10 +14,10 @@
 // A node may learn of an endpoint's rate cap after it has chosen the endpoint, but before the connection is open. The
 // request has to go to another endpoint, without counting as a retry.
 func TestRequestMovesOnIfRateCapArrivesBeforeSend(t *testing.T) {
-	b := newBed(t)
+	b := newTestBed(t)
 	var sent []string
 	capped := ""
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if capped == "" {
 			capped = s.Endpoint.Name
 			b.relay.SetRateCap(s.Endpoint.Incarnation(), model.NewRateCap(1))
@@ -36,13 +36,13 @@
 // Guards against a trial of a quarantined request that bypasses rate caps: it must not go to an endpoint beyond its
 // cap, and must not be used up by the refusal.
 func TestTrialObeysRateCaps(t *testing.T) {
-	b := newBed(t)
+	b := newTestBed(t)
 	var sent []string
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		sent = append(sent, s.Endpoint.Name)
 		return reply("answer"), nil
 	}
-	b.relay.SetHeldBack(kernel.QuarantineChange{Hold: []kernel.HeldRequest{{Digest: model.NewDigest("", "h", "/get/one", ""), Pool: "plain"}}})
+	b.relay.ApplyQuarantineChange(kernel.QuarantineChange{Hold: []kernel.HeldRequest{{Digest: model.NewDigest("", "h", "/get/one", ""), Pool: "plain"}}})
 	for _, name := range []string{"plain-0", "plain-1"} {
 		b.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay takes callers' requests through their stages to endpoints and passes the answers
-// back as they come. It does the I/O around the kernel's decisions; how requests, pieces and
-// replies look on the wire is left to the seams that it is given.
+// Package relay runs callers' requests: it has the pieces of their stages made, sends each request to an
+// endpoint and streams the answer back. It does the I/O for the decisions of package kernel; the
+// functions in Dependencies implement the wire formats.
 package relay
 
 import (
@@ -20,94 +20,95 @@
 )
 
 const (
-	// sweepEvery is how often idle connections and what waits too long are looked over.
-	sweepEvery = 200 * time.Millisecond
-	// peerSilence is after which time a node that does not answer is held lost, with the pieces that
-	// wait for it: several times what a collection of garbage or a used-up processor quota takes, and
-	// a third of the slack of a usual objective.
-	peerSilence = 600 * time.Millisecond
+	// sweepInterval is how often groups of pieces that can no longer be made in time are ended.
+	sweepInterval = 200 * time.Millisecond
+	// peerSilenceTimeout is how long a node may be silent before it counts as lost, with the pieces that
+	// wait for it: several times the pause of a garbage collection or an exhausted CPU quota, and a third
+	// of the slack of a usual objective.
+	peerSilenceTimeout = 600 * time.Millisecond
 )
 
 type (
-	// Relay serves callers' requests. It is safe for concurrent use.
+	// Relay serves callers' requests, and batches pieces for other nodes. It is safe for concurrent use.
 	Relay struct {
-		options Options
-		wire    Wire
-		now     func() time.Time
-		// startedAt is when the node started.
+		options   Options
+		deps      Dependencies
+		now       func() time.Time
 		startedAt time.Time
 		log       zerolog.Logger
-		// answers and lateAnswers are samples of log.
-		answers     zerolog.Logger
-		lateAnswers zerolog.Logger
-		metrics     *metric.Set
-		peers       *peer.Client
+		// answersLog and lateAnswersLog write samples to log.
+		answersLog     zerolog.Logger
+		lateAnswersLog zerolog.Logger
+		metrics        *metric.Set
+		peers          *peer.Client
 
-		// registryChange is held while the registry changes: several tables of the store bear on it.
-		registryChange sync.Mutex
+		// registryMu serializes updates of the registry, which follow from changes of several tables of the store.
+		registryMu sync.Mutex
 
+		// mu guards pools and updates of view.
 		mu       sync.Mutex
 		view     atomic.Pointer[kernel.RoutingView]
 		registry atomic.Pointer[kernel.Registry]
 		nodes    atomic.Pointer[[]Node]
-		// knowsNodes is true once it was told which nodes there are.
-		knowsNodes atomic.Bool
+		// nodesKnown is true after the first call of SetNodes.
+		nodesKnown atomic.Bool
 		pools      map[string]*pool
-		hub        *hub
-		// suspects are nodes that did not answer; remote holds other nodes' groups here.
+		batchers   *batcherSet
+		// suspects holds the nodes that did not answer.
 		suspects *suspects
-		remote   *remoteGroups
-		// incarnations ends the calls to endpoints that have started again.
-		incarnations *incarnations
-		// returning holds the refused requests of the pools that this node batches for.
-		returning *refusedRequests
-		// quarantine holds back the requests that end the endpoints that run them.
+		// remoteGroups holds the groups of other nodes that this one batches.
+		remoteGroups *remoteGroups
+		// activeCalls holds the calls in flight, which are cancelled when their endpoint restarts.
+		activeCalls *callTracker
+		// refusedRequests holds the refused requests of the pools that this node coordinates.
+		refusedRequests *refusedRequests
+		// quarantine holds back requests that crash the endpoints that run them.
 		quarantine *quarantine.Coordinator
-		// rateCaps holds the endpoints that bound what they take.
+		// rateCaps limits what is sent to endpoints that state a rate cap.
 		rateCaps *ratecap.Limiter
 
-		// goneAt is when a leaving node will be gone; nil while it is not leaving.
-		goneAt   atomic.Pointer[time.Time]
-		inFlight atomic.Int64
-		groups   atomic.Uint64
-		ctx      context.Context
-		cancel   context.CancelFunc
+		// stopsAt is when a leaving node will stop; nil while it is not leaving.
+		stopsAt     atomic.Pointer[time.Time]
+		inFlight    atomic.Int64
+		lastGroupID atomic.Uint64
+		ctx         context.Context
+		cancel      context.CancelFunc
 	}
 
-	// Node is another node, or this one, as a batcher of pieces.
+	// Node is a node that can batch pieces: another one or this one.
 	Node struct {
 		Name    string
 		Domain  string
 		Address string
-		// Capacity is what its host can carry relative to others.
+		// Capacity is the capacity of the node's host relative to others.
 		Capacity float64
 		Leaving  bool
 	}
 )
 
-// NewRelay returns a relay that knows no routing and no endpoint yet. The clock must count the
-// time in which the process was suspended.
-func NewRelay(options Options, wire Wire, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Relay {
+// NewRelay returns a relay that knows no routing and no endpoint yet. The clock must include the time in
+// which the process was suspended.
+func NewRelay(options Options, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Relay {
 	r := &Relay{
-		options:     options,
-		wire:        wire,
-		now:         now,
-		startedAt:   now(),
-		log:         log,
-		answers:     sampled(log, answerLogBurst),
-		lateAnswers: sampled(log, lateAnswerLogBurst),
-		metrics:     metrics,
-		peers:       peer.NewClient(options.Name, ""),
-		pools:       map[string]*pool{},
+		options:        options,
+		deps:           deps,
+		now:            now,
+		startedAt:      now(),
+		log:            log,
+		answersLog:     sampled(log, answerLogBurst),
+		lateAnswersLog: sampled(log, lateAnswerLogBurst),
+		metrics:        metrics,
+		peers:          peer.NewClient(options.Name, ""),
+		pools:          map[string]*pool{},
 	}
-	r.peers.SetSilence(peerSilence)
+	r.peers.SetSilence(peerSilenceTimeout)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	r.hub = newHub(r)
-	r.remote = newRemoteGroups()
-	r.incarnations = newIncarnations()
-	r.returning = newRefusedRequests()
+	r.batchers = newBatcherSet(r)
+	r.remoteGroups = newRemoteGroups()
+	r.activeCalls = newCallTracker()
+	r.refusedRequests = newRefusedRequests()
 	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
-		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.HoldBack,
+		Peers: r.Reachable, Call: r.callNode, Connect: deps.Connect, Store: deps.StoreQuarantine,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
 	metrics.Gauge("endpoints_with_rate_cap", func() float64 { return float64(r.rateCaps.Len()) })
@@ -120,12 +121,12 @@
 	r.nodes.Store(&[]Node{})
 	r.rateCaps = r.newRateCapLimiter()
 	go func() {
-		ticker := time.NewTicker(sweepEvery)
+		ticker := time.NewTicker(sweepInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				r.hub.expire()
+				r.batchers.expireGroups()
 			case <-r.ctx.Done():
 				return
 			}
@@ -134,24 +135,24 @@
 	return r
 }
 
-// Close ends the relay's work at once.
+// Close stops the relay and cancels its calls.
 func (r *Relay) Close() {
 	r.cancel()
 	r.peers.Close()
 }
 
-// Leave makes the relay batch no more pieces for other nodes and take no more requests that
-// might not end before a time.
-func (r *Relay) Leave(gone time.Time) {
-	r.goneAt.Store(&gone)
+// Leave makes the relay batch no more pieces for other nodes, and refuse requests that might not end
+// before stopsAt.
+func (r *Relay) Leave(stopsAt time.Time) {
+	r.stopsAt.Store(&stopsAt)
 }
 
-// Leaving tells whether callers are to open their next connection elsewhere.
+// Leaving reports whether Leave was called: callers should open new connections to other nodes.
 func (r *Relay) Leaving() bool {
-	return r.goneAt.Load() != nil
+	return r.stopsAt.Load() != nil
 }
 
-// Ready tells whether callers should open new connections here, and why not.
+// Ready reports whether callers should open new connections to this node, and if not, why.
 func (r *Relay) Ready() (bool, string) {
 	view := r.View()
 	switch {
@@ -161,14 +162,14 @@
 		return false, "no routing yet"
 	case r.Registry().Len() == 0:
 		return false, "no endpoints yet"
-	case r.options.KeyTrust > 0 && !view.Fresh(r.now(), r.options.KeyTrust):
+	case r.options.MaxRoutingAge > 0 && !view.Fresh(r.now(), r.options.MaxRoutingAge):
 		return false, "the routing is too old"
 	default:
 		return true, ""
 	}
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests that are being served.
 func (r *Relay) InFlight() int64 {
 	return r.inFlight.Load()
 }
@@ -178,13 +179,13 @@
 	return *r.view.Load()
 }
 
-// Registry returns what is known of endpoints.
+// Registry returns the endpoints that are known.
 func (r *Relay) Registry() kernel.Registry {
 	return *r.registry.Load()
 }
 
-// SetRouting takes in what a store call that began at a time showed: a table, or, with nil, that
-// nothing newer exists.
+// SetRouting applies the result of a store call that began at the given time: a new table, or nil if the
+// present one is still the newest.
 func (r *Relay) SetRouting(began time.Time, table *kernel.RouteTable) {
 	r.mu.Lock()
 	old := *r.view.Load()
@@ -196,31 +197,31 @@
 	}
 	r.metrics.Event("RoutingChanged")
 	r.log.Info().Uint64("Version", view.Table.Version()).Uint64("Before", old.Table.Version()).Msg("routing in force")
-	r.hub.setTraits(view.Table)
-	r.hub.setEndpoints(r.Registry())
+	r.batchers.applyRouting(view.Table)
+	r.batchers.setEndpoints(r.Registry())
 }
 
-// ChangeRegistry takes over what is newly known of endpoints.
-func (r *Relay) ChangeRegistry(change func(before kernel.Registry) kernel.Registry) {
-	r.registryChange.Lock()
-	defer r.registryChange.Unlock()
+// UpdateRegistry replaces the registry by the result of change, and applies the differences.
+func (r *Relay) UpdateRegistry(change func(before kernel.Registry) kernel.Registry) {
+	r.registryMu.Lock()
+	defer r.registryMu.Unlock()
 	before := *r.registry.Load()
 	registry := change(before)
 	r.registry.Store(&registry)
 	changes := registry.Changes(before)
 	r.logRegistryChanges(changes)
-	r.hub.setEndpoints(registry)
-	r.endFormerIncarnations(changes)
+	r.batchers.setEndpoints(registry)
+	r.cancelStaleCalls(changes)
 	r.quarantine.ApplyEndpointList(registry.Endpoints)
 }
 
-// SetEvacuations takes over which failure domains are evacuated, and which no longer.
-func (r *Relay) SetEvacuations(change kernel.EvacuationChange) {
+// ApplyEvacuationChange applies a change of the evacuated failure domains.
+func (r *Relay) ApplyEvacuationChange(change kernel.EvacuationChange) {
 	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
 	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
 		return
 	}
-	r.ChangeRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
+	r.UpdateRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
 	for _, domain := range news.Evacuated {
 		r.metrics.Event("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
@@ -231,20 +232,20 @@
 	}
 }
 
-// SetHeldBack takes over which requests the store says are held back, and which no longer.
-func (r *Relay) SetHeldBack(change kernel.QuarantineChange) {
+// ApplyQuarantineChange applies a change of the held requests that was read from the store.
+func (r *Relay) ApplyQuarantineChange(change kernel.QuarantineChange) {
 	r.quarantine.ApplyChange(change)
 }
 
-// Serve takes one request to its end. It returns once the answer was passed on, or with a
-// refusal where none was begun.
+// Serve runs one request. It returns once the answer has been passed on, or a refusal if no answer was
+// begun.
 func (r *Relay) Serve(ctx context.Context, f model.Forward, out Responder) Outcome {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	view := r.View()
-	admission, refusal := kernel.Admit(r.now(), view, r.options.KeyTrust, f)
-	if gone := r.goneAt.Load(); refusal == nil && gone != nil {
-		refusal = kernel.AdmitWhileLeaving(r.now(), *gone, admission.Route)
+	admission, refusal := kernel.Admit(r.now(), view, r.options.MaxRoutingAge, f)
+	if stopsAt := r.stopsAt.Load(); refusal == nil && stopsAt != nil {
+		refusal = kernel.AdmitWhileLeaving(r.now(), *stopsAt, admission.Route)
 	}
 	if refusal == nil {
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
@@ -253,12 +254,12 @@
 		refusal = r.admitRateCaps(admission)
 	}
 	if refusal != nil {
-		return r.refuseAtTheDoor(f, admission, view, refusal)
+		return r.refuseUnstarted(f, admission, view, refusal)
 	}
 	f = f.WithDigest(model.NewDigest(admission.Customer, f.Host, f.URI, string(f.Body)))
 	trial, refusal := r.quarantine.Admit(ctx, f.Digest)
 	if refusal != nil {
-		return r.refuseAtTheDoor(f, admission, view, refusal)
+		return r.refuseUnstarted(f, admission, view, refusal)
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
@@ -271,7 +272,7 @@
 	}
 	outcome.Stages = job.stageTimes
 	f = job.forward
-	outcome.Late = f.Waited+outcome.First > admission.Route.Objective
+	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
 	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
 		outcome.Estimates = job.estimates
 	}
@@ -282,7 +283,7 @@
 		if outcome.Refusal.Verdict == model.NotRun && outcome.Refusal.RetryAfter > 0 {
 			r.recordRefused(job.forward, admission)
 		}
-	case !outcome.Whole:
+	case !outcome.Complete:
 		r.metrics.Event("AnswerBrokenOff")
 	default:
 		r.quarantine.RecordAnswer(f.Digest)
@@ -295,8 +296,8 @@
 	return outcome
 }
 
-// refuseAtTheDoor ends a request for which nothing was begun.
-func (r *Relay) refuseAtTheDoor(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
+// refuseUnstarted refuses a request before any work on it has started.
+func (r *Relay) refuseUnstarted(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
 	r.metrics.Refused(refusal)
 	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
 	r.logOutcome(f, a, view, Outcome{Refusal: refusal})
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -26,7 +26,7 @@
 	}
 	j.relay.logFailedAttempt(j.forward, e, j.attempts, fault.RetryReason(), fault)
 	if fault.Verdict != model.NotRun && fault.Kind == endpoint.Cut {
-		j.relay.brokeOff(e, j.forward.Digest)
+		j.relay.recordDisconnect(e, j.forward.Digest)
 	}
 }
 
@@ -69,7 +69,7 @@
 	if err != nil && asFault(err).Kind == endpoint.Withdrawn {
 		return true
 	}
-	return p.takeRetry(j.relay.now(), j.relay.live())
+	return p.takeRetry(j.relay.now(), j.relay.fleetSize())
 }
 
 // startHedge sends a safe request to one more endpoint while another one may be running it.
@@ -88,15 +88,15 @@
 // more that the request is admitted and that the endpoint may get it.
 func (j *job) newSend(e model.Endpoint, retry bool) Send {
 	send := Send{
-		Endpoint: e,
-		Forward:  j.forward,
-		Customer: j.admission.Customer,
-		Until:    j.admission.Deadline,
-		Fresh:    j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
+		Endpoint:        e,
+		Forward:         j.forward,
+		Customer:        j.admission.Customer,
+		Until:           j.admission.Deadline,
+		FreshConnection: j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
 	}
 	chosenAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
-		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
+		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -35,7 +35,7 @@
 }
 
 // previousWait returns how long the caller of a request has already waited since its first attempt. It is zero for a
-// new request, and if the node that keeps the refused requests gives no answer within reportTimeout.
+// new request, and if the node that keeps the refused requests gives no answer within queueReportTimeout.
 func (r *Relay) previousWait(ctx context.Context, f model.Forward, a kernel.Admission) time.Duration {
 	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" {
@@ -43,9 +43,9 @@
 	}
 	coordinator := r.refusedRequestsCoordinator(a.Route.Stages)
 	if coordinator == r.options.Name {
-		return r.returning.takeWaited(r.now(), identity)
+		return r.refusedRequests.takeWaited(r.now(), identity)
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
 	var reply peer.ReturnReply
 	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindReturn, peer.Return{Identity: identity}, &reply) != nil {
@@ -68,12 +68,12 @@
 	waited := f.Waited + r.now().Sub(f.ReceivedAt)
 	coordinator := r.refusedRequestsCoordinator(a.Route.Stages)
 	if coordinator == r.options.Name {
-		r.returning.add(r.now(), identity, waited)
+		r.refusedRequests.add(r.now(), identity, waited)
 		return
 	}
 	address := r.addressOf(coordinator)
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, releaseTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
 		defer cancel()
 		var reply peer.ReturnReply
 		if r.peers.Call(ctx, address, peer.KindReturn, peer.Return{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
@@ -94,8 +94,8 @@
 		return nil, err
 	}
 	if message.Refused {
-		r.returning.add(r.now(), message.Identity, message.Waited)
+		r.refusedRequests.add(r.now(), message.Identity, message.Waited)
 		return peer.ReturnReply{}, nil
 	}
-	return peer.ReturnReply{Waited: r.returning.takeWaited(r.now(), message.Identity)}, nil
+	return peer.ReturnReply{Waited: r.refusedRequests.takeWaited(r.now(), message.Identity)}, nil
 }
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -39,7 +39,7 @@
 		// inputsFreed is true if the batcher has freed the inputs of the stage.
 		inputsFreed bool
 		refusal     *model.Refusal
-		time        StageTime
+		time        StageTiming
 	}
 )
 
@@ -58,13 +58,13 @@
 		result := <-finished
 		running--
 		j.stageTimes = append(j.stageTimes, result.time)
-		run.hold(result.stage, result.results)
+		run.holdResults(result.stage, result.results)
 		if result.inputsFreed {
 			run.forgetInputs(result.stage)
 		}
 		if result.refusal != nil {
 			cancel()
-			go run.drainAfter(finished, running)
+			go run.drain(finished, running)
 			return run, result.refusal
 		}
 		run.results[result.stage] = result.results
@@ -88,7 +88,7 @@
 		held:         map[int][]kernel.ResultRef{},
 	}
 	firstEvent := p.estimateFirstEventTime()
-	run.plan = kernel.PlanStages(j.forward, j.admission, r.hub.traitsOf(run.stages), firstEvent)
+	run.plan = kernel.PlanStages(j.forward, j.admission, r.batchers.poolTraits(run.stages), firstEvent)
 	if len(run.plan.FinalStages) == 0 {
 		return run, nil
 	}
@@ -98,7 +98,7 @@
 			groups[i] = j.newPieceGroup(run, i)
 		}
 	}
-	estimates := r.estimates(ctx, run.stages, groups)
+	estimates := r.estimateWaits(ctx, run.stages, groups)
 	for i, estimate := range estimates {
 		if kernel.PieceCount(j.forward, i) > 0 {
 			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: estimate.Wait, RoomTaken: estimate.RoomTaken})
@@ -116,7 +116,7 @@
 	options := s.relay.options
 	pool := s.stages[stage].Pool
 	region, _ := kernel.PieceRegion(s.relay.Registry(), pool, s.regions, options.Regions[options.Domain])
-	return s.relay.hub.queue(pool, region)
+	return s.relay.batchers.queueName(pool, region)
 }
 
 // anyQueued reports whether one of the pools has a queue. Without a queue, how long a request has waited before makes
@@ -145,7 +145,7 @@
 		running++
 		group := j.newPieceGroup(run, i)
 		go func() {
-			defer j.relay.guard(func() {
+			defer j.relay.recoverPanic(func() {
 				finished <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
 			finished <- j.runStage(ctx, i, group)
@@ -189,13 +189,13 @@
 func (j *job) newPieceGroup(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	g := batchRequest{
-		pool:    run.queueName(stage),
-		domain:  run.prefixDomain,
-		bytes:   node.ResultBytes,
-		askedAt: j.relay.now(),
-		due:     run.plan.Due[stage],
-		until:   run.plan.Until[stage],
-		rank:    j.admission.Rank,
+		pool:        run.queueName(stage),
+		domain:      run.prefixDomain,
+		resultBytes: node.ResultBytes,
+		askedAt:     j.relay.now(),
+		due:         run.plan.Due[stage],
+		until:       run.plan.Until[stage],
+		rank:        j.admission.Rank,
 	}
 	var inputBytes int64
 	piece := model.Piece{Request: j.forward.ID, Digest: j.forward.Digest, Stage: stage, Deadline: run.plan.Until[stage]}
@@ -207,9 +207,9 @@
 		inputs = append(inputs, run.results[before]...)
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
 	}
-	piece.Inputs = handlesOf(inputs)
+	piece.Inputs = resultHandles(inputs)
 	g.inputs = inputs
-	g.freeInputs = run.soleConsumer(stage) && j.crowding(run, stage)
+	g.freeInputs = run.isSoleConsumer(stage) && j.inputRoomScarce(run, stage)
 	if domain := kernel.MostCommonDomain(inputs); domain != "" {
 		g.domain = domain
 	}
@@ -219,7 +219,7 @@
 	if len(inputs) == 0 {
 		transferBytes = node.ResultBytes * int64(pieces)
 	}
-	fullCall := j.relay.hub.lastEstimate(run.queueName(stage)).FullCall()
+	fullCall := j.relay.batchers.lastEstimate(run.queueName(stage)).FullCall()
 	g.localityWait = kernel.LocalityWait(transferBytes, fullCall, g.due.Sub(j.relay.now())-fullCall)
 	for n := range pieces {
 		piece.Number = n
@@ -231,7 +231,7 @@
 // runStage has the pieces of a stage made and waits for their results.
 func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageResult {
 	startedAt := j.relay.now()
-	result := j.relay.batch(ctx, group)
+	result := j.relay.runGroup(ctx, group)
 	result.stage = stage
 	result.time.Stage = stage
 	result.time.Pool = group.pool
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -52,7 +52,7 @@
 	p := j.relay.pool(j.admission.Pool)
 	p.recordRequest(j.relay.now())
 	stages, refusal := j.runStages(ctx, p)
-	defer stages.release()
+	defer stages.releaseAll()
 	if refusal != nil {
 		if ctx.Err() != nil {
 			return j.refuseContextDone(ctx)
@@ -82,7 +82,7 @@
 func (j *job) streamOutcome(state *streamState, e model.Endpoint) Outcome {
 	outcome := Outcome{Status: state.status, Endpoint: e.Name, Attempts: j.attempts}
 	if state.headerSent {
-		outcome.First = state.firstEventAt.Sub(j.forward.ReceivedAt)
+		outcome.FirstEventTime = state.firstEventAt.Sub(j.forward.ReceivedAt)
 	}
 	return outcome
 }
@@ -92,7 +92,7 @@
 	outcome = j.streamOutcome(state, e)
 	switch {
 	case result.complete, result.failureWritten:
-		outcome.Whole = true
+		outcome.Complete = true
 		return outcome, true
 	case result.callerGone:
 		return outcome, true
@@ -109,7 +109,7 @@
 func (j *job) attemptStream(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamResult, bool) {
 	r := j.relay
 	tokens := j.forward.Prompt.TokensIn
-	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g gate) (choice, bool) {
+	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
 		return p.pickEngine(now, j.allowedEndpoints(), g, j.forward.Prompt, j.affinityKey(), j.excluded)
 	}, func(e model.Endpoint) {
 		p.dropPendingPrefill(e.Incarnation(), tokens)
@@ -129,7 +129,7 @@
 		}
 		firstSeen = true
 		p.recordFirstEvent(e.Incarnation(), tokens, r.now().Sub(startedAt))
-		j.firstEvent(stages)
+		j.handleFirstEvent(stages)
 	}
 	send := j.newSend(e, j.attempts > 1)
 	send.Inputs = stages.inputs
@@ -140,7 +140,7 @@
 		}
 		return checkAdmission()
 	}
-	send.After = state.splitter.lastID
+	send.LastEventID = state.splitter.lastID
 	result := j.relayEvents(ctx, p, send, state, onFirstEvent)
 	if !firstSeen {
 		p.dropPendingPrefill(e.Incarnation(), tokens)
@@ -165,7 +165,7 @@
 	defer cancel(nil)
 	idleTimer := j.startIdleTimer(cancel)
 	defer idleTimer.Stop()
-	ctx, endCall := j.relay.begin(ctx, send.Endpoint, j.forward.Digest)
+	ctx, endCall := j.relay.trackCall(ctx, send.Endpoint, j.forward.Digest)
 	defer endCall()
 	reply, err := j.relay.forward(ctx, send)
 	if err != nil {
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -48,7 +48,7 @@
 		permitUntil time.Time
 		// trial is true for a request that is held back and may run once.
 		trial      bool
-		stageTimes []StageTime
+		stageTimes []StageTiming
 		// estimates are the estimates for the stages' pools at the arrival of the request.
 		estimates []StageEstimate
 	}
@@ -112,7 +112,7 @@
 // could be chosen.
 func (j *job) startAttempt(ctx context.Context, p *pool, results chan<- unaryResult) bool {
 	r := j.relay
-	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g gate) (choice, bool) {
+	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
 		return p.pick(now, j.allowedEndpoints(), g, r.options.Domain, j.excluded)
 	}, func(e model.Endpoint) { p.release(e.Incarnation()) })
 	if !ok {
@@ -124,11 +124,11 @@
 	go func() {
 		defer p.release(e.Incarnation())
 		res := unaryResult{endpoint: e}
-		defer r.guard(func() {
+		defer r.recoverPanic(func() {
 			res.err = errPanic
 			results <- res
 		})
-		ctx, end := r.begin(ctx, e, j.forward.Digest)
+		ctx, end := r.trackCall(ctx, e, j.forward.Digest)
 		defer end()
 		res.reply, res.err = r.forward(ctx, send)
 		if res.err == nil {
@@ -185,7 +185,7 @@
 	header.Set("Content-Length", strconv.Itoa(len(res.body)))
 	j.responder.Begin(res.reply.Status, header)
 	err := j.responder.Write(res.body)
-	return Outcome{Status: res.reply.Status, Whole: err == nil, Endpoint: res.endpoint.Name, Attempts: j.attempts}
+	return Outcome{Status: res.reply.Status, Complete: err == nil, Endpoint: res.endpoint.Name, Attempts: j.attempts}
 }
 
 // finishFailed ends a request of which all attempts failed: with an endpoint's own signed failure if there is one, or
