--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// minHedgeDelay keeps hedges away from jitter.
+	// minHedgeDelay keeps latency jitter from starting hedges.
 	minHedgeDelay = 25 * time.Millisecond
-	hedgeFactor   = 1.5
-	// failureLatencyFactor is how far above the 99th percentile a lost race must have waited for its
-	// connection to be held silent.
+	// hedgeFactor times the 95th percentile of the service time is the delay of a hedge.
+	hedgeFactor = 1.5
+	// failureLatencyFactor times the 99th percentile of the service time is how long an abandoned call must have run
+	// to count as a failure of its endpoint.
 	failureLatencyFactor = 3
 )
 
 type (
-	// attempts is the state of one stage's calls. It belongs to the goroutine that runs the
-	// stage; the calls report to it over a channel.
+	// attempts is the state of the calls of one stage of one request. Only the goroutine that runs the stage accesses
+	// it; the goroutines of unary calls send their outcomes over a channel.
 	attempts struct {
 		dispatcher *Dispatcher
 		pool       *pool
@@ -30,21 +31,25 @@
 		deadline   time.Time
 		carry      model.Carry
 
+		// callCount is how many calls were started.
 		callCount int
-		// unloaded counts the calls among them that met an engine without the adapter.
+		// notLoadedCount is how many of these calls found that the engine lacks the adapter.
 		notLoadedCount int
-		excluded       []string
-		endpointName   string
-		busy           time.Duration
-		// connectBy is when the call that comes next must have its connection; zero for no such bound.
+		// excluded lists the endpoints that are chosen again only if no other may get a call.
+		excluded []string
+		// endpointName is the endpoint whose reply was accepted.
+		endpointName string
+		// busy is the total duration of the calls.
+		busy time.Duration
+		// connectBy is the deadline for the connection of the next call; zero for none.
 		connectBy time.Time
-		// hedging is true while a call is started beside another.
+		// hedging is true while a hedge is started.
 		hedging bool
-		// reached is true once any call may have been read by an endpoint.
+		// mayHaveRun is true once an endpoint may have received a call.
 		mayHaveRun bool
 	}
 
-	// outcome is how one call ended.
+	// outcome is the result of one unary call.
 	outcome struct {
 		attempt   int
 		target    *endpointState
@@ -69,7 +74,7 @@
 	return !a.job.Work.Stage.NonIdempotent
 }
 
-// call returns the prepared call with its identity.
+// prepareCall returns the next call, with its identity and deadline.
 func (a *attempts) prepareCall() model.StageCall {
 	call := a.job.Plugin.Prepare(a.job.Work)
 	call.Request = a.job.Work.Request.ID
@@ -80,8 +85,8 @@
 	return call
 }
 
-// target says where a call goes. A call that must not be repeated and one beside another that
-// may be on a silent connection get a connection of their own.
+// target returns where and how to send a call to an endpoint. A call that must not be repeated gets a new connection,
+// and so does a hedge, since the call that it hedges may be stuck on an unresponsive one.
 func (a *attempts) target(e *endpointState) endpoint.Target {
 	return endpoint.Target{
 		Address:       e.address,
@@ -93,8 +98,8 @@
 	}
 }
 
-// unary makes calls until one is answered: again elsewhere after a fault, and beside a slow
-// one where the retry budget allows it. The first good reply wins.
+// runUnary makes calls until one succeeds, and accepts the first good reply. It retries at another endpoint after a
+// fault and hedges a slow call, both within the retry budget.
 func (a *attempts) runUnary(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, a.deadline)
 	defer cancel()
@@ -131,7 +136,7 @@
 	}
 }
 
-// relaunch makes another call where none is under way any more.
+// startAnother starts another call if none is running.
 func (a *attempts) startAnother(ctx context.Context, o outcome, running map[int]startedCall, outcomes chan<- outcome) error {
 	if len(running) > 0 {
 		return nil
@@ -145,7 +150,7 @@
 	return nil
 }
 
-// checkRequest returns the refusal of a request that must not be sent to an endpoint.
+// checkRequest returns a refusal if the request is held back, unless it runs on trial.
 func (a *attempts) checkRequest() error {
 	if a.job.Trial {
 		return nil
@@ -161,7 +166,7 @@
 	}
 }
 
-// noEndpointRefusal returns the refusal of a request that no endpoint may get now.
+// noEndpointRefusal returns the refusal of a request for which no endpoint could be chosen.
 func (a *attempts) noEndpointRefusal(err error) error {
 	if refusal := a.dispatcher.checkPool(a.pool); refusal != nil {
 		if a.mayHaveRun {
@@ -207,8 +212,8 @@
 	return a.startCall(ctx, running, outcomes)
 }
 
-// settle takes one outcome in. It reports whether the stage is over. Calls that still run are abandoned before
-// the verdict is reached: an endpoint may have got them, whatever became of this one.
+// handleOutcome processes the outcome of one call and reports whether the stage has ended. Calls that still run are
+// abandoned before the verdict is set: an endpoint may have received them, whatever the outcome of this call.
 func (a *attempts) handleOutcome(ctx context.Context, o outcome, running map[int]startedCall) (bool, error) {
 	now := time.Now()
 	a.busy += o.elapsed
@@ -241,7 +246,8 @@
 	return false, nil
 }
 
-// takeRetry decides on one more call after a fault and counts it.
+// takeRetry reports whether another call may follow after a fault. If so, it takes one retry from the pool's budget and
+// counts it in the metrics.
 func (a *attempts) takeRetry(fault *endpoint.Fault) bool {
 	if !a.idempotent() && fault.Verdict != model.NotRun {
 		return false
@@ -261,7 +267,7 @@
 	if fault.Kind != endpoint.Cut || fault.Verdict == model.NotRun {
 		return
 	}
-	// What an endpoint cuts that is leaving was announced.
+	// A leaving endpoint has announced its end: the end of its connections is no crash.
 	if disconnected := a.pool.endpointOf(e); disconnected.State != model.Leaving {
 		a.dispatcher.OnDisconnect(disconnected, a.job.Work.Request)
 	}
@@ -273,7 +279,8 @@
 	}
 }
 
-// recordPacing takes in what an answer says of the calls that its endpoint bears. That it bears all counts only in a good answer.
+// recordPacing applies the rate cap and the remaining cold time that an endpoint stated in its answer to a call. The
+// absence of either counts only in the answer to a successful call.
 func (a *attempts) recordPacing(startedAt, now time.Time, e *endpointState, load model.Load, succeeded bool) {
 	if load.RateCap.Stated || succeeded {
 		a.dispatcher.OnAnswer(startedAt, a.pool.endpointOf(e), load.RateCap)
@@ -283,9 +290,9 @@
 	}
 }
 
-// abandon accounts for calls that lost the race. The connections to their endpoints are
-// retired, since they may be silent: a new one costs a round trip, a silent one a hedge each
-// time. Only an endpoint that had far longer than its pool needs is blamed.
+// abandon records the calls that still run when the stage ends. The connections to their endpoints are retired, since
+// they may be unresponsive: a new connection costs one round trip, an unresponsive one a hedge for each call. The call
+// counts as a failure of its endpoint only if it ran for failureLatencyFactor times the pool's 99th percentile.
 func (a *attempts) abandon(running map[int]startedCall) {
 	now := time.Now()
 	failureLatency := failureLatencyFactor * a.pool.quantile(&a.pool.serviceTimes, timeoutQuantile, fallbackLatency)
@@ -304,7 +311,8 @@
 	return max(minHedgeDelay, time.Duration(hedgeFactor*float64(p95)))
 }
 
-// refuse ends the stage; its verdict rests on whether any call may have been read.
+// newRefusal returns the refusal that ends the stage. Its verdict is MayHaveRun if an endpoint may have received a
+// call.
 func (a *attempts) newRefusal(reason model.Reason, err error) error {
 	verdict := model.NotRun
 	if a.mayHaveRun {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -13,36 +13,42 @@
 )
 
 type (
-	// Dispatcher carries stages out. It is safe for concurrent use.
+	// Dispatcher runs stages on the endpoints of their pools. It is safe for concurrent use. The exported fields must be
+	// set before the first call; NewDispatcher sets defaults.
 	Dispatcher struct {
-		// OnLeaving is called when an endpoint itself says that it is leaving.
+		// OnLeaving is called when an endpoint reports in a reply that it is leaving.
 		OnLeaving func(pool, endpoint string)
-		// OnAdapterDemand is called when a request uses an adapter of engines that load adapters on
-		// demand; waiting tells that no engine known has it.
+		// OnAdapterDemand is called when a request uses an adapter of engines that load adapters on demand. waiting is
+		// true if all engines that accept work have recently replied that they lack it.
 		OnAdapterDemand func(pool, adapter string, deadline time.Time, waiting bool)
-		// OnDisconnect is called when a connection to an endpoint broke while it may have worked on a request.
+		// OnDisconnect is called when the connection to an endpoint broke during a call and the endpoint, which is not
+		// leaving, may have worked on the request.
 		OnDisconnect func(e model.Endpoint, req model.Request)
-		// CheckRequest decides right before each call whether the request may be sent; nil means yes.
+		// CheckRequest is called right before each call and returns a refusal if the request must not be sent.
 		CheckRequest func(req model.Request) *model.Refusal
-		// OnCall is called before each call to an endpoint, OnAnswer with what an answer to a call that began at a
-		// time says of the calls that its endpoint takes.
-		OnCall   func(e model.Endpoint)
-		OnAnswer func(asked time.Time, e model.Endpoint, stated model.RateCap)
-		// Admits tells whether an endpoint that was last called at a time may get a call now, Refuses whether none of
-		// several endpoints may get one because of what they take.
-		Admits    func(now time.Time, e model.Endpoint, calledAt time.Time) bool
+		// OnCall is called before each call to an endpoint.
+		OnCall func(e model.Endpoint)
+		// OnAnswer is called with the rate cap, or its absence, in an endpoint's answer to a call that was sent at
+		// sentAt.
+		OnAnswer func(sentAt time.Time, e model.Endpoint, stated model.RateCap)
+		// Admits reports whether rate caps and cold limits let this node call an endpoint now, given when it last did.
+		Admits func(now time.Time, e model.Endpoint, calledAt time.Time) bool
+		// AdmitPool returns a refusal if rate caps and cold limits let this node call none of the endpoints of a pool
+		// now. calledAt returns when this node last called an endpoint.
 		AdmitPool func(now time.Time, pool string, endpoints []model.Endpoint, calledAt func(incarnation string) time.Time) *model.Refusal
-		// MayRequestPermit tells whether another node is worth asking for a permit to call an endpoint that was last called at a
-		// time, and RequestPermit asks one.
+		// MayRequestPermit reports whether another node may be asked for a permit to call an endpoint in its place, given
+		// when this node last called it.
 		MayRequestPermit func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		RequestPermit    func(ctx context.Context, e model.Endpoint) bool
-		// Unary makes one call that is answered at once; the error is an *endpoint.Fault.
+		// RequestPermit requests such a permit and reports whether it was granted.
+		RequestPermit func(ctx context.Context, e model.Endpoint) bool
+		// Unary makes one call and returns the complete reply. The error is an *endpoint.Fault.
 		Unary func(ctx context.Context, target endpoint.Target, call model.StageCall) (model.StageReply, error)
 
 		client  *endpoint.Client
 		metrics *metric.Set
-		domain  string
-		// plain switches to the baseline policies: round robin, no limits, naive retries.
+		// domain is the node's failure domain.
+		domain string
+		// plain selects the baseline policies: round robin, no limits, retries without a budget.
 		plain bool
 
 		mu          sync.Mutex
@@ -52,36 +58,42 @@
 
 	// Job is one stage of one request.
 	Job struct {
+		// Work is the request, the stage and the output carried over from the stages before.
 		Work   kernel.StageContext
 		Plugin kernel.Plugin
-		// Later estimates the stages that still follow.
+		// LaterStages has the estimates of the stages that follow.
 		LaterStages []kernel.StageEstimate
-		// Weight is the customer's share.
+		// Weight is the customer's weight in the queues of the pools.
 		Weight int
-		// Trial tells that the request is held back and was permitted to run once.
+		// Trial is true if the request is held back and was permitted to run once, on trial.
 		Trial bool
-		// Emit gets the tokens of a stream; nil where nobody listens.
+		// Emit is called with each token of a stream. It may be nil.
 		Emit func(model.Token)
 	}
 
-	// Result is what a stage gave.
+	// Result is the result of a stage.
 	Result struct {
 		Carry  model.Carry
 		Timing model.StageTiming
 	}
 
-	// EndpointStatus is what operators see of an endpoint.
+	// EndpointStatus is the status of an endpoint as shown to operators.
 	EndpointStatus struct {
 		Endpoint model.Endpoint
+		// InFlight is the number of this node's calls in flight.
 		InFlight int
-		Calls    uint64
-		Faults   uint64
-		Load     model.Load
-		Ejected  bool
+		// Calls counts this node's calls.
+		Calls uint64
+		// Faults counts the calls that failed because of the endpoint.
+		Faults uint64
+		// Load is the load that the endpoint last reported.
+		Load model.Load
+		// Ejected is true if the endpoint was ejected and no call to it has succeeded since.
+		Ejected bool
 	}
 )
 
-// NewDispatcher returns a dispatcher for a node in a failure domain.
+// NewDispatcher returns a dispatcher for a node in a failure domain. plain selects the baseline policies.
 func NewDispatcher(domain string, plain bool, metrics *metric.Set) *Dispatcher {
 	client := endpoint.NewClient()
 	return &Dispatcher{
@@ -108,7 +120,7 @@
 	}
 }
 
-// SetEndpoints brings all pools in line with the platform's list.
+// SetEndpoints replaces the endpoints of all pools with the listed ones. What is known of endpoints that stay is kept.
 func (d *Dispatcher) SetEndpoints(listed []model.Endpoint) {
 	now := time.Now()
 	byPool := map[string][]model.Endpoint{}
@@ -125,8 +137,7 @@
 	}
 }
 
-// SetEvacuated gives the endpoints of just some failure domains no more work. It returns the domains whose state is a
-// new one.
+// SetEvacuated sets the failure domains whose endpoints get no work. It returns the domains whose state has changed.
 func (d *Dispatcher) SetEvacuated(now time.Time, domains []string) kernel.EvacuationChange {
 	d.mu.Lock()
 	change := kernel.EvacuationChange{Evacuated: domains}
@@ -144,20 +155,20 @@
 	return changed
 }
 
-// Evacuations returns which failure domains get no work.
+// Evacuations returns the failure domains whose endpoints get no work.
 func (d *Dispatcher) Evacuations() kernel.Evacuations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.evacuations
 }
 
-// MarkLeaving gives an endpoint no more work; it reports whether that is news.
+// MarkLeaving stops new work for an endpoint that is leaving. It reports whether the endpoint is known and was not
+// marked before.
 func (d *Dispatcher) MarkLeaving(poolName, endpointName string) bool {
 	return d.pool(poolName).markLeaving(endpointName)
 }
 
-// Estimates tells what a request that comes now can expect of several stages. The weight is
-// its customer's.
+// Estimates returns the estimates of several stages for a request that arrives now. weight is that of its customer.
 func (d *Dispatcher) Estimates(req model.Request, weight int, stages []model.Stage) []kernel.StageEstimate {
 	out := make([]kernel.StageEstimate, 0, len(stages))
 	for _, s := range stages {
@@ -174,7 +185,7 @@
 	return kernel.Waiter{Customer: req.Account(), Weight: weight, Deadline: req.Deadline}
 }
 
-// Status returns what is known of all endpoints.
+// Status returns the status of all endpoints, sorted by the names of their pools.
 func (d *Dispatcher) Status() []EndpointStatus {
 	var out []EndpointStatus
 	for _, name := range d.poolNames() {
@@ -183,7 +194,7 @@
 	return out
 }
 
-// Endpoints returns the endpoints of a pool that take work.
+// Endpoints returns the endpoints of a pool that accept work.
 func (d *Dispatcher) Endpoints(pool string) []model.Endpoint {
 	var out []model.Endpoint
 	for _, e := range d.pool(pool).status() {
@@ -194,13 +205,13 @@
 	return out
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections to endpoints.
 func (d *Dispatcher) Close() {
 	d.client.Close()
 }
 
-// Run carries a stage out. The error is a *model.Refusal whose verdict is NotRun only if no
-// endpoint was asked. The result's timing is filled in with an error too.
+// Run runs a stage. The error is a *model.Refusal, whose verdict is NotRun only if no endpoint can have received a call.
+// If the stage was started, the result has its timing even if there is an error.
 func (d *Dispatcher) Run(ctx context.Context, job Job) (Result, error) {
 	start := time.Now()
 	p := d.pool(job.Work.Stage.Pool)
@@ -228,12 +239,12 @@
 	return Result{Carry: a.carry, Timing: timing}, err
 }
 
-// Listed tells whether an incarnation of an endpoint is listed.
+// Listed reports whether an incarnation of an endpoint is listed.
 func (d *Dispatcher) Listed(incarnation string) bool {
 	return slices.ContainsFunc(d.Status(), func(s EndpointStatus) bool { return s.Endpoint.Incarnation() == incarnation })
 }
 
-// refuses returns the refusal of a request whose pool has only endpoints that take no more now than they get.
+// checkPool returns a refusal if rate caps and cold limits let this node call none of the pool's endpoints now.
 func (d *Dispatcher) checkPool(p *pool) *model.Refusal {
 	if d.plain || p.admitsAny(time.Now()) {
 		return nil
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch carries stage calls to the endpoints of their pools. The kernel decides
-// who gets a call, how many may be in flight, what is repeated and when silence counts as a
-// failure; this package keeps each pool's state and makes the calls.
+// Package dispatch sends stage calls to the endpoints of their pools. Package kernel has the policies: which endpoint
+// gets a call, how many calls may be in flight, what is retried, and how long a call may go without progress. This
+// package holds the state of each pool and makes the calls.
 package dispatch
--- a/dispatch/listed_test.go
+++ b/dispatch/listed_test.go
@@ -13,17 +13,18 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Seen in review: an endpoint that the list left out once and named again, as after an outage of the list, was new to each
-// node, and each of those that share what it takes called it at once. Cause: when it was last called was forgotten with its
-// entry. Proved by: this test on the code before.
+// Guards against a burst of calls to an endpoint that the list drops and lists again, as after an outage of the list. If
+// the time of the last call were lost with the entry, all nodes that share a rate cap or cold limit of the endpoint would
+// call it at once.
 func TestRelistedEndpointKeepsLastCallTime(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
-		after model.Endpoint
+		relisted model.Endpoint
+		// known tells whether the time of the last call is kept.
 		known bool
 	}{
-		"the same process": {model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}, true},
-		"another address":  {model.Endpoint{Name: "a", Pool: "p", Address: "a:2"}, false},
+		"same address":    {model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}, true},
+		"another address": {model.Endpoint{Name: "a", Pool: "p", Address: "a:2"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -41,7 +42,7 @@
 			d.SetEndpoints([]model.Endpoint{listed, other})
 			must.NoError(t, runStage(t, d))
 			d.SetEndpoints([]model.Endpoint{other})
-			d.SetEndpoints([]model.Endpoint{tc.after, other})
+			d.SetEndpoints([]model.Endpoint{tc.relisted, other})
 			must.SliceLen(t, 1, d.Endpoints("p"))
 			calledAt = time.Time{}
 			must.NoError(t, runStage(t, d))
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -7,11 +7,11 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// maxPermitRequests bounds the permits that are asked for before one call.
+// maxPermitRequests is the maximum number of permits requested for one call.
 const maxPermitRequests = 2
 
-// choose chooses an endpoint for one call; nil where none may get it. Where the choice falls on one that this node may call
-// only with another node's permit, it asks for one; without it, the choice falls on another endpoint.
+// chooseEndpoint chooses an endpoint for one call, or returns nil if none may get it. If this node may call the chosen
+// endpoint only with another node's permit, it requests one. If the permit is denied, it chooses again.
 func (a *attempts) chooseEndpoint(ctx context.Context, prefix string, excluded []string) *endpointState {
 	a.connectBy = time.Time{}
 	for permitRequests := 0; ; permitRequests++ {
@@ -29,7 +29,9 @@
 	}
 }
 
-// Permit has it decided whether another node may call an endpoint in this one's place.
+// Permit calls decide to decide whether another node may call an endpoint in place of this one. A granted permit counts
+// as a call of this node. If the permit is denied, wait is the time until the other node's turn; it is 0 if the endpoint
+// is not listed.
 func (d *Dispatcher) Permit(now time.Time, pool, incarnation string, decide func(now time.Time, incarnation string, calledAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p := d.pool(pool)
 	p.mu.Lock()
@@ -47,14 +49,14 @@
 	return false, 0
 }
 
-// permitted notes that an endpoint is called with another node's permit.
+// recordPermit records that an endpoint is called with another node's permit.
 func (p *pool) recordPermit(now time.Time, e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.pacing.calledAt = now
 }
 
-// undoPick takes back a choice that was not used.
+// undoPick reverts the counters of a pick that is not followed by a call.
 func (p *pool) undoPick(e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -14,11 +14,11 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A permit of another node counts for a moment: the call that it is for must have its connection by then, and a call that
-// needs none may wait. Guards against calls that arrive together with those of the node that granted them.
+// A call with another node's permit must have its connection within the lifetime of the permit. Otherwise it could arrive
+// together with the next call of the node that granted the permit. A call that needs no permit has no such deadline.
 func TestPermittedCallHasConnectDeadline(t *testing.T) {
 	t.Parallel()
-	for name, needsPermit := range map[string]bool{"with a permit": true, "of a node that shares the cap": false} {
+	for name, needsPermit := range map[string]bool{"with a permit": true, "without a permit": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var target endpoint.Target
@@ -41,7 +41,7 @@
 	}
 }
 
-// run has a dispatcher carry out a stage of the pool p.
+// runStage runs a stage in pool p.
 func runStage(t *testing.T, d *dispatch.Dispatcher) error {
 	t.Helper()
 	_, err := d.Run(t.Context(), dispatch.Job{
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -10,79 +10,85 @@
 )
 
 const (
+	// initialLimitPerEndpoint and maxLimitPerEndpoint are the initial and maximum value of a pool's concurrency limit,
+	// in calls in flight per endpoint, until the endpoints report their slots.
 	initialLimitPerEndpoint = 4
 	maxLimitPerEndpoint     = 64
-	// fallbackLatency stands in for quantiles while too little was observed.
+	// fallbackLatency is used for quantiles of the service time that have too few observations.
 	fallbackLatency = 300 * time.Millisecond
 	medianQuantile  = 0.5
 	tailQuantile    = 0.9
-	// unlistedTTL is how long the bounds on calls to an endpoint are kept that the list leaves out: longer than the
-	// pause between two calls under the smallest rate cap.
+	// unlistedTTL is how long the pacing of an endpoint is kept after the list has dropped it: longer than the pause
+	// between two calls under the smallest rate cap.
 	unlistedTTL = 30 * time.Second
-	// missingAdapterTTL is how long an engine is not asked again for an adapter that it lacked.
+	// missingAdapterTTL is how long an engine that replied that it lacks an adapter gets no further calls for it.
 	missingAdapterTTL = time.Second
 	hedgeQuantile     = 0.95
 	timeoutQuantile   = 0.99
 )
 
 type (
-	// pool is what a node knows of one pool. All fields are guarded by mu.
+	// pool is the state of one pool at one node. All fields are guarded by mu.
 	pool struct {
-		mu        sync.Mutex
-		name      string
+		mu   sync.Mutex
+		name string
+		// domain is the node's failure domain.
 		domain    string
 		plain     bool
 		endpoints []*endpointState
-		// unlisted holds endpoints that the list left out lately, by name.
+		// unlisted holds the endpoints that the list has recently dropped, by name.
 		unlisted map[string]unlistedEndpoint
-		// evacuations says which failure domains get no work.
+		// evacuations holds the failure domains whose endpoints get no work.
 		evacuations kernel.Evacuations
-		// admits tells whether an endpoint that was last called at a time may get a call now.
+		// admits is Dispatcher.Admits.
 		admits func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		// mayRequestPermit tells whether another node is worth asking for a permit to call an endpoint.
+		// mayRequestPermit is Dispatcher.MayRequestPermit.
 		mayRequestPermit func(now time.Time, e model.Endpoint, calledAt time.Time) bool
 		limit            kernel.ConcurrencyLimit
 		queue            *kernel.FairQueue
 		budget           kernel.RetryBudget
-		inFlight         int
-		// adaptersOnDemand is true once an engine said that it lacked an adapter: only then is the use
-		// of adapters told.
+		// inFlight counts the stages that have acquired the pool. It is bounded by limit, except in the baseline.
+		inFlight int
+		// adaptersOnDemand is true once an engine has replied that it lacks an adapter. Before that, the use of adapters
+		// is not reported.
 		adaptersOnDemand bool
-		// turn is the next endpoint for the plain round robin.
+		// nextRoundRobin counts the picks of the baseline's round robin.
 		nextRoundRobin int
-		// service holds whole calls; first and gap are for streams: until the first token
-		// and between tokens.
+		// serviceTimes are the durations of successful calls. firstTokenTimes and tokenGaps are those of streams until
+		// the first token and between tokens.
 		serviceTimes    kernel.Quantiles
 		firstTokenTimes kernel.Quantiles
 		tokenGaps       kernel.Quantiles
 	}
 
-	// endpointState is what the node's own calls tell of an endpoint.
+	// endpointState is the state of an endpoint at one node.
 	endpointState struct {
-		// name and address never change: another address is another endpointState.
+		// name and address never change: an endpoint with a new address gets a new endpointState.
 		name      string
 		address   string
 		candidate kernel.Candidate
-		// leaving is set by the endpoint's own word or by a peer's; the list lags behind it.
+		// leaving is true once the endpoint or a peer has reported that it is leaving. The list is updated later.
 		leaving bool
-		// listed is the state that the list tells.
+		// listedState is the state in the list.
 		listedState model.HostState
 		calls       uint64
 		faults      uint64
 		pacing      endpointPacing
-		// lacks holds when the engine last said that it lacks an adapter.
+		// missingAdapters holds by adapter when the engine last replied that it lacks it.
 		missingAdapters map[string]time.Time
 	}
 
-	// endpointPacing is what bounds the calls of this node to an endpoint.
+	// endpointPacing is the state from which rate caps and cold limits decide on this node's calls to an endpoint.
 	endpointPacing struct {
-		// calledAt is when it last got a call.
+		// calledAt is when this node last called the endpoint or granted a permit for it.
 		calledAt time.Time
-		// coldUntil is until when it is cold by its own word; coldReportedAt is when it last said that it is.
-		coldUntil      time.Time
+		// coldUntil is when the endpoint stops being cold, according to its replies.
+		coldUntil time.Time
+		// coldReportedAt is when it last reported that it is cold.
 		coldReportedAt time.Time
 	}
 
+	// unlistedEndpoint is what is kept of an endpoint that the list has dropped at unlistedAt.
 	unlistedEndpoint struct {
 		address    string
 		pacing     endpointPacing
@@ -102,8 +108,7 @@
 	}
 }
 
-// setEndpoints brings the pool in line with the platform's list and keeps what is known of
-// endpoints that stay.
+// setEndpoints replaces the pool's endpoints with the listed ones. The state of endpoints that stay is kept.
 func (p *pool) setEndpoints(now time.Time, listed []model.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +141,8 @@
 	p.limit.Max = maxLimitPerEndpoint * n
 }
 
-// pacingOf returns what bounds the calls to an endpoint that the list names again.
+// pacingOf returns the pacing of an endpoint that the list has recently dropped and now lists again at the same address.
+// For all others it is zero.
 func (p *pool) pacingOf(endpoint model.Endpoint) endpointPacing {
 	unlisted := p.unlisted[endpoint.Name]
 	if unlisted.address != endpoint.Address {
@@ -145,8 +151,8 @@
 	return unlisted.pacing
 }
 
-// rememberUnlisted remembers the bounds of endpoints that the list leaves out: one entry that is missed must not have all
-// nodes call its endpoint at once.
+// rememberUnlisted keeps the pacing of endpoints that the list has dropped. Otherwise all nodes would call an endpoint at
+// once if its entry was missing from the list for a moment.
 func (p *pool) rememberUnlisted(now time.Time, removed map[string]*endpointState) {
 	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedTTL })
 	for name, e := range removed {
@@ -154,7 +160,7 @@
 	}
 }
 
-// markLeaving notes that an endpoint is leaving; it reports whether that is news.
+// markLeaving records that an endpoint is leaving. It reports whether the endpoint is known and was not marked before.
 func (p *pool) markLeaving(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +173,7 @@
 	return true
 }
 
-// setEvacuations takes over which failure domains get no work.
+// setEvacuations sets the failure domains whose endpoints get no work.
 func (p *pool) setEvacuations(evacuations kernel.Evacuations) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +183,7 @@
 	}
 }
 
-// updateState gives an endpoint the state that follows from the list, its own word and the evacuations.
+// updateState sets the state of an endpoint from its listed state, reports that it is leaving, and the evacuations.
 func (p *pool) updateState(e *endpointState) {
 	state := e.listedState
 	switch {
@@ -189,7 +195,7 @@
 	e.candidate.Endpoint.State = state
 }
 
-// lastCalls returns the pool's endpoints, and when each last got a call.
+// lastCalls returns the pool's endpoints, and by incarnation when this node last called each.
 func (p *pool) lastCalls() ([]model.Endpoint, map[string]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +208,7 @@
 	return endpoints, calledAt
 }
 
-// endpointOf returns what the list says of an endpoint.
+// endpointOf returns an endpoint as listed, with the state and the cold time known to this node.
 func (p *pool) endpointOf(e *endpointState) model.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,7 +224,7 @@
 	return nil
 }
 
-// succeeded records a good reply.
+// recordSuccess records a successful call. The load is nil if the reply had none.
 func (p *pool) recordSuccess(now time.Time, e *endpointState, elapsed time.Duration, load *model.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,7 +241,7 @@
 	p.budget = p.budget.WithSuccess()
 }
 
-// reported takes a load in that came before the end of a call.
+// recordLoad records a load that an endpoint reported during a call.
 func (p *pool) recordLoad(now time.Time, e *endpointState, load model.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,8 +249,8 @@
 	e.candidate.LoadAt = now
 }
 
-// recordCold takes in an endpoint's own word on how long it stays cold, in the answer to a call that began at a time. That it is
-// warm counts only if it was asked for after it last said that it is cold.
+// recordCold records how long an endpoint stays cold, as stated in its answer to a call that started at startedAt. An
+// answer that it is warm counts only if the call started after the endpoint last reported that it is cold.
 func (p *pool) recordCold(startedAt, now time.Time, e *endpointState, coldFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +264,7 @@
 	e.candidate.Endpoint.ColdUntil = e.pacing.coldUntil
 }
 
-// failed records a fault; blamed tells whether the endpoint is held to be its cause.
+// recordFailure records a failed call. blamed tells whether it counts as a failure of the endpoint.
 func (p *pool) recordFailure(now time.Time, e *endpointState, blamed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -271,7 +277,7 @@
 	e.candidate.Health = e.candidate.Health.WithFailure(now)
 }
 
-// takeRetry takes one retry out of the budget.
+// takeRetry takes one retry from the budget and reports whether there was one. The baseline always allows retries.
 func (p *pool) takeRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -283,7 +289,7 @@
 	return ok
 }
 
-// canRetry tells whether the budget has a retry left.
+// canRetry reports whether the budget has a retry left.
 func (p *pool) canRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/dispatch/poolpick.go
+++ b/dispatch/poolpick.go
@@ -8,8 +8,9 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// pick chooses an endpoint and counts a call to it as in flight. Where permits may be asked for, it may choose one that needs
-// another node's.
+// pick chooses an endpoint and counts a call to it as in flight. It returns nil if no endpoint may get a call. Excluded
+// endpoints are chosen only if no other is usable. With allowPermit, it may choose an endpoint that this node may call
+// only with another node's permit; needsPermit is then true.
 func (p *pool) pick(now time.Time, prefix string, excluded []string, allowPermit bool) (e *endpointState, needsPermit bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +44,7 @@
 	return e, false
 }
 
-// recordMissingAdapter notes that an engine lacks an adapter.
+// recordMissingAdapter records that a call ended because the engine lacks an adapter.
 func (p *pool) recordMissingAdapter(now time.Time, e *endpointState, adapter string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,8 +57,8 @@
 	e.missingAdapters[adapter] = now
 }
 
-// lacking returns the engines that said a moment ago that they lack an adapter, and whether
-// these are all that could get the call.
+// enginesWithout returns the engines that have recently replied that they lack an adapter, and whether these are all
+// engines that accept work.
 func (p *pool) enginesWithout(now time.Time, adapter string) (names []string, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,14 +78,14 @@
 	return names, len(names) > 0 && len(names) == acceptingWork
 }
 
-// loadsOnDemand tells whether the pool's engines load adapters on demand.
+// loadsOnDemand reports whether the pool's engines load adapters on demand.
 func (p *pool) loadsOnDemand() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.adaptersOnDemand
 }
 
-// pickRoundRobin is the baseline: round robin over all that the list names.
+// pickRoundRobin chooses an endpoint by the baseline policy: round robin over all listed endpoints.
 func (p *pool) pickRoundRobin() *endpointState {
 	if len(p.endpoints) == 0 {
 		return nil
@@ -96,7 +97,7 @@
 	return e
 }
 
-// admitsAny tells whether any endpoint may get a call now, as far as what it takes goes, if only with a permit.
+// admitsAny reports whether rate caps and cold limits let this node call any endpoint now, with a permit if need be.
 func (p *pool) admitsAny(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,13 +106,14 @@
 	})
 }
 
-// mayCall tells whether an endpoint may get a call now, with another node's permit where these may be asked for.
+// mayCall reports whether rate caps and cold limits let this node call an endpoint now. With allowPermit, it also reports
+// true if another node may be asked for a permit. No permit is requested for an ejected endpoint.
 func (p *pool) mayCall(now time.Time, e *endpointState, allowPermit bool) bool {
 	endpoint := e.candidate.Endpoint
 	return p.admits(now, endpoint, e.pacing.calledAt) || allowPermit && !e.candidate.Health.Ejected() && p.mayRequestPermit(now, endpoint, e.pacing.calledAt)
 }
 
-// admitted returns the endpoints that may get a call now.
+// admittedCandidates returns the endpoints for which mayCall reports true.
 func (p *pool) admittedCandidates(now time.Time, allowPermit bool) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(p.endpoints))
 	for _, e := range p.endpoints {
@@ -130,8 +132,8 @@
 	return out
 }
 
-// slots sums up the slots of the endpoints that have ever reported any; those that have not
-// are taken to have as many as the others.
+// totalSlots returns the number of slots of all endpoints. Endpoints that have never reported theirs count with the mean
+// of the others. It returns 0 if none has.
 func (p *pool) totalSlots() int {
 	known, sum := 0, 0
 	for _, e := range p.endpoints {
--- a/dispatch/poolplaces.go
+++ b/dispatch/poolplaces.go
@@ -7,8 +7,8 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// estimate tells what a request that comes now can expect of the pool; tokens is zero for a
-// unary call. The waiter says whose request it is.
+// estimate returns the estimate of a stage for a request that arrives now. tokens is the maximum number of tokens, zero
+// for a unary call. The waiter has the request's customer, weight and deadline.
 func (p *pool) estimate(tokens int, w kernel.Waiter) kernel.StageEstimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,8 +28,8 @@
 	return e
 }
 
-// enter waits for a place at the pool. It gives up when ctx ends or starting has become
-// useless, and reports whether the caller has a place, to be given back with leave.
+// acquire waits until the concurrency limit lets one more stage run in the pool. It gives up when ctx ends or the
+// waiter's latest start has passed. It reports whether the caller may run, and must then call release.
 func (p *pool) acquire(ctx context.Context, now time.Time, w kernel.Waiter) bool {
 	p.mu.Lock()
 	if p.plain || (p.queue.Len() == 0 && p.limit.Allows(p.inFlight)) {
@@ -58,11 +58,11 @@
 	p.mu.Lock()
 	stillQueued := p.queue.Remove(&w)
 	p.mu.Unlock()
-	// A waiter that was taken out at the same moment has a place after all.
+	// If release has taken the waiter from the queue in the meantime, the caller may run.
 	return !stillQueued
 }
 
-// leave gives a place back and lets the next waiters in.
+// release ends what acquire has started, and lets waiters run up to the concurrency limit.
 func (p *pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// minTokenTimeout keeps a short pause of an engine from moving its streams.
-	minTokenTimeout    = 400 * time.Millisecond
+	// minTokenTimeout keeps a short pause of an engine from moving its streams to other engines.
+	minTokenTimeout = 400 * time.Millisecond
+	// fallbackFirstToken and fallbackTokenGap are used for quantiles that have too few observations.
 	fallbackFirstToken = time.Second
 	fallbackTokenGap   = 100 * time.Millisecond
-	// adapterPollInterval is how often a request looks whether its adapter is loaded.
+	// adapterPollInterval is how often a request that waits for its adapter checks whether an engine may have it.
 	adapterPollInterval = 50 * time.Millisecond
 )
 
 var errMissingToken = errors.New("a token is missing")
 
-// stream makes calls until the last token is in: after a fault the next call asks for the
-// rest, so that the caller sees neither a gap nor a repeat.
+// runStream makes calls until the last token has arrived. After a fault, the next call asks for the remaining tokens, so
+// that the caller gets each token exactly once.
 func (a *attempts) runStream(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, a.deadline)
 	defer cancel()
@@ -55,7 +56,7 @@
 	}
 }
 
-// handleStreamFault returns the refusal that ends the stage, or nil where another call follows.
+// handleStreamFault returns the refusal that ends the stage, or nil if another call is to be made.
 func (a *attempts) handleStreamFault(ctx context.Context, e *endpointState, fault *endpoint.Fault) error {
 	if fault.Kind == endpoint.NotLoaded {
 		return nil
@@ -69,15 +70,16 @@
 	if a.carry.Tokens > 0 {
 		a.dispatcher.metrics.Retried(model.RetryResume, a.pool.name)
 	}
-	// A silent connection is not yet the endpoint's fault: it gets one more try.
+	// A reused connection without progress may itself be at fault: the endpoint may get one more call, on a new
+	// connection.
 	if fault.Kind != endpoint.Silent || !fault.Reused {
 		a.excluded = append(a.excluded, e.name)
 	}
 	return nil
 }
 
-// awaitAdapter waits while all engines lack the adapter, for as long as the answer could still
-// be in time. It returns those that lack it.
+// awaitAdapter waits while all engines lack the adapter, until the latest start that can still meet the deadline. It
+// returns the engines that lack the adapter, and false if the wait was in vain.
 func (a *attempts) awaitAdapter(ctx context.Context) ([]string, bool) {
 	adapter := adapterName(a.job.Work.Stage)
 	latest := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
@@ -99,12 +101,12 @@
 	}
 }
 
-// adapterName is what an engine must have loaded for a stage.
+// adapterName returns the name of the adapter that an engine must have loaded for a stage.
 func adapterName(s model.Stage) string {
 	return s.Model + "/" + s.Adapter
 }
 
-// streamCall makes one call for the tokens from the next one on.
+// streamCall makes one call for the tokens that are still missing, and appends them to output.
 func (a *attempts) streamCall(ctx context.Context, e *endpointState, output *strings.Builder) error {
 	startedAt := time.Now()
 	a.callCount++
@@ -187,13 +189,14 @@
 	a.pool.observe(&a.pool.tokenGaps, now.Sub(lastTokenAt))
 }
 
-// observeSilence lets the quantiles learn from a timeout: if the whole pool became slower
-// than the timeout, no other observation would ever show it.
+// observeSilence records a timeout as an observation of its duration. If the whole pool became slower than the timeout,
+// no other observation would ever raise the quantiles.
 func (a *attempts) observeSilence(startedAt, lastTokenAt, now time.Time) {
 	a.observeToken(startedAt, lastTokenAt, now)
 }
 
-// tokenTimeout covers both the first token and the pauses between tokens.
+// tokenTimeout returns the timeout for the first token and for each gap between tokens. Without a retry left in the
+// budget it is the time until the deadline, since no other call could follow.
 func (a *attempts) tokenTimeout(now time.Time) time.Duration {
 	first := a.pool.quantile(&a.pool.firstTokenTimes, timeoutQuantile, fallbackFirstToken)
 	gap := a.pool.quantile(&a.pool.tokenGaps, timeoutQuantile, fallbackTokenGap)
@@ -201,11 +204,12 @@
 	if !a.pool.canRetry() {
 		return a.deadline.Sub(now)
 	}
-	// However slow the pool is, half of the time is left for another call.
+	// Half of the remaining time is left for another call, however slow the pool is.
 	return min(timeout, a.deadline.Sub(now)/2)
 }
 
-// prefix returns what the routing hashes: the caller's prefix, or the adapter and model.
+// routingPrefix returns the key that routing hashes to choose an engine: the model and the caller's prefix, or the model,
+// adapter and customer if the caller states none.
 func (a *attempts) routingPrefix() string {
 	w := a.job.Work
 	if w.Request.Input.Prefix != "" {
--- a/dispatch/verdict_test.go
+++ b/dispatch/verdict_test.go
@@ -17,11 +17,10 @@
 	"basilstall.example/basilstall/model"
 )
 
-// What was seen: a caller was told NotRun of a request that an endpoint had got, once in 300 requests under more
-// load than places, in some runs of many. How it comes about: a slow call has another one beside it whose
-// connection is not open yet when the deadline passes. That one ends as NotRun by its own time-out, which is the same
-// moment; where its end was looked at first, the verdict rested on it alone, and the call still under way was counted
-// only after. The order of the two is chance, so the test asks many times.
+// Guards against the verdict NotRun for a request that an endpoint has received, which occurred about once in 300 requests
+// under overload. A slow call has a hedge whose connection is not open yet at the deadline. The hedge then ends as NotRun
+// through its own timeout, at the same moment as the stage. If its outcome is processed first, the verdict must also
+// account for the call that still runs. The order of the two is random, so the test repeats the run.
 func TestRunningCallAtDeadlineMayHaveRun(t *testing.T) {
 	for range 200 {
 		synctest.Test(t, func(t *testing.T) {
@@ -43,7 +42,7 @@
 				Plugin: kernel.Plugin{Prepare: func(kernel.StageContext) model.StageCall { return model.StageCall{} }},
 			})
 			time.Sleep(time.Second)
-			must.Greater(t, 1, calls.Load(), must.Sprint("a call beside the first"))
+			must.Greater(t, 1, calls.Load(), must.Sprint("no hedge was started"))
 			var refusal *model.Refusal
 			must.True(t, errors.As(err, &refusal))
 			must.EqOp(t, model.MayHaveRun, refusal.Verdict)
