--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -79,7 +79,7 @@
 }
 
 // awaitAdapter waits while all engines lack the adapter, until the latest start that can still meet the deadline. It
-// returns the engines that lack the adapter, and false if the wait was in vain.
+// returns the engines that lack the adapter, and false if all still lack it then.
 func (a *attempts) awaitAdapter(ctx context.Context) ([]string, bool) {
 	adapter := adapterName(a.job.Work.Stage)
 	latest := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -17,14 +17,14 @@
 	"basilstall.example/basilstall/model"
 )
 
-// StatusNotLoaded is how an engine says that it lacks the adapter and did nothing.
+// StatusNotLoaded is the status of an engine's reply if it lacks the adapter and did not run the call.
 const StatusNotLoaded = http.StatusFailedDependency
 
 const (
-	// maxReplyBytes bounds a unary reply.
+	// maxReplyBytes is the maximum size of a unary reply.
 	maxReplyBytes = 4 << 20
 	idleTimeout   = 30 * time.Second
-	// maxIdleConnections bounds the idle connections to one endpoint.
+	// maxIdleConnections is the maximum number of idle connections to one endpoint.
 	maxIdleConnections = 32
 )
 
@@ -37,27 +37,26 @@
 	// Client calls endpoints. It is safe for concurrent use.
 	Client struct {
 		mu sync.Mutex
-		// transports has one entry an address, so that the connections to one endpoint can
-		// be retired together.
+		// transports has one transport per address, so that the connections to one endpoint can be retired together.
 		transports map[string]*http.Transport
-		// fresh opens a connection for each call.
+		// singleUse opens a connection for each call.
 		singleUse *http.Transport
 	}
 
-	// Target says where and how a call goes.
+	// Target is where and how a call is sent.
 	Target struct {
 		Address string
 		Path    string
-		// Fresh demands a new connection. A call that must not be repeated asks for it: one
-		// that was swallowed by a silent connection could never be resolved.
+		// NewConnection makes the call use a new connection. It is set for calls that must not be repeated: if one is
+		// lost on an unresponsive connection, it can never be known whether it ran.
 		NewConnection bool
-		// Timeout bounds the time without progress.
+		// Timeout is the maximum time without progress.
 		Timeout time.Duration
-		// ConnectBy is when the call must have its connection, or is not made; zero for no such bound.
+		// ConnectBy is the deadline for the connection, after which the call is not made; zero for none.
 		ConnectBy time.Time
 	}
 
-	// evidence is what the connection showed of one call.
+	// callTrace records what happened to the connection of one call.
 	callTrace struct {
 		connected atomic.Bool
 		reused    atomic.Bool
@@ -73,7 +72,7 @@
 	}
 }
 
-// Unary makes a call and returns the whole reply; the error is a *Fault.
+// Unary makes a call and returns the complete reply. The error is a *Fault.
 func (c *Client) Unary(ctx context.Context, target Target, call model.StageCall) (model.StageReply, error) {
 	ctx, trace, watch := startWatchdog(ctx, target)
 	defer watch.stop()
@@ -100,8 +99,8 @@
 	return reply, nil
 }
 
-// Stream makes a call and hands each event that belongs to it to accept, in the order of
-// arrival, up to the final one; the error is a *Fault. The timeout holds between events.
+// Stream makes a call and passes each of its events to accept, in the order of arrival, up to the final one. The timeout
+// applies between events. The error is a *Fault.
 func (c *Client) Stream(ctx context.Context, target Target, call model.StageCall, accept func(model.TokenEvent) error) error {
 	ctx, trace, watch := startWatchdog(ctx, target)
 	defer watch.stop()
@@ -139,8 +138,8 @@
 	}
 }
 
-// Retire closes the idle connections to an address and lets those in use end: new calls get
-// new connections.
+// Retire closes the idle connections to an address. Connections in use close when their calls end. New calls get new
+// connections.
 func (c *Client) Retire(address string) {
 	c.mu.Lock()
 	transport := c.transports[address]
@@ -166,8 +165,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode call")
 	}
-	// The key travels in the body: net/http repeats a request by itself if it carries an
-	// Idempotency-Key header. Without GetBody it cannot repeat one at all.
+	// The idempotency key is in the body: net/http resends a request with an Idempotency-Key header by itself. Without
+	// GetBody it cannot resend a request at all.
 	req, err := http.NewRequestWithContext(trace.withTrace(ctx), http.MethodPost, "http://"+target.Address+target.Path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
@@ -212,7 +211,8 @@
 	return f
 }
 
-// trace records whether the call was given a connection: before that, nothing was written.
+// withTrace returns a context with which the trace records whether the call got a connection. Before that, nothing was
+// written.
 func (t *callTrace) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// watch ends a call that makes no progress for the timeout, or has no connection by the time that it must.
+// watchdog cancels a call that makes no progress within the timeout or has no connection by its deadline.
 type watchdog struct {
 	progressTimer *time.Timer
 	connectTimer  *time.Timer
@@ -248,8 +248,7 @@
 	cancel        context.CancelCauseFunc
 }
 
-// begin returns the context of a call, what its connection will show, and the watch over its
-// progress, which must be stopped.
+// startWatchdog returns the context and the trace of a call, and its watchdog, which must be stopped.
 func startWatchdog(ctx context.Context, target Target) (context.Context, *callTrace, watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	trace := &callTrace{}
--- a/endpoint/client_test.go
+++ b/endpoint/client_test.go
@@ -16,24 +16,24 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A call that may be made for a moment only is not made without a connection by then, and the refusal says that it has not
-// run; one that has its connection in time takes as long as it takes.
+// A call that has no connection by its deadline for one is not made, and the fault has the verdict NotRun. A call that has
+// its connection in time may take longer than that deadline.
 func TestCallHasConnectDeadline(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
-		left time.Duration
-		made bool
+		connectTimeout time.Duration
+		made           bool
 	}{
-		"too late":  {-time.Millisecond, false},
-		"in time":   {2 * time.Second, true},
-		"unbounded": {0, true},
+		"deadline passed": {-time.Millisecond, false},
+		"in time":         {2 * time.Second, true},
+		"no deadline":     {0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var calls atomic.Int32
 			target := endpoint.Target{Path: "/run", Timeout: time.Minute}
-			if tc.left != 0 {
-				target.ConnectBy = time.Now().Add(tc.left)
+			if tc.connectTimeout != 0 {
+				target.ConnectBy = time.Now().Add(tc.connectTimeout)
 			}
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
--- a/endpoint/error.go
+++ b/endpoint/error.go
@@ -6,35 +6,36 @@
 	"basilstall.example/basilstall/model"
 )
 
-// FaultKind names how a call failed.
+// FaultKind is the way in which a call failed.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	// Refused: no connection; nothing was written.
+	// Refused means that no connection could be opened. Nothing was written.
 	Refused FaultKind = "Refused"
-	// Cut: the connection broke after it was open.
+	// Cut means that the connection broke after it was opened.
 	Cut FaultKind = "Cut"
-	// Silent: no progress within the timeout.
+	// Silent means that the call made no progress within its timeout, or that an exchange had no reply by the deadline of
+	// its context.
 	Silent FaultKind = "Silent"
-	// Status: the endpoint answered with an error.
+	// Status means that the endpoint answered with an error or an invalid reply.
 	Status FaultKind = "Status"
-	// Mismatch: the reply belongs to another call.
+	// Mismatch means that the reply belongs to another call, or that tokens of a stream are missing.
 	Mismatch FaultKind = "Mismatch"
-	// NotLoaded: the engine lacks the adapter and did nothing.
+	// NotLoaded means that the engine lacks the adapter and did not run the call.
 	NotLoaded FaultKind = "NotLoaded"
-	// Cancelled: the caller of this package gave up.
+	// Cancelled means that the context of the call ended, or that the call had no connection by Target.ConnectBy.
 	Cancelled FaultKind = "Cancelled"
-	// Withdrawn: the endpoint may get no more work since it was chosen.
+	// Withdrawn means that the endpoint stopped accepting work after it was chosen.
 	Withdrawn FaultKind = "Withdrawn"
 )
 
 // Fault is the error of a failed call.
 type Fault struct {
 	Kind FaultKind
-	// Verdict is NotRun only if no byte of the call was written or the endpoint says so.
+	// Verdict is NotRun only if no byte of the call was written or the endpoint states that the call did not run.
 	Verdict model.Verdict
-	// Reused is true where the connection had carried earlier calls.
+	// Reused is true if the connection had been kept open since an earlier call, or since Exchanger.Connect.
 	Reused bool
 	Err    error
 }
@@ -49,7 +50,7 @@
 	return f.Err
 }
 
-// RetryReason returns the counter's name for a repetition after this fault.
+// RetryReason returns the reason under which a retry after this fault is counted.
 func (f *Fault) RetryReason() model.Reason {
 	switch f.Kind {
 	case Refused:
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -16,65 +16,66 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection: several times a lost opening packet's
-	// detection on a healthy network, and short beside any objective worth a second endpoint.
+	// dialTimeout is the maximum time to open a connection: several times what it takes to detect a lost SYN on a
+	// healthy network, and short compared to any latency objective that leaves time for a second endpoint.
 	dialTimeout = 700 * time.Millisecond
-	// readBufferBytes holds a typical reply's head and small body in one read.
+	// readBufferBytes fits the header and a small body of a typical reply in one read.
 	readBufferBytes = 4 << 10
-	// maxInlineBody is written before the reply is awaited; a longer one is written beside, since
-	// an endpoint may answer before it has read the body.
+	// maxInlineBody is the maximum size of a body, in bytes, that is written before the reply is read. A longer one is
+	// written concurrently, since an endpoint may answer before it has read the body.
 	maxInlineBody = 2 << 10
-	// maxWriteLag is how long the end of a write may lag behind the reply to it.
+	// maxWriteLag is how long after the reply the write of the request may end.
 	maxWriteLag = 2 * time.Millisecond
-	// maxStrayReplies is how many replies to earlier requests are skipped before a connection is
-	// given up.
+	// maxStrayReplies is how many replies to earlier requests are skipped before a connection is closed.
 	maxStrayReplies = 2
-	// maxHeaderBytes bounds a reply's status line and header fields.
+	// maxHeaderBytes is the maximum size of a reply's status line and header fields.
 	maxHeaderBytes = 64 << 10
 )
 
 var errStrayReply = errors.New("endpoint: the reply belongs to another request")
 
 type (
-	// Exchange is one request, sent as it stands on a connection that carries nothing else
-	// until its reply was read.
+	// Exchange is one request. It is sent unchanged, on a connection that carries nothing else until its reply has been
+	// read.
 	Exchange struct {
 		Address string
 		Method  string
 		URI     string
 		Host    string
-		// Header holds all fields but Host and Content-Length.
+		// Header holds all fields except Host and Content-Length.
 		Header http.Header
 		Body   []byte
-		// EchoField and EchoValue name a field that the reply must repeat; none if empty.
+		// EchoField and EchoValue are the name and value of a header field that the reply must have; none if empty.
 		EchoField string
 		EchoValue string
 		// MaxConnIdleTime is how long a connection may have been idle for this request to use it.
 		MaxConnIdleTime time.Duration
-		// MaxIdleConns is how many idle connections there may be to the address afterwards.
+		// MaxIdleConns is the maximum number of idle connections to the address after the exchange.
 		MaxIdleConns int
-		// BeforeSend decides, when a connection is open, whether the request is still to be
-		// sent; nil means yes. Its error is returned as it is.
+		// BeforeSend, if not nil, is called once a connection is open. If it returns an error, the request is not sent
+		// and Send returns that error unchanged.
 		BeforeSend func() error
 	}
 
-	// ExchangeReply is the reply to an exchange. Body ends with io.EOF only if it is whole.
+	// ExchangeReply is the reply to an exchange. Body ends with io.EOF only if it is complete.
 	ExchangeReply struct {
 		Status int
 		Header http.Header
 		Body   io.Reader
 
-		conn        *exchangeConn
+		conn *exchangeConn
+		// cancelClose keeps the end of the context from closing the connection. It returns false if that has begun.
 		cancelClose func() bool
-		// whole is true once Body returned io.EOF.
+		// complete is true once Body has returned io.EOF.
 		complete bool
-		// dirty is true where the connection must not be used again.
+		// notReusable is true if the connection must not be used again.
 		notReusable bool
+		// idleTimeout is how long the endpoint keeps the connection while it is idle.
 		idleTimeout time.Duration
 		exchanger   *Exchanger
 	}
 
-	// headerLimiter counts what may still be read of a reply's head.
+	// headerLimiter limits how many bytes may be read from a connection until the end of a reply's header.
 	headerLimiter struct {
 		conn      net.Conn
 		remaining atomic.Int64
@@ -90,8 +91,8 @@
 	return n, err
 }
 
-// Send carries one exchange out. The context bounds the whole exchange, its body included;
-// its end closes the connection. The error is a *Fault, but for that of BeforeSend.
+// Send sends the request and returns the reply. The context applies to the whole exchange, including the body of the
+// reply; when it ends, the connection is closed. The error is a *Fault or that of BeforeSend.
 func (x *Exchanger) Send(ctx context.Context, e Exchange) (*ExchangeReply, error) {
 	conn, fault := x.getConn(ctx, e)
 	if fault != nil {
@@ -137,8 +138,8 @@
 	return nil, errStrayReply
 }
 
-// allWritten tells whether all of the request has left. If not, the endpoint answered before it
-// had read the request, and what is still to be written would be taken for the next one.
+// allWritten reports whether the whole request has been written. If not, the endpoint answered before it had read the
+// request, and would take the rest of it for the next request.
 func allWritten(writeDone <-chan error) bool {
 	timer := time.NewTimer(maxWriteLag)
 	defer timer.Stop()
@@ -150,8 +151,7 @@
 	}
 }
 
-// skip reads a reply to an earlier request to its end; this is only possible where its end
-// does not end the connection.
+// discardReply reads a reply to an earlier request to its end. It fails if the reply ends with its connection.
 func discardReply(reply *ExchangeReply) error {
 	if reply.notReusable {
 		return errStrayReply
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// write sends the request; the channel gets one error, nil where all of it was written.
+// writeRequest sends the request. The channel receives one error, nil if the whole request was written.
 func (c *exchangeConn) writeRequest(e Exchange) <-chan error {
 	done := make(chan error, 1)
 	send := func() {
@@ -198,7 +198,7 @@
 	}
 }
 
-// replyBody notes whether a body was read to its proper end.
+// replyBody records whether a body was read to its end.
 type replyBody struct {
 	reply *ExchangeReply
 	body  io.Reader
@@ -212,7 +212,7 @@
 	return n, err
 }
 
-// Close ends the exchange; the connection is kept where that is safe. It may be called again.
+// Close ends the exchange. The connection is kept for reuse if that is safe. Close may be called more than once.
 func (r *ExchangeReply) Close() {
 	if r.conn == nil {
 		return
@@ -240,7 +240,7 @@
 	return []byte(b.String())
 }
 
-// keepAliveTimeout returns how long the endpoint keeps an idle connection, as it says.
+// keepAliveTimeout returns how long the endpoint keeps an idle connection, as stated in its reply.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -254,7 +254,7 @@
 	return defaultIdleTimeout
 }
 
-// fault says what the connection shows of a failed exchange.
+// newFault returns the fault of a failed exchange.
 func (c *exchangeConn) newFault(ctx context.Context, err error) *Fault {
 	f := &Fault{Kind: Cut, Verdict: model.MayHaveRun, Reused: c.used, Err: err}
 	if !c.maybeSent.Load() {
--- a/endpoint/exchange_test.go
+++ b/endpoint/exchange_test.go
@@ -20,8 +20,9 @@
 
 const okReply = "HTTP/1.1 200 OK\r\nX-Id: %\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
 
-// scripted is an endpoint that answers each request on a connection by a script: the text to send
-// for the request of that number, with % for its ID. An empty text closes the connection.
+// scriptedServer is an endpoint whose replies are scripted. The script returns the reply to a request by the numbers of its
+// connection and of the request on that connection. In a reply, % stands for the request's ID. An empty reply closes the
+// connection, and so does a reply that ends with "!close", once it is sent.
 type scriptedServer struct {
 	address  string
 	conns    atomic.Int64
@@ -104,14 +105,14 @@
 		script func(conn, request int) string
 		ok     bool
 	}{
-		{"a late second reply comes before the own one", func(_, request int) string {
+		{"reply to an earlier request before the own reply", func(_, request int) string {
 			if request == 2 {
 				return stray + okReply
 			}
 			return okReply
 		}, true},
-		{"only another's reply", func(int, int) string { return stray + stray + stray }, false},
-		{"a second reply right after the first", func(conn, _ int) string {
+		{"only replies to another request", func(int, int) string { return stray + stray + stray }, false},
+		{"second reply right after the first", func(conn, _ int) string {
 			if conn == 1 {
 				return okReply + okReply
 			}
@@ -139,18 +140,18 @@
 
 func TestBrokenReplyIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
-		"shorter than it says":      "HTTP/1.1 200 OK\r\nX-Id: %\r\nContent-Length: 9\r\n\r\nok!close",
-		"no last chunk":             "HTTP/1.1 200 OK\r\nX-Id: %\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n!close",
-		"a chunk that is none":      "HTTP/1.1 200 OK\r\nX-Id: %\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n",
-		"bytes that are no reply":   "\x00\x01garbage\r\n\r\n",
-		"a head that never ends":    "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 20000),
-		"a connection that is shut": "",
+		"body shorter than Content-Length": "HTTP/1.1 200 OK\r\nX-Id: %\r\nContent-Length: 9\r\n\r\nok!close",
+		"no last chunk":                    "HTTP/1.1 200 OK\r\nX-Id: %\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n!close",
+		"malformed chunk size":             "HTTP/1.1 200 OK\r\nX-Id: %\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n",
+		"malformed status line":            "\x00\x01garbage\r\n\r\n",
+		"header without end":               "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 20000),
+		"connection closed without reply":  "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScriptedServer(t, func(int, int) string { return text })
 			_, err := send(t, endpoint.NewExchanger(time.Now), s.address, "1")
 			must.Error(t, err)
-			must.Eq(t, 1, s.requests.Load(), must.Sprint("nothing is sent twice"))
+			must.Eq(t, 1, s.requests.Load(), must.Sprint("the request was sent again"))
 		})
 	}
 }
@@ -178,7 +179,7 @@
 				return
 			}
 			conns.Add(1)
-			// It answers without reading the body.
+			// Answer without reading the body.
 			go func() { _, _ = io.WriteString(conn, strings.ReplaceAll(okReply, "%", "1")) }()
 		}
 	}()
@@ -196,7 +197,7 @@
 		reply.Close()
 		cancel()
 	}
-	must.Eq(t, 2, conns.Load(), must.Sprint("the rest of the body would be taken for the next request"))
+	must.Eq(t, 2, conns.Load(), must.Sprint("a connection was reused on which the rest of the body would be taken for the next request"))
 }
 
 func TestRefusedConnectionIsNotRun(t *testing.T) {
@@ -257,7 +258,7 @@
 	must.Eq(t, model.MayHaveRun, fault.Verdict)
 }
 
-// As many connections stay open as each exchange says, those used last; the next exchanges open the others.
+// At most MaxIdleConns connections stay open, those used last. The next exchanges open the missing ones.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	for maxIdle, want := range map[int]int64{0: 6, 2: 4, 8: 3} {
 		s := newScriptedServer(t, func(int, int) string { return okReply })
--- a/endpoint/exchanger.go
+++ b/endpoint/exchanger.go
@@ -15,22 +15,24 @@
 )
 
 const (
-	// defaultIdleTimeout is how long a connection is kept whose endpoint states no idle timeout.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint states no idle timeout.
 	defaultIdleTimeout = 900 * time.Millisecond
-	// idleMargin is taken off a stated idle timeout: the endpoint's end of it may be on its way.
+	// idleMargin is subtracted from a stated idle timeout, since the endpoint's close may still be in transit.
 	idleMargin = 500 * time.Millisecond
-	// userTimeout ends a connection whose written bytes nobody acknowledges: a partition.
-	userTimeout   = 2500 * time.Millisecond
+	// userTimeout is the TCP user timeout: a connection whose data is not acknowledged for that long, as in a network
+	// partition, is closed.
+	userTimeout = 2500 * time.Millisecond
+	// keepAliveIdle is the time before the first TCP keep-alive probe and between probes.
 	keepAliveIdle = time.Second
 )
 
 type (
-	// Exchanger keeps connections to endpoints, each of which carries one exchange at a time.
-	// It never sends anything twice. It is safe for concurrent use.
+	// Exchanger keeps a pool of connections to endpoints, each of which carries one exchange at a time. It never resends
+	// a request. It is safe for concurrent use.
 	Exchanger struct {
-		// Now is the clock by which connections age.
+		// Now returns the time, from which the age of idle connections is computed.
 		Now func() time.Time
-		// OnConnect is called for each connection opened.
+		// OnConnect is called after each connection is opened.
 		OnConnect func()
 
 		dialer net.Dialer
@@ -44,14 +46,14 @@
 		limiter *headerLimiter
 		reader  *bufio.Reader
 		address string
-		// maxIdleConns is how many idle connections there may be to the address.
+		// maxIdleConns is the maximum number of idle connections to the address.
 		maxIdleConns int
-		// used is true once it has carried an exchange.
+		// used is true once the connection has been put back as idle.
 		used bool
-		// wrote is true once bytes of the current request may have left.
+		// maybeSent is true once bytes of the current request may have been sent.
 		maybeSent atomic.Bool
 		idleSince time.Time
-		// idleTimeout is how long it may stay idle.
+		// idleTimeout is how long the connection may stay idle.
 		idleTimeout time.Duration
 		closeOnce   sync.Once
 	}
@@ -68,8 +70,8 @@
 	return x
 }
 
-// TCPUserTimeout returns a control function for dialers that makes the system give a connection up
-// whose written bytes nobody acknowledges for a time.
+// TCPUserTimeout returns a control function for net.Dialer that sets the TCP user timeout: the system closes a connection
+// whose data is not acknowledged for that long.
 func TCPUserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var optionErr error
@@ -83,7 +85,7 @@
 	}
 }
 
-// connection returns an idle connection that shows no sign of its end, or a new one.
+// getConn returns a usable idle connection, or a new one.
 func (x *Exchanger) getConn(ctx context.Context, e Exchange) (*exchangeConn, *Fault) {
 	now := x.Now()
 	for {
@@ -123,8 +125,8 @@
 	return c, nil
 }
 
-// Connect opens a connection to an address, which the next exchange with it uses: its error tells whether anything
-// listens there.
+// Connect opens a connection to an address and keeps it for the next exchange. The error shows whether a process listens
+// there.
 func (x *Exchanger) Connect(ctx context.Context, address string) error {
 	c, err := x.dial(ctx, address)
 	if err != nil {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// takeIdle returns the connection that was idle for the shortest time.
+// takeIdle removes and returns the connection that has been idle for the shortest time, or nil.
 func (x *Exchanger) takeIdle(address string) *exchangeConn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -153,7 +155,8 @@
 	return c
 }
 
-// keep puts a connection back for the next exchange.
+// putIdle keeps a connection for the next exchange, for the given idle timeout. If that exceeds defaultIdleTimeout, the
+// endpoint has stated it and idleMargin is subtracted.
 func (x *Exchanger) putIdle(c *exchangeConn, timeout time.Duration) {
 	c.used = true
 	c.idleSince = x.Now()
@@ -175,7 +178,7 @@
 	x.idle[c.address] = conns
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes the connections that have been idle for longer than their idle timeout.
 func (x *Exchanger) CloseExpired() {
 	now := x.Now()
 	x.mu.Lock()
@@ -207,8 +210,7 @@
 	delete(x.idle, address)
 }
 
-// quiet tells whether nothing can be read: neither the connection's end nor bytes that belong
-// to no request.
+// usable reports whether nothing can be read from an idle connection: neither its end nor bytes that belong to no request.
 func (c *exchangeConn) usable() bool {
 	if c.reader.Buffered() > 0 || c.raw == nil {
 		return false
