--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -24,7 +24,8 @@
 		// OnDisconnect is called when the connection to an endpoint broke during a call and the endpoint, which is not
 		// leaving, may have worked on the request.
 		OnDisconnect func(e model.Endpoint, req model.Request)
-		// CheckRequest is called right before each call and returns a refusal if the request must not be sent.
+		// CheckRequest is called right before each call, except for hedges and for requests on trial. It returns a refusal
+		// if the request must not be sent.
 		CheckRequest func(req model.Request) *model.Refusal
 		// OnCall is called before each call to an endpoint.
 		OnCall func(e model.Endpoint)
@@ -73,6 +74,7 @@
 
 	// Result is the result of a stage.
 	Result struct {
+		// Carry is the output carried over to the next stage.
 		Carry  model.Carry
 		Timing model.StageTiming
 	}
--- a/dispatch/listed_test.go
+++ b/dispatch/listed_test.go
@@ -20,7 +20,7 @@
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		relisted model.Endpoint
-		// known tells whether the time of the last call is kept.
+		// known is true if the time of the last call is kept.
 		known bool
 	}{
 		"same address":    {model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}, true},
