--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// Dispatcher runs stages on the endpoints of their pools. It is safe for concurrent use. The exported fields must be
-	// set before the first call; NewDispatcher sets defaults.
+	// Dispatcher runs stages on the endpoints of their pools. It is safe for concurrent use. The exported fields must
+	// be set before the first call; NewDispatcher sets defaults.
 	Dispatcher struct {
 		// OnLeaving is called when an endpoint reports in a reply that it is leaving.
 		OnLeaving func(pool, endpoint string)
@@ -24,8 +24,8 @@
 		// OnDisconnect is called when the connection to an endpoint broke during a call and the endpoint, which is not
 		// leaving, may have worked on the request.
 		OnDisconnect func(e model.Endpoint, req model.Request)
-		// CheckRequest is called right before each call, except for hedges and for requests on trial. It returns a refusal
-		// if the request must not be sent.
+		// CheckRequest is called right before each call, except for hedges and for requests on trial. It returns a
+		// refusal if the request must not be sent.
 		CheckRequest func(req model.Request) *model.Refusal
 		// OnCall is called before each call to an endpoint.
 		OnCall func(e model.Endpoint)
@@ -37,8 +37,8 @@
 		// AdmitPool returns a refusal if rate caps and cold limits let this node call none of the endpoints of a pool
 		// now. calledAt returns when this node last called an endpoint.
 		AdmitPool func(now time.Time, pool string, endpoints []model.Endpoint, calledAt func(incarnation string) time.Time) *model.Refusal
-		// MayRequestPermit reports whether another node may be asked for a permit to call an endpoint in its place, given
-		// when this node last called it.
+		// MayRequestPermit reports whether another node may be asked for a permit to call an endpoint in its place,
+		// given when this node last called it.
 		MayRequestPermit func(now time.Time, e model.Endpoint, calledAt time.Time) bool
 		// RequestPermit requests such a permit and reports whether it was granted.
 		RequestPermit func(ctx context.Context, e model.Endpoint) bool
@@ -212,8 +212,8 @@
 	d.client.Close()
 }
 
-// Run runs a stage. The error is a *model.Refusal, whose verdict is NotRun only if no endpoint can have received a call.
-// If the stage was started, the result has its timing even if there is an error.
+// Run runs a stage. The error is a *model.Refusal, whose verdict is NotRun only if no endpoint can have received a
+// call. If the stage was started, the result has its timing even if there is an error.
 func (d *Dispatcher) Run(ctx context.Context, job Job) (Result, error) {
 	start := time.Now()
 	p := d.pool(job.Work.Stage.Pool)
--- a/dispatch/listed_test.go
+++ b/dispatch/listed_test.go
@@ -13,9 +13,9 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Guards against a burst of calls to an endpoint that the list drops and lists again, as after an outage of the list. If
-// the time of the last call were lost with the entry, all nodes that share a rate cap or cold limit of the endpoint would
-// call it at once.
+// Guards against a burst of calls to an endpoint that the list drops and lists again, as after an outage of the list.
+// If the time of the last call were lost with the entry, all nodes that share a rate cap or cold limit of the endpoint
+// would call it at once.
 func TestRelistedEndpointKeepsLastCallTime(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -14,8 +14,9 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A call with another node's permit must have its connection within the lifetime of the permit. Otherwise it could arrive
-// together with the next call of the node that granted the permit. A call that needs no permit has no such deadline.
+// A call with another node's permit must have its connection within the lifetime of the permit. Otherwise it could
+// arrive together with the next call of the node that granted the permit. A call that needs no permit has no such
+// deadline.
 func TestPermittedCallHasConnectDeadline(t *testing.T) {
 	t.Parallel()
 	for name, needsPermit := range map[string]bool{"with a permit": true, "without a permit": false} {
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -49,8 +49,8 @@
 		budget           kernel.RetryBudget
 		// inFlight counts the stages that have acquired the pool. It is bounded by limit, except in the baseline.
 		inFlight int
-		// adaptersOnDemand is true once an engine has replied that it lacks an adapter. Before that, the use of adapters
-		// is not reported.
+		// adaptersOnDemand is true once an engine has replied that it lacks an adapter. Before that, the use of
+		// adapters is not reported.
 		adaptersOnDemand bool
 		// nextRoundRobin counts the picks of the baseline's round robin.
 		nextRoundRobin int
@@ -141,8 +141,8 @@
 	p.limit.Max = maxLimitPerEndpoint * n
 }
 
-// pacingOf returns the pacing of an endpoint that the list has recently dropped and now lists again at the same address.
-// For all others it is zero.
+// pacingOf returns the pacing of an endpoint that the list has recently dropped and now lists again at the same
+// address. For all others it is zero.
 func (p *pool) pacingOf(endpoint model.Endpoint) endpointPacing {
 	unlisted := p.unlisted[endpoint.Name]
 	if unlisted.address != endpoint.Address {
@@ -151,8 +151,8 @@
 	return unlisted.pacing
 }
 
-// rememberUnlisted keeps the pacing of endpoints that the list has dropped. Otherwise all nodes would call an endpoint at
-// once if its entry was missing from the list for a moment.
+// rememberUnlisted keeps the pacing of endpoints that the list has dropped. Otherwise all nodes would call an endpoint
+// at once if its entry was missing from the list for a moment.
 func (p *pool) rememberUnlisted(now time.Time, removed map[string]*endpointState) {
 	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedTTL })
 	for name, e := range removed {
--- a/dispatch/poolpick.go
+++ b/dispatch/poolpick.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// mayCall reports whether rate caps and cold limits let this node call an endpoint now. With allowPermit, it also reports
-// true if another node may be asked for a permit. No permit is requested for an ejected endpoint.
+// mayCall reports whether rate caps and cold limits let this node call an endpoint now. With allowPermit, it also
+// reports true if another node may be asked for a permit. No permit is requested for an ejected endpoint.
 func (p *pool) mayCall(now time.Time, e *endpointState, allowPermit bool) bool {
 	endpoint := e.candidate.Endpoint
 	return p.admits(now, endpoint, e.pacing.calledAt) || allowPermit && !e.candidate.Health.Ejected() && p.mayRequestPermit(now, endpoint, e.pacing.calledAt)
@@ -132,8 +132,8 @@
 	return out
 }
 
-// totalSlots returns the number of slots of all endpoints. Endpoints that have never reported theirs count with the mean
-// of the others. It returns 0 if none has.
+// totalSlots returns the number of slots of all endpoints. Endpoints that have never reported theirs count with the
+// mean of the others. It returns 0 if none has.
 func (p *pool) totalSlots() int {
 	known, sum := 0, 0
 	for _, e := range p.endpoints {
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -25,8 +25,8 @@
 
 var errMissingToken = errors.New("a token is missing")
 
-// runStream makes calls until the last token has arrived. After a fault, the next call asks for the remaining tokens, so
-// that the caller gets each token exactly once.
+// runStream makes calls until the last token has arrived. After a fault, the next call asks for the remaining tokens,
+// so that the caller gets each token exactly once.
 func (a *attempts) runStream(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, a.deadline)
 	defer cancel()
@@ -208,8 +208,8 @@
 	return min(timeout, a.deadline.Sub(now)/2)
 }
 
-// routingPrefix returns the key that routing hashes to choose an engine: the model and the caller's prefix, or the model,
-// adapter and customer if the caller states none.
+// routingPrefix returns the key that routing hashes to choose an engine: the model and the caller's prefix, or the
+// model, adapter and customer if the caller states none.
 func (a *attempts) routingPrefix() string {
 	w := a.job.Work
 	if w.Request.Input.Prefix != "" {
--- a/dispatch/verdict_test.go
+++ b/dispatch/verdict_test.go
@@ -17,10 +17,10 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Guards against the verdict NotRun for a request that an endpoint has received, which occurred about once in 300 requests
-// under overload. A slow call has a hedge whose connection is not open yet at the deadline. The hedge then ends as NotRun
-// through its own timeout, at the same moment as the stage. If its outcome is processed first, the verdict must also
-// account for the call that still runs. The order of the two is random, so the test repeats the run.
+// Guards against the verdict NotRun for a request that an endpoint has received, which occurred about once in 300
+// requests under overload. A slow call has a hedge whose connection is not open yet at the deadline. The hedge then
+// ends as NotRun through its own timeout, at the same moment as the stage. If its outcome is processed first, the
+// verdict must also account for the call that still runs. The order of the two is random, so the test repeats the run.
 func TestRunningCallAtDeadlineMayHaveRun(t *testing.T) {
 	for range 200 {
 		synctest.Test(t, func(t *testing.T) {
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -99,8 +99,8 @@
 	return reply, nil
 }
 
-// Stream makes a call and passes each of its events to accept, in the order of arrival, up to the final one. The timeout
-// applies between events. The error is a *Fault.
+// Stream makes a call and passes each of its events to accept, in the order of arrival, up to the final one. The
+// timeout applies between events. The error is a *Fault.
 func (c *Client) Stream(ctx context.Context, target Target, call model.StageCall, accept func(model.TokenEvent) error) error {
 	ctx, trace, watch := startWatchdog(ctx, target)
 	defer watch.stop()
--- a/endpoint/client_test.go
+++ b/endpoint/client_test.go
@@ -16,8 +16,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A call that has no connection by its deadline for one is not made, and the fault has the verdict NotRun. A call that has
-// its connection in time may take longer than that deadline.
+// A call that has no connection by its deadline for one is not made, and the fault has the verdict NotRun. A call that
+// has its connection in time may take longer than that deadline.
 func TestCallHasConnectDeadline(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/endpoint/error.go
+++ b/endpoint/error.go
@@ -15,8 +15,8 @@
 	Refused FaultKind = "Refused"
 	// Cut means that the connection broke after it was opened.
 	Cut FaultKind = "Cut"
-	// Silent means that the call made no progress within its timeout, or that an exchange had no reply by the deadline of
-	// its context.
+	// Silent means that the call made no progress within its timeout, or that an exchange had no reply by the deadline
+	// of its context.
 	Silent FaultKind = "Silent"
 	// Status means that the endpoint answered with an error or an invalid reply.
 	Status FaultKind = "Status"
--- a/endpoint/exchange_test.go
+++ b/endpoint/exchange_test.go
@@ -20,9 +20,9 @@
 
 const okReply = "HTTP/1.1 200 OK\r\nX-Id: %\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
 
-// scriptedServer is an endpoint whose replies are scripted. The script returns the reply to a request by the numbers of its
-// connection and of the request on that connection. In a reply, % stands for the request's ID. An empty reply closes the
-// connection, and so does a reply that ends with "!close", once it is sent.
+// scriptedServer is an endpoint whose replies are scripted. The script returns the reply to a request by the numbers of
+// its connection and of the request on that connection. In a reply, % stands for the request's ID. An empty reply
+// closes the connection, and so does a reply that ends with "!close", once it is sent.
 type scriptedServer struct {
 	address  string
 	conns    atomic.Int64
--- a/endpoint/exchanger.go
+++ b/endpoint/exchanger.go
@@ -27,8 +27,8 @@
 )
 
 type (
-	// Exchanger keeps a pool of connections to endpoints, each of which carries one exchange at a time. It never resends
-	// a request. It is safe for concurrent use.
+	// Exchanger keeps a pool of connections to endpoints, each of which carries one exchange at a time. It never
+	// resends a request. It is safe for concurrent use.
 	Exchanger struct {
 		// Now returns the time, from which the age of idle connections is computed.
 		Now func() time.Time
@@ -70,8 +70,8 @@
 	return x
 }
 
-// TCPUserTimeout returns a control function for net.Dialer that sets the TCP user timeout: the system closes a connection
-// whose data is not acknowledged for that long.
+// TCPUserTimeout returns a control function for net.Dialer that sets the TCP user timeout: the system closes a
+// connection whose data is not acknowledged for that long.
 func TCPUserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var optionErr error
@@ -125,8 +125,8 @@
 	return c, nil
 }
 
-// Connect opens a connection to an address and keeps it for the next exchange. The error shows whether a process listens
-// there.
+// Connect opens a connection to an address and keeps it for the next exchange. The error shows whether a process
+// listens there.
 func (x *Exchanger) Connect(ctx context.Context, address string) error {
 	c, err := x.dial(ctx, address)
 	if err != nil {
@@ -210,7 +210,8 @@
 	delete(x.idle, address)
 }
 
-// usable reports whether nothing can be read from an idle connection: neither its end nor bytes that belong to no request.
+// usable reports whether nothing can be read from an idle connection: neither its end nor bytes that belong to no
+// request.
 func (c *exchangeConn) usable() bool {
 	if c.reader.Buffered() > 0 || c.raw == nil {
 		return false
