--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -7,29 +7,31 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// mostPermitsAsked bounds the permits that are asked for before one call.
-const mostPermitsAsked = 2
+// maxPermitRequests is the maximum number of permits requested for one call.
+const maxPermitRequests = 2
 
-// choose chooses an endpoint for one call; nil where none may get it. Where the choice falls on one that this node may call
-// only with another node's permit, it asks for one; without it, the choice falls on another endpoint.
-func (a *attempts) choose(ctx context.Context, prefix string, excluded []string) *endpointState {
+// chooseEndpoint chooses an endpoint for one call, or returns nil if none may get it. If this node may call the chosen
+// endpoint only with another node's permit, it requests one. If the permit is denied, it chooses again.
+func (a *attempts) chooseEndpoint(ctx context.Context, prefix string, excluded []string) *endpointState {
 	a.connectBy = time.Time{}
-	for asked := 0; ; asked++ {
+	for permitRequests := 0; ; permitRequests++ {
 		now := time.Now()
-		e, needsPermit := a.pool.pick(now, prefix, excluded, asked < mostPermitsAsked)
+		e, needsPermit := a.pool.pick(now, prefix, excluded, permitRequests < maxPermitRequests)
 		if e == nil || !needsPermit {
 			return e
 		}
-		if a.d.AskPermit(ctx, a.pool.endpointOf(e)) {
-			a.pool.permitted(time.Now(), e)
+		if a.dispatcher.RequestPermit(ctx, a.pool.endpointOf(e)) {
+			a.pool.recordPermit(time.Now(), e)
 			a.connectBy = now.Add(kernel.PermitLifetime)
 			return e
 		}
-		a.pool.dropPick(e)
+		a.pool.undoPick(e)
 	}
 }
 
-// Permit has it decided whether another node may call an endpoint in this one's place.
+// Permit calls decide to decide whether another node may call an endpoint in place of this one. A granted permit counts
+// as a call of this node. If the permit is denied, wait is the time until the other node's turn; it is 0 if the
+// endpoint is not listed.
 func (d *Dispatcher) Permit(now time.Time, pool, incarnation string, decide func(now time.Time, incarnation string, calledAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p := d.pool(pool)
 	p.mu.Lock()
@@ -38,24 +40,24 @@
 		if e.candidate.Endpoint.Incarnation() != incarnation {
 			continue
 		}
-		granted, wait = decide(now, incarnation, e.bounds.calledAt)
+		granted, wait = decide(now, incarnation, e.pacing.calledAt)
 		if granted {
-			e.bounds.calledAt = now
+			e.pacing.calledAt = now
 		}
 		return granted, wait
 	}
 	return false, 0
 }
 
-// permitted notes that an endpoint is called with another node's permit.
-func (p *pool) permitted(now time.Time, e *endpointState) {
+// recordPermit records that an endpoint is called with another node's permit.
+func (p *pool) recordPermit(now time.Time, e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.bounds.calledAt = now
+	e.pacing.calledAt = now
 }
 
-// dropPick takes back a choice that was not used.
-func (p *pool) dropPick(e *endpointState) {
+// undoPick reverts the counters of a pick that is not followed by a call.
+func (p *pool) undoPick(e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
