--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -19,10 +19,10 @@
 
 const roomResultBytes = 60_000
 
-// lostBatcher simulates the loss of a batcher with all its state: the workers are full of results that nobody
+// batcherLossSim simulates the loss of a batcher with all its state: the workers are full of results that nobody
 // frees. These were made over the second before the loss, and each expires Keep after it was made. Requests of
 // four pieces arrive at three quarters of the calls' capacity.
-type lostBatcher struct {
+type batcherLossSim struct {
 	queue       *kernel.BatchQueue
 	expiries    map[string][]time.Time
 	running     []kernel.PieceBatch
@@ -31,8 +31,8 @@
 	withoutRoom int
 }
 
-func newLostBatcher(start time.Time, policy kernel.Policy) *lostBatcher {
-	s := &lostBatcher{queue: kernel.NewBatchQueue(roomTraits), expiries: map[string][]time.Time{}, held: map[string][]kernel.ResultRef{}}
+func newBatcherLossSim(start time.Time, policy kernel.Policy) *batcherLossSim {
+	s := &batcherLossSim{queue: kernel.NewBatchQueue(roomTraits), expiries: map[string][]time.Time{}, held: map[string][]kernel.ResultRef{}}
 	s.queue.SetPolicy(policy)
 	s.queue.SetEndpoints(workerEndpoints(5))
 	s.queue.TakeOver(start)
@@ -47,7 +47,7 @@
 }
 
 // foreign returns how many results of the lost batcher a worker holds.
-func (s *lostBatcher) foreignResults(now time.Time, worker string) int {
+func (s *batcherLossSim) foreignResults(now time.Time, worker string) int {
 	n := 0
 	for _, at := range s.expiries[worker] {
 		if now.Before(at) {
@@ -59,7 +59,7 @@
 
 // end completes a call as its worker would: pieces without room are not made. Results are freed at once, as if
 // they had been fetched.
-func (s *lostBatcher) end(now time.Time, batch kernel.PieceBatch) {
+func (s *batcherLossSim) end(now time.Time, batch kernel.PieceBatch) {
 	room := int(roomTraits.Room/roomResultBytes) - s.foreignResults(batch.StartedAt(), batch.Endpoint.Name)
 	results := resultsFor(batch)
 	for i := range results {
@@ -80,7 +80,7 @@
 }
 
 // play runs the simulation and returns the cumulative number of completed requests at the end of each second.
-func (s *lostBatcher) run(start time.Time, seconds int) []int {
+func (s *batcherLossSim) run(start time.Time, seconds int) []int {
 	var done []int
 	id := uint64(0)
 	for step := range seconds * 200 {
@@ -115,9 +115,9 @@
 // fails after three attempts.
 func TestRoomTakenByLostBatcherIsEstimated(t *testing.T) {
 	start := time.Unix(1000, 0)
-	learnt := newLostBatcher(start, kernel.Policy{})
+	learnt := newBatcherLossSim(start, kernel.Policy{})
 	with := learnt.run(start, 6)
-	withoutLearning := newLostBatcher(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
+	withoutLearning := newBatcherLossSim(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
 	without := withoutLearning.run(start, 6)
 	t.Logf("requests completed by second: %v (%d pieces without room), without LearnRoomFromRefusals %v (%d)", with, learnt.withoutRoom, without, withoutLearning.withoutRoom)
 	must.GreaterEq(t, without[2], with[2])
--- a/kernel/explorer_actions_test.go
+++ b/kernel/explorer_actions_test.go
@@ -40,7 +40,7 @@
 		out = append(out, row.WithHorizon(firm, firm, "w"))
 	}
 	if p == leavingProc && s.procs[p].stopped && s.handedOver && !row.HasLeft(exploreMember(p).ID()) {
-		out = append(out, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.successor(s)), "w"))
+		out = append(out, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.successorProc(s)), "w"))
 	}
 	return out
 }
@@ -150,7 +150,7 @@
 }
 
 // heir returns the process to which the leaving one hands over its keys.
-func (e *explorer) successor(s exploreState) int {
+func (e *explorer) successorProc(s exploreState) int {
 	if s.procs[restartedProc].alive || s.procs[restartedProc].readVersion >= 0 {
 		return restartedProc
 	}
@@ -263,7 +263,7 @@
 	if p != leavingProc || !s.handedOver {
 		return
 	}
-	successor := e.successor(*s)
+	successor := e.successorProc(*s)
 	ledger := kernel.NewLedger(time.Time{})
 	ledger.Import("", s.ledgers[successor], time.Time{})
 	ledger.Import(exploreMember(leavingProc).ID(), s.ledgers[p], time.Time{})
@@ -284,7 +284,7 @@
 
 // handOver stops the leaving process and sends its entries to the successor.
 func (e *explorer) handOver(s exploreState) {
-	successor := e.successor(s)
+	successor := e.successorProc(s)
 	if !e.withHandover || s.handedOver || !s.procs[successor].alive {
 		return
 	}
