--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -47,8 +47,8 @@
 	costAhead := func(customer string, weight, seconds int) float64 {
 		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart.Add(time.Duration(seconds) * time.Second)})
 	}
-	must.EqOp(t, 501, costAhead("burst", 1, 9), must.Sprint("after all of its own and those of the other customer"))
-	must.EqOp(t, 1, costAhead("burst", 1, 3), must.Sprint("the earliest deadline: before all of its own"))
+	must.EqOp(t, 501, costAhead("burst", 1, 9), must.Sprint("after all waiters of both customers"))
+	must.EqOp(t, 1, costAhead("burst", 1, 3), must.Sprint("the earliest deadline goes before the other waiters of its customer"))
 	must.EqOp(t, 2, costAhead("silent", 1, 9), must.Sprint("a customer without waiters waits for one round"))
 	must.EqOp(t, 0.5, costAhead("silent", 4, 9)-0.25, must.Sprint("a larger weight waits for less"))
 }
@@ -69,22 +69,23 @@
 	for range 300 {
 		q.Push(&kernel.Waiter{Customer: "many", Cost: 1, Deadline: testStart})
 	}
-	one := 0
+	served := 0
 	q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: testStart})
 	for range 200 {
 		if q.Pop().Customer == "one" {
-			one++
+			served++
 			q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: testStart})
 		}
 	}
-	must.Between(t, 99, one, 101)
+	must.Between(t, 99, served, 101)
 }
 
-// TestFairQueueLosesNoWaiter: whatever is pushed, removed and popped, each waiter leaves once.
+// TestFairQueueLosesNoWaiter checks that each waiter leaves the queue exactly once, whatever is pushed, popped and
+// removed.
 func TestFairQueueLosesNoWaiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := kernel.NewFairQueue()
-		inside := map[*kernel.Waiter]bool{}
+		queued := map[*kernel.Waiter]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				w := &kernel.Waiter{
@@ -94,28 +95,28 @@
 					Deadline: testStart.Add(time.Duration(rapid.IntRange(0, 99).Draw(t, "deadline"))),
 				}
 				q.Push(w)
-				inside[w] = true
+				queued[w] = true
 			},
 			"pop": func(t *rapid.T) {
 				w := q.Pop()
-				must.EqOp(t, len(inside) > 0, w != nil)
+				must.EqOp(t, len(queued) > 0, w != nil)
 				if w != nil {
-					must.True(t, inside[w])
-					delete(inside, w)
+					must.True(t, queued[w])
+					delete(queued, w)
 					must.False(t, q.Remove(w))
 				}
 			},
 			"remove": func(t *rapid.T) {
-				for w := range inside {
+				for w := range queued {
 					must.True(t, q.Remove(w))
-					delete(inside, w)
+					delete(queued, w)
 					break
 				}
 			},
 			"": func(t *rapid.T) {
-				must.EqOp(t, len(inside), q.Len())
+				must.EqOp(t, len(queued), q.Len())
 				cost := 0.0
-				for w := range inside {
+				for w := range queued {
 					cost += w.Cost
 				}
 				must.InDelta(t, cost, q.Cost(), 0.001)
@@ -125,8 +126,8 @@
 }
 
 func TestCanFinishRefusesWithRetryDelay(t *testing.T) {
-	stage := func(median time.Duration, queued, places float64) kernel.StageEstimate {
-		return kernel.StageEstimate{Median: median, QueuedCost: queued, MaxInFlight: places}
+	stage := func(median time.Duration, queued, maxInFlight float64) kernel.StageEstimate {
+		return kernel.StageEstimate{Median: median, QueuedCost: queued, MaxInFlight: maxInFlight}
 	}
 	cases := []struct {
 		name       string
@@ -179,7 +180,7 @@
 			retries++
 		}
 	}
-	must.EqOp(t, 20, retries, must.Sprint("retries without successes end with the initial budget"))
+	must.EqOp(t, 20, retries, must.Sprint("without successes only the initial budget is available"))
 	for range 1000 {
 		b = b.WithSuccess()
 		var ok bool
@@ -191,19 +192,19 @@
 }
 
 func TestRateBucketKeepsFleetRateAndRefills(t *testing.T) {
-	var share kernel.RateBucket
+	var bucket kernel.RateBucket
 	permitted := 0
 	now := testStart
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		var ok bool
-		if share, ok, _ = share.Take(now, 90, 9); ok {
+		if bucket, ok, _ = bucket.Take(now, 90, 9); ok {
 			permitted++
 		}
 	}
 	must.Between(t, 100, permitted, 111)
-	must.False(t, share.Full(now))
-	must.True(t, share.Full(now.Add(2*time.Second)))
+	must.False(t, bucket.Full(now))
+	must.True(t, bucket.Full(now.Add(2*time.Second)))
 }
 
 func TestQuantilesFollowRecentValues(t *testing.T) {
--- a/kernel/batch_property_test.go
+++ b/kernel/batch_property_test.go
@@ -16,9 +16,11 @@
 // batchMachine drives a batch queue with calls that end in any way and in any order, and keeps its own account of
 // groups and room.
 type batchMachine struct {
-	now          time.Time
-	queue        *kernel.BatchQueue
-	lastID       uint64
+	now    time.Time
+	queue  *kernel.BatchQueue
+	lastID uint64
+	// openGroups holds the number of pieces of the groups that have not ended. heldBytes and runningBytes hold, by
+	// worker, the bytes of its results and of those that its running calls will make.
 	openGroups   map[uint64]int
 	running      []kernel.PieceBatch
 	heldBytes    map[string]int64
--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -24,6 +24,7 @@
 	return out
 }
 
+// newPieceGroup returns a group whose callers wait until five seconds after it is due.
 func newPieceGroup(id uint64, pieces int, bytes int64, due time.Time) kernel.PieceGroup {
 	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: due, Until: due.Add(5 * time.Second)}
 	for n := range pieces {
@@ -32,6 +33,7 @@
 	return group
 }
 
+// resultsFor returns a result for each piece of a call.
 func resultsFor(batch kernel.PieceBatch) []model.PieceResult {
 	var out []model.PieceResult
 	for i := range batch.Pieces {
@@ -40,9 +42,10 @@
 	return out
 }
 
-func newBatchQueue(n int) *kernel.BatchQueue {
+// newBatchQueue returns a queue with the given number of workers in three failure domains.
+func newBatchQueue(workers int) *kernel.BatchQueue {
 	q := kernel.NewBatchQueue(batchTraits)
-	q.SetEndpoints(workerEndpoints(n))
+	q.SetEndpoints(workerEndpoints(workers))
 	return q
 }
 
@@ -58,7 +61,7 @@
 		must.True(t, ok)
 	}
 	_, ok = q.Next(now)
-	must.False(t, ok, must.Sprint("no call waits at an endpoint, where other pieces could not join it"))
+	must.False(t, ok, must.Sprint("no call is sent to a busy worker, where other pieces could no longer join it"))
 	ended, unwanted := q.Done(now.Add(221*time.Millisecond), first, resultsFor(first))
 	must.Len(t, 1, ended)
 	must.SliceEmpty(t, unwanted)
@@ -118,7 +121,7 @@
 	must.False(t, ok, must.Sprint("more pieces may join"))
 	q.Add(now, newPieceGroup(3, 7, 0, now.Add(5*time.Second)))
 	batch, ok := q.Next(now.Add(q.Spacing() / 2))
-	must.True(t, ok, must.Sprint("a full call need not wait"))
+	must.True(t, ok, must.Sprint("a full call is sent at once"))
 	must.Len(t, 8, batch.Pieces)
 	q.Add(now, newPieceGroup(4, 1, 0, now.Add(5*time.Second)))
 	_, ok = q.Next(now.Add(2 * q.Spacing()))
@@ -129,14 +132,14 @@
 // the one with the higher priority, whichever was added first.
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
+	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
 	for _, tc := range []struct {
 		name  string
 		due   time.Duration
 		first string
 	}{
-		{"time for both", 3 * full, "request-1"},
-		{"time for one", 3 * full / 2, "request-2"},
+		{"time for both", 3 * fullCallTime, "request-1"},
+		{"time for one", 3 * fullCallTime / 2, "request-2"},
 	} {
 		q := newBatchQueue(1)
 		lowRank := newPieceGroup(1, 8, 0, now.Add(tc.due))
@@ -211,7 +214,7 @@
 		ok, _ := q.Add(now, newPieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
 	}
-	// Three full calls of 368 ms go before it.
+	// Three full calls of 368 ms go before group 4. Group 5 still ends within 2 s, group 6 would not.
 	for id := uint64(4); id <= 5; id++ {
 		ok, _ := q.Add(now, newPieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
@@ -224,17 +227,17 @@
 func TestPiecesWaitForLocalWorkerUpToLocalityWait(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(3)
-	busy := newPieceGroup(1, 1, 0, now.Add(5*time.Second))
-	busy.Domain = "domain-1"
-	busy.LocalityWait = 150 * time.Millisecond
-	q.Add(now, busy)
+	first := newPieceGroup(1, 1, 0, now.Add(5*time.Second))
+	first.Domain = "domain-1"
+	first.LocalityWait = 150 * time.Millisecond
+	q.Add(now, first)
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Eq(t, "domain-1", batch.Endpoint.FailureDomain)
-	waiting := newPieceGroup(2, 1, 0, now.Add(5*time.Second))
-	waiting.Domain = "domain-1"
-	waiting.LocalityWait = 150 * time.Millisecond
-	q.Add(now, waiting)
+	second := newPieceGroup(2, 1, 0, now.Add(5*time.Second))
+	second.Domain = "domain-1"
+	second.LocalityWait = 150 * time.Millisecond
+	q.Add(now, second)
 	_, ok = q.Next(now.Add(50 * time.Millisecond))
 	must.False(t, ok)
 	batch, ok = q.Next(now.Add(200 * time.Millisecond))
@@ -282,12 +285,12 @@
 	must.Eq(t, []string{"request-1"}, taken["domain-1"])
 }
 
-// Five workers are in three failure domains, and each piece fetches all results of the previous stage, 1.4 MB a
-// request. At two thirds of the capacity, groups that may wait for the next call in their domain are rarely made
-// in another one, and wait no longer than two full calls.
+// Five workers are spread over three failure domains, and each piece fetches all results of the previous stage, 1.4
+// MB a request. At two thirds of the capacity, groups that may wait for the next call in their domain are rarely
+// made in another one, and wait no longer than two full calls.
 func TestLocalityWaitKeepsPiecesInDomain(t *testing.T) {
 	traits := model.PieceTraits{Slots: 1, Batch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, Keep: 4 * time.Second}
-	full := 444 * time.Millisecond
+	fullCallTime := 444 * time.Millisecond
 	run := func(policy kernel.Policy) (groups, moved int, longest time.Duration) {
 		start := time.Unix(1000, 0)
 		q := kernel.NewBatchQueue(traits)
@@ -295,7 +298,7 @@
 		q.SetEndpoints(workerEndpoints(5))
 		domains := map[uint64]string{}
 		var running []kernel.PieceBatch
-		end := func(now time.Time, batch kernel.PieceBatch) {
+		completeCall := func(now time.Time, batch kernel.PieceBatch) {
 			ended, _ := q.Done(now, batch, resultsFor(batch))
 			for _, o := range ended {
 				groups++
@@ -307,15 +310,15 @@
 		}
 		for step := range 4000 {
 			now := start.Add(time.Duration(step) * 5 * time.Millisecond)
-			for len(running) > 0 && !now.Before(running[0].StartedAt().Add(full)) {
-				end(now, running[0])
+			for len(running) > 0 && !now.Before(running[0].StartedAt().Add(fullCallTime)) {
+				completeCall(now, running[0])
 				running = running[1:]
 			}
 			if step%4 == 0 {
 				id := uint64(step)
 				group := newPieceGroup(id, 6, 6000, now.Add(2*time.Second))
 				group.Domain = fmt.Sprint("domain-", []int{0, 0, 1, 1, 2}[step/4%5])
-				group.LocalityWait = kernel.LocalityWait(1_400_000, full, 2*time.Second-full)
+				group.LocalityWait = kernel.LocalityWait(1_400_000, fullCallTime, 2*time.Second-fullCallTime)
 				domains[id] = group.Domain
 				q.Add(now, group)
 			}
@@ -330,7 +333,7 @@
 	t.Logf("%d groups: %d made in another domain, %d without InputLocality; longest wait %v", groups, moved, movedWithout, longest)
 	must.Less(t, groups/10, moved)
 	must.Greater(t, groups/5, movedWithout)
-	must.LessEq(t, 2*full, longest)
+	must.LessEq(t, 2*fullCallTime, longest)
 }
 
 // A worker that restarts under its name has all its room free: results of its former incarnation are not counted.
@@ -372,7 +375,8 @@
 	must.EqOp(t, model.PieceInputGone, stale[0].Fault)
 }
 
-// addGroup adds a group of pieces that is due in five seconds.
+// addGroup adds a group that is due, and whose callers leave, in five seconds. It reports whether the group was
+// accepted.
 func addGroup(q *kernel.BatchQueue, now time.Time, id uint64, count int, bytes int64) bool {
 	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: now.Add(5 * time.Second), Until: now.Add(5 * time.Second)}
 	for n := range count {
--- a/kernel/batchcap_test.go
+++ b/kernel/batchcap_test.go
@@ -11,8 +11,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Workers may state a rate cap. These tests guard against a batcher that calls such a worker as fast as it
-// answers.
+// Workers may state a rate cap. These tests guard against a batcher that ignores it and calls such a worker as fast
+// as it answers.
 
 type (
 	// cappedQueue simulates a queue that gets more pieces than its capped workers accept.
@@ -21,7 +21,8 @@
 		running []cappedCall
 		lastID  uint64
 		// calls holds the start times of the calls to the first worker.
-		calls         []time.Time
+		calls []time.Time
+		// made is the number of pieces made, refused the number of groups refused with a retry delay.
 		made, refused int
 	}
 
@@ -31,13 +32,13 @@
 	}
 )
 
-// play runs the simulation for a time.
-func (q *cappedQueue) run(length time.Duration) {
+// run simulates the queue for a time, with a new group every 100 ms.
+func (q *cappedQueue) run(duration time.Duration) {
 	start := time.Unix(1000, 0)
-	for step := time.Duration(0); step < length; step += 10 * time.Millisecond {
-		now := start.Add(step)
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += 10 * time.Millisecond {
+		now := start.Add(elapsed)
 		q.endCalls(now)
-		if step%(100*time.Millisecond) == 0 {
+		if elapsed%(100*time.Millisecond) == 0 {
 			q.addGroup(now)
 		}
 		q.queue.Expire(now)
--- a/kernel/batchers_test.go
+++ b/kernel/batchers_test.go
@@ -38,11 +38,11 @@
 		pool := fmt.Sprint("pool-", k)
 		order := kernel.NodesByHash(pool, nodes)
 		counts[order[0]]++
-		left := kernel.NodesByHash(pool, nodes[1:])
+		remaining := kernel.NodesByHash(pool, nodes[1:])
 		if order[0] != "a" {
-			must.Eq(t, order[0], left[0])
+			must.Eq(t, order[0], remaining[0])
 		} else {
-			must.Eq(t, order[1], left[0])
+			must.Eq(t, order[1], remaining[0])
 		}
 	}
 	for _, n := range counts {
@@ -63,12 +63,12 @@
 		want       kernel.PoolAnswer
 	}{
 		{"a node of equal capacity does not take over", claim("a", 1, true, false), claim("b", 1, false, false), kernel.KeepPool},
-		{"nor does one of less capacity", claim("a", 1, true, false), claim("b", 0.5, false, false), kernel.KeepPool},
-		{"a node of more capacity does", claim("a", 1, true, false), claim("b", 2, false, false), kernel.YieldPool},
+		{"a node of less capacity does not take over", claim("a", 1, true, false), claim("b", 0.5, false, false), kernel.KeepPool},
+		{"a node of more capacity takes over", claim("a", 1, true, false), claim("b", 2, false, false), kernel.YieldPool},
 		{"of two batchers the first continues", claim(first, 1, true, false), claim(second, 1, true, false), kernel.KeepPool},
-		{"and the second yields", claim(second, 1, true, false), claim(first, 1, true, false), kernel.YieldPool},
+		{"of two batchers the second yields", claim(second, 1, true, false), claim(first, 1, true, false), kernel.YieldPool},
 		{"a leaving batcher yields", claim("a", 2, true, true), claim("b", 1, false, false), kernel.YieldPool},
-		{"but not to another leaving node", claim("a", 1, true, true), claim("b", 1, false, true), kernel.SharePool},
+		{"a leaving batcher shares the pool with another leaving node", claim("a", 1, true, true), claim("b", 1, false, true), kernel.SharePool},
 		{"a leaving node gets no pool", claim("a", 1, true, false), claim("b", 2, true, true), kernel.KeepPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/kernel/batchfetch_test.go
+++ b/kernel/batchfetch_test.go
@@ -16,9 +16,11 @@
 	Room: 810_000, Keep: 4 * time.Second, Link: 1_250_000_000,
 }
 
-func groupWithInputs(id uint64, pieces int, now time.Time, free bool) kernel.PieceGroup {
+// groupWithInputs returns a group with four inputs of 60 kB. If freeInputs is set, the inputs may be freed once
+// they were fetched.
+func groupWithInputs(id uint64, pieces int, now time.Time, freeInputs bool) kernel.PieceGroup {
 	group := newPieceGroup(id, pieces, 6000, now.Add(2*time.Second))
-	group.FreeInputs = free
+	group.FreeInputs = freeInputs
 	for n := range 4 {
 		group.Inputs = append(group.Inputs, kernel.ResultRef{Number: n, Handle: "input", Worker: "before", Pool: "q", Bytes: 60_000})
 	}
@@ -44,7 +46,7 @@
 	must.Less(t, 100*time.Millisecond, batch.FetchTime())
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime()-time.Millisecond)))
 	must.Len(t, 4, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
-	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each only once"))
+	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each input is returned once"))
 	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, resultsFor(batch))
 	must.Len(t, 1, ended)
 	must.True(t, ended[0].InputsFreed)
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -30,13 +30,13 @@
 		perSecond float64
 		burst     float64
 		from, to  time.Duration
-		// slack is the time from a group's arrival until it is due, patience how much longer its caller waits.
+		// slack is the time from a group's arrival until it is due. Its caller waits for timeoutAfterDue longer.
 		slack, timeoutAfterDue time.Duration
-		// held is how long a result is held.
+		// holdTime is how long a result is held before its release.
 		holdTime time.Duration
 		// ranks are assigned to the groups in turn; if empty, all groups have rank 0.
 		ranks []int
-		// slow workers take slowdown times as long for calls that start between from and to.
+		// Calls to slowWorkers that start between from and to take slowdown times as long as usual.
 		slowWorkers []string
 		slowdown    float64
 	}
@@ -59,7 +59,7 @@
 		random *rand.Rand
 		groups map[uint64]*simulatedGroup
 		// running holds calls by the time at which they end, overdue by the time at which they become overdue,
-		// held holds results by the time at which they are released.
+		// heldResults holds results by the time at which they are released.
 		running     map[time.Time][]kernel.PieceBatch
 		overdue     map[time.Time][]kernel.PieceBatch
 		heldResults map[time.Time][]kernel.ResultRef
@@ -115,20 +115,20 @@
 			return
 		}
 		// The timeout of a call is 2.5 times its expected duration plus 0.3 s, as in package relay.
-		patience := time.Duration(2.5*float64(s.queue.Expected(batch))) + 300*time.Millisecond
-		at := s.stepAfter(min(patience, s.callTime(batch)))
+		timeout := time.Duration(2.5*float64(s.queue.Expected(batch))) + 300*time.Millisecond
+		at := s.stepAfter(min(timeout, s.callTime(batch)))
 		s.running[at] = append(s.running[at], batch)
 		at = s.stepAfter(s.queue.OverdueAfter(batch))
 		s.overdue[at] = append(s.overdue[at], batch)
 	}
 }
 
-// at returns the first step after the given time from now.
+// stepAfter returns the first step that lies more than the given time after now.
 func (s *simulatedPool) stepAfter(after time.Duration) time.Time {
 	return s.now.Add(after).Truncate(loadStep).Add(loadStep)
 }
 
-// callTime returns how long a call takes, by its start.
+// callTime returns how long a call takes, which depends on its worker and on when it started.
 func (s *simulatedPool) callTime(batch kernel.PieceBatch) time.Duration {
 	usual := batchTraits.CallTime + time.Duration(len(batch.Pieces))*batchTraits.PieceTime
 	elapsed := batch.StartedAt().Sub(s.began)
@@ -162,39 +162,40 @@
 	for _, o := range ended {
 		g := s.groups[o.Group]
 		g.endedAt, g.made, g.fault, g.wait = s.now, o.Fault == "", o.Fault, o.Wait
-		held := time.Duration(0)
+		holdTime := time.Duration(0)
 		if g.made {
-			held = s.load.holdTime
+			holdTime = s.load.holdTime
 		}
-		s.holdResults(o.Made, held)
+		s.holdResults(o.Made, holdTime)
 	}
 }
 
-func (s *simulatedPool) holdResults(made []kernel.ResultRef, held time.Duration) {
-	at := s.stepAfter(held)
+func (s *simulatedPool) holdResults(made []kernel.ResultRef, holdTime time.Duration) {
+	at := s.stepAfter(holdTime)
 	s.heldResults[at] = append(s.heldResults[at], made...)
 }
 
-// countOnTime counts the groups that were made before they were due, and the groups whose callers waited until their
-// patience ended without an answer.
-func countOnTime(groups []*simulatedGroup) (served, neverTold int) {
+// countOnTime counts the groups that were made before they were due, and the groups whose callers waited until
+// their timeout without an answer.
+func countOnTime(groups []*simulatedGroup) (served, unanswered int) {
 	for _, g := range groups {
 		switch {
 		case g.made && !g.endedAt.After(g.Due):
 			served++
 		case g.endedAt.IsZero() || (!g.made && g.endedAt.After(g.Until.Add(-time.Second))):
-			neverTold++
+			unanswered++
 		}
 	}
-	return served, neverTold
+	return served, unanswered
 }
 
 // During a burst beyond a pool's capacity, late groups come after all that can still be on time, and there are
-// always some of these. Unless they are ended, their callers wait until their deadline, several times the latency
-// objective, and get no answer. Late groups must end earlier, and the number of groups on time must not decrease.
+// always some of these. Unless they are ended, their callers wait until their deadline and get no answer: for 4.4 s
+// at a latency objective of 1.1 s. Late groups must end earlier, and the number of groups on time must not
+// decrease.
 func TestStarvedGroupsEndInBurst(t *testing.T) {
-	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
-	shortest := batchTraits.CallTime + batchTraits.PieceTime
+	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
+	shortestCallTime := batchTraits.CallTime + batchTraits.PieceTime
 	var onTimeWith, onTimeWithout int
 	for seed := range uint64(loadSeeds) {
 		load := pieceLoad{
@@ -202,16 +203,16 @@
 			slack: 700 * time.Millisecond, timeoutAfterDue: 5 * time.Second, holdTime: 400 * time.Millisecond,
 		}
 		groups := simulate(load, kernel.Policy{})
-		served, neverTold := countOnTime(groups)
-		servedWithout, notToldWithout := countOnTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
-		must.EqOp(t, 0, neverTold, must.Sprint("seed ", seed, ": callers without an answer"))
-		must.Positive(t, notToldWithout, must.Sprint("seed ", seed, ": some callers get no answer without EndStarvedGroups"))
+		served, unanswered := countOnTime(groups)
+		servedWithout, unansweredWithout := countOnTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
+		must.EqOp(t, 0, unanswered, must.Sprint("seed ", seed, ": callers without an answer"))
+		must.Positive(t, unansweredWithout, must.Sprint("seed ", seed, ": some callers get no answer without EndStarvedGroups"))
 		onTimeWith += served
 		onTimeWithout += servedWithout
 		for _, g := range groups {
 			// A group ends at the first Expire that comes one full call after it can no longer be on time; a
 			// running call is completed.
-			latest := g.Due.Add(-shortest + full + loadExpireInterval + full)
+			latest := g.Due.Add(-shortestCallTime + fullCallTime + loadExpireInterval + fullCallTime)
 			must.False(t, !g.made && g.endedAt.After(latest), must.Sprint("group ", g.ID, " of seed ", seed, " ended ", g.endedAt.Sub(g.Due), " after it was due"))
 			must.True(t, g.made || g.fault == model.PieceLate || g.fault == model.PieceStarved)
 		}
@@ -233,9 +234,9 @@
 	must.True(t, slices.ContainsFunc(batch.Pieces, func(p model.Piece) bool { return p.Request == late.Pieces[0].Request }))
 }
 
-// A worker that slows down to 3.5 times the usual duration must not get one full call after another, each of
-// which reaches its timeout just before it ends, at 3.3 times. An overdue call, also one that times out, must
-// mark its worker as slow.
+// A worker that slows down to 3.5 times the usual duration must not get one full call after another, each of which
+// reaches its timeout just before it ends, at 3.3 times: ten such workers lost 34 calls in 5 s. An overdue call,
+// also one that times out, must mark its worker as slow.
 func TestSlowWorkersDelayFewGroups(t *testing.T) {
 	var onTimeWith, onTimeWithout, missedWith, missedWithout int
 	for seed := range uint64(loadSeeds) {
@@ -265,8 +266,8 @@
 }
 
 // Requests of two priorities share a pool. While it is busy but not overloaded, delaying the due time of lower
-// ranks would make them late although there is capacity for all, so rank must not count. Under overload the
-// higher priority goes first.
+// ranks by 0.2 s a rank would make them late although there is capacity for all, so rank must not count. Under
+// overload the higher priority goes first.
 func TestRankAffectsOrderOnlyUnderOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -23,10 +23,13 @@
 // frees. These were made over the second before the loss, and each expires Keep after it was made. Requests of
 // four pieces arrive at three quarters of the calls' capacity.
 type batcherLossSim struct {
-	queue       *kernel.BatchQueue
-	expiries    map[string][]time.Time
-	running     []kernel.PieceBatch
-	held        map[string][]kernel.ResultRef
+	queue *kernel.BatchQueue
+	// expiries holds, by worker, the times at which the results of the lost batcher expire.
+	expiries map[string][]time.Time
+	running  []kernel.PieceBatch
+	held     map[string][]kernel.ResultRef
+	// completed is the number of requests completed, withoutRoom the number of pieces that were not made for lack of
+	// room.
 	completed   int
 	withoutRoom int
 }
@@ -46,7 +49,7 @@
 	return s
 }
 
-// foreign returns how many results of the lost batcher a worker holds.
+// foreignResults returns how many results of the lost batcher a worker still holds.
 func (s *batcherLossSim) foreignResults(now time.Time, worker string) int {
 	n := 0
 	for _, at := range s.expiries[worker] {
@@ -79,7 +82,7 @@
 	}
 }
 
-// play runs the simulation and returns the cumulative number of completed requests at the end of each second.
+// run runs the simulation and returns the cumulative number of completed requests at the end of each second.
 func (s *batcherLossSim) run(start time.Time, seconds int) []int {
 	var done []int
 	id := uint64(0)
@@ -111,17 +114,17 @@
 }
 
 // Refusals for lack of room show how much room the lost batcher's results take, and pieces that found none are
-// retried for as long as they can be on time. Without this a refusal stops all calls to a worker, and a piece
-// fails after three attempts.
+// retried for as long as they can be on time. Without this a refusal stops all calls to a worker, a piece fails
+// after three attempts, and fewer requests are served while those results expire.
 func TestRoomTakenByLostBatcherIsEstimated(t *testing.T) {
 	start := time.Unix(1000, 0)
-	learnt := newBatcherLossSim(start, kernel.Policy{})
-	with := learnt.run(start, 6)
-	withoutLearning := newBatcherLossSim(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
-	without := withoutLearning.run(start, 6)
-	t.Logf("requests completed by second: %v (%d pieces without room), without LearnRoomFromRefusals %v (%d)", with, learnt.withoutRoom, without, withoutLearning.withoutRoom)
-	must.GreaterEq(t, without[2], with[2])
-	must.GreaterEq(t, 60*3*9/10, with[5]-with[2], must.Sprint("new requests are served once the results have expired"))
+	simWith := newBatcherLossSim(start, kernel.Policy{})
+	completedWith := simWith.run(start, 6)
+	simWithout := newBatcherLossSim(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
+	completedWithout := simWithout.run(start, 6)
+	t.Logf("requests completed by second: %v (%d pieces without room), without LearnRoomFromRefusals %v (%d)", completedWith, simWith.withoutRoom, completedWithout, simWithout.withoutRoom)
+	must.GreaterEq(t, completedWithout[2], completedWith[2])
+	must.GreaterEq(t, 60*3*9/10, completedWith[5]-completedWith[2], must.Sprint("new requests are served once the results have expired"))
 }
 
 func TestReportedRoomReplacesEstimate(t *testing.T) {
--- a/kernel/batchslow_test.go
+++ b/kernel/batchslow_test.go
@@ -71,8 +71,8 @@
 	must.EqOp(t, 0, q.Overdue(now, first))
 }
 
-// A slow worker gets the groups that it can make on time and those that are late anyway, otherwise one piece a
-// second.
+// A slow worker gets the groups that it can make on time and those that would be late anyway. Otherwise it gets one
+// piece a second as a probe.
 func TestSlowWorkerGetsWorkItMakesOnTime(t *testing.T) {
 	q, first, now := startOverdueCall(t, 2*time.Second)
 	q.Overdue(now, first)
--- a/kernel/batchsuspect_test.go
+++ b/kernel/batchsuspect_test.go
@@ -9,8 +9,9 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A piece may crash the worker that begins to make it. Groups that shared its call must not share the next one
-// with it: they would crash together at each attempt, could not be told apart, and would all fail.
+// A piece may crash the worker that begins to make it. After a crash, groups that shared the call must not share
+// the next one: they would crash together at each attempt, the cause could not be told apart, and all of them would
+// fail.
 func TestSuspectGroupsShareNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(3)
@@ -34,7 +35,7 @@
 		must.Len(t, 2, batch.Pieces)
 		must.Len(t, 1, batch.Digests())
 	}
-	// Groups added later join the last of them.
+	// Groups added later share a call with the last suspect group.
 	ok, _ = q.Add(now, newPieceGroup(7, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
 	ok, _ = q.Add(now, newPieceGroup(8, 2, 8000, now.Add(2*time.Second)))
