--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -135,7 +135,7 @@
 // as it sends, and each is answered.
 func simulateSecond(g *gossipSim) int {
 	node := g.nodes[0]
-	bytes := 0
+	sent := 0
 	for range 2 {
 		g.now = g.now.Add(500 * time.Millisecond)
 		for _, info := range node.Members()[1:] {
@@ -144,10 +144,10 @@
 		node.Tick(g.now)
 		for range 2 * len(node.Neighbours()) {
 			data, _ := msgpack.Marshal(node.PendingUpdates())
-			bytes += len(data)
+			sent += len(data)
 		}
 	}
-	return bytes
+	return sent
 }
 
 // BenchmarkSettings applies a whole snapshot. It reports the size of the documents and the memory that the settings
@@ -156,23 +156,24 @@
 	for _, n := range []int{5, 740, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			snapshot := customersSnapshot(n)
-			bytes := 0
+			documentBytes := 0
 			for _, d := range snapshot.Documents {
-				bytes += len(d.YAML)
+				documentBytes += len(d.YAML)
 			}
 			before := heapBytes()
 			s, _ := kernel.NewSettings().WithSnapshot(snapshot)
-			held := heapBytes() - before
+			heldBytes := heapBytes() - before
 			for b.Loop() {
 				benchSink, _ = kernel.NewSettings().WithSnapshot(snapshot)
 			}
-			b.ReportMetric(float64(bytes), "document-B")
-			b.ReportMetric(float64(held)/float64(n), "held-B/customer")
+			b.ReportMetric(float64(documentBytes), "document-B")
+			b.ReportMetric(float64(heldBytes)/float64(n), "held-B/customer")
 			runtime.KeepAlive(s)
 		})
 	}
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -13,6 +13,7 @@
 	"basilstall.example/basilstall/model"
 )
 
+// members returns the members of a fleet of n nodes.
 func members(n int) []kernel.Member {
 	out := make([]kernel.Member, n)
 	for i := range out {
@@ -38,13 +39,13 @@
 				from := rapid.IntRange(0, 5).Draw(t, "from")
 				row = row.WithEra(all[from:], time.Time{}, row.Firm.Add(step), row.Firm.Add(step), "w")
 			case 2:
-				left := all[rapid.IntRange(0, 5).Draw(t, "left")]
+				leaving := all[rapid.IntRange(0, 5).Draw(t, "left")]
 				successor := all[rapid.IntRange(0, 5).Draw(t, "successor")]
-				if transferred[left.ID()] || transferred[successor.ID()] || left == successor {
+				if transferred[leaving.ID()] || transferred[successor.ID()] || leaving == successor {
 					continue
 				}
-				transferred[left.ID()] = true
-				row = row.WithTransfer(left.ID(), successor, "w")
+				transferred[leaving.ID()] = true
+				row = row.WithTransfer(leaving.ID(), successor, "w")
 			}
 			must.EqOp(t, before.Number+1, row.Number)
 			must.False(t, row.Horizon.Before(before.Horizon))
@@ -76,6 +77,7 @@
 	}
 }
 
+// The transfers of eras that are kept are kept as well, as the owners of their keys follow from them.
 func TestWithoutBeforeKeepsTransfersOfKeptEras(t *testing.T) {
 	all := members(4)
 	row := kernel.NewClaims(testStart, testStart.Add(time.Second), testStart.Add(time.Second), all[:2], "w")
@@ -95,6 +97,7 @@
 	must.False(t, ok)
 }
 
+// A coordinator writes only when it is needed, and nodes of a lower rank write only if those before them have not.
 func TestCoordinatorDecide(t *testing.T) {
 	all := members(3)
 	firm := 30 * time.Second
@@ -112,16 +115,16 @@
 		{"the second waits for the first", 1, row, all, 10500 * time.Millisecond, kernel.KeepClaims},
 		{"the second extends if the first has not", 1, row, all, 12 * time.Second, kernel.ExtendHorizon},
 		{"a member is gone", 0, row, all[:2], 3 * time.Second, kernel.StartEra},
-		{"a member has been gone for less than Settle", 0, row, all[:2], time.Second, kernel.KeepClaims},
-		{"members keep changing and Firm comes close", 0, kernel.NewClaims(testStart, testStart.Add(10*time.Second), testStart.Add(time.Hour), all, "w"), all[:2], time.Second, kernel.ExtendHorizon},
+		{"a member has been gone for less than StabilityTime", 0, row, all[:2], time.Second, kernel.KeepClaims},
+		{"members keep changing and Firm is close", 0, kernel.NewClaims(testStart, testStart.Add(10*time.Second), testStart.Add(time.Hour), all, "w"), all[:2], time.Second, kernel.ExtendHorizon},
 		{"a member that is not alive writes nothing", 2, row, all[:2], 9 * time.Second, kernel.KeepClaims},
 		{"no row yet", 0, kernel.Claims{}, all, 3 * time.Second, kernel.CreateClaims},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			k := kernel.Coordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
+			coordinator := kernel.Coordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
 			now := testStart.Add(c.after)
-			must.EqOp(t, c.want, k.Decide(now, c.row, c.alive, testStart))
+			must.EqOp(t, c.want, coordinator.Decide(now, c.row, c.alive, testStart))
 		})
 	}
 }
@@ -154,6 +157,8 @@
 	must.EqOp(t, int64(0x018bcfe56800), lower.Issued.UnixMilli())
 }
 
+// An owner runs keys beyond Firm only up to the lowest grant of all members of the era. A member grants nothing
+// while an era is being written.
 func TestBoundNeedsGrantsOfAllMembers(t *testing.T) {
 	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
 	all := members(3)
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -37,8 +37,8 @@
 	}
 )
 
-func newColdFleet(seed uint64, nodes int, terms kernel.ColdLimits, rate float64) *coldFleet {
-	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), limits: terms, rate: rate}
+func newColdFleet(seed uint64, nodes int, limits kernel.ColdLimits, rate float64) *coldFleet {
+	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), limits: limits, rate: rate}
 	all := peersNamed("node", nodes)
 	for _, p := range all {
 		f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: all})
@@ -46,23 +46,24 @@
 	return f
 }
 
-func peersNamed(kind string, n int) []kernel.Peer {
+// peersNamed returns n nodes whose names start with a prefix.
+func peersNamed(prefix string, n int) []kernel.Peer {
 	var out []kernel.Peer
 	for i := range n {
-		out = append(out, kernel.Peer{Name: fmt.Sprint(kind, "-", i)})
+		out = append(out, kernel.Peer{Name: fmt.Sprint(prefix, "-", i)})
 	}
 	return out
 }
 
-// play lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
-// arrive within one second and the total. Some sends open a connection first.
-func (f *coldFleet) run(length time.Duration, at func(elapsed time.Duration)) (maxInSecond, total int) {
+// run lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
+// arrive within one second and the total. Some sends open a connection first. It calls onStep before each step.
+func (f *coldFleet) run(duration time.Duration, onStep func(elapsed time.Duration)) (maxInSecond, total int) {
 	share := f.limits.Share(f.rate)
 	start := time.Unix(1000, 0)
-	e := model.Endpoint{Name: "cold", ColdUntil: start.Add(length)}
+	e := model.Endpoint{Name: "cold", ColdUntil: start.Add(duration)}
 	var arrivals []time.Duration
-	for elapsed := time.Duration(0); elapsed < length; elapsed += coldStep {
-		at(elapsed)
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += coldStep {
+		onStep(elapsed)
 		now := start.Add(elapsed)
 		for i := range f.nodes {
 			n := &f.nodes[i]
@@ -133,7 +134,7 @@
 			f.nodes[i].knownPeers = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
 		}
 	},
-	"many restart and know no node yet": func(f *coldFleet) {
+	"half of the nodes restart and know no node yet": func(f *coldFleet) {
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
 				f.nodes[i].knownPeers, f.nodes[i].sentAt = nil, time.Time{}
@@ -150,15 +151,15 @@
 // A cold endpoint that all nodes want to use gets no more than the bound in any second and is not left idle, whatever
 // the size of the fleet, the disruption and the membership views of the nodes.
 func TestColdEndpointStaysWithinBound(t *testing.T) {
-	const length = 10 * time.Second
-	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
-	bound := int(rate*terms.Excess + terms.Slack)
+	const duration = 10 * time.Second
+	limits, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
+	bound := int(rate*limits.Excess + limits.Slack)
 	for name, disruption := range coldDisruptions {
 		t.Run(name, func(t *testing.T) {
 			for _, nodes := range []int{1, 8, 76, 400} {
 				for seed := range uint64(5) {
-					f := newColdFleet(seed, nodes, terms, rate)
-					maxInSecond, total := f.run(length, func(elapsed time.Duration) {
+					f := newColdFleet(seed, nodes, limits, rate)
+					maxInSecond, total := f.run(duration, func(elapsed time.Duration) {
 						if elapsed == coldDisruptionAt {
 							disruption(f)
 						}
@@ -175,13 +176,15 @@
 	must.EqOp(t, 0, kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(0).Senders)
 }
 
-// The bound is kept for pools of all rates, also where the settings give no excess.
+// The bound holds for pools of all rates, also where the settings give no excess. Two membership views may be in
+// use at the same time. perView is how many requests the senders of one view may send within 1.8 s, as sends within
+// this time may arrive within one second.
 func TestColdSharesFitBound(t *testing.T) {
-	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+	for _, limits := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{2, 3, 5, 9.4, 50, 1000} {
-			share := terms.Share(rate)
+			share := limits.Share(rate)
 			perView := share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
-			must.LessEq(t, max(2, int(max(rate, rate*terms.Excess+terms.Slack))), 2*perView, must.Sprint(terms, rate, share))
+			must.LessEq(t, max(2, int(max(rate, rate*limits.Excess+limits.Slack))), 2*perView, must.Sprint(limits, rate, share))
 		}
 	}
 }
@@ -207,8 +210,8 @@
 	now := time.Unix(1000, 0)
 	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuationsOf(now, "a"))
 	ended := now.Add(10 * time.Second)
-	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
-	r = r.WithEvacuations(back)
+	restored, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
+	r = r.WithEvacuations(restored)
 	for _, e := range r.Endpoints("p") {
 		must.EqOp(t, e.FailureDomain == "a", kernel.IsCold(ended, e))
 		must.False(t, kernel.IsCold(ended.Add(4*time.Second), e))
@@ -222,22 +225,22 @@
 	start := time.Unix(1000, 0)
 	warm, cold := endpointIn("a", "warm", "workers"), endpointIn("a", "cold", "workers")
 	cold.ColdUntil = start.Add(time.Minute)
-	g := kernel.NewBatchQueue(batchTraits)
+	q := kernel.NewBatchQueue(batchTraits)
 	share := kernel.ColdLimits{}.Share(4).ForSingleSender()
-	g.SetColdShare(share)
-	g.SetEndpoints([]model.Endpoint{warm, cold})
+	q.SetColdShare(share)
+	q.SetEndpoints([]model.Endpoint{warm, cold})
 	calls := map[string]int{}
 	id := uint64(0)
-	const length = 20 * time.Second
-	for elapsed := time.Duration(0); elapsed < length; elapsed += 50 * time.Millisecond {
+	const duration = 20 * time.Second
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += 50 * time.Millisecond {
 		now := start.Add(elapsed)
 		id++
-		g.Add(now, newPieceGroup(id, batchTraits.Batch, 10, now.Add(time.Minute)))
-		for batch, more := g.Next(now); more; batch, more = g.Next(now) {
+		q.Add(now, newPieceGroup(id, batchTraits.Batch, 10, now.Add(time.Minute)))
+		for batch, more := q.Next(now); more; batch, more = q.Next(now) {
 			calls[batch.Endpoint.Name]++
-			g.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
+			q.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
 			if calls["cold"]+calls["warm"] > 10_000 {
-				t.Fatal("calls do not end")
+				t.Fatal("more than 10,000 calls started: Next does not end")
 			}
 			if batch.Endpoint.Name == "warm" {
 				break
@@ -245,6 +248,6 @@
 		}
 	}
 	must.Positive(t, calls["cold"])
-	must.LessEq(t, int(length/share.MinInterval)+1, calls["cold"])
+	must.LessEq(t, int(duration/share.MinInterval)+1, calls["cold"])
 	must.Greater(t, 2*calls["cold"], calls["warm"])
 }
--- a/kernel/coldseries_test.go
+++ b/kernel/coldseries_test.go
@@ -18,8 +18,8 @@
 		rng   *rand.Rand
 		share kernel.ColdShare
 		nodes []*restartingNode
-		// stops is how many senders are stopped at a time, gap is the interval. Killed senders do not announce that
-		// they leave.
+		// stoppedAtOnce is the number of senders that are stopped at a time, at each stopInterval. If killed is set,
+		// they do not announce that they leave.
 		stoppedAtOnce int
 		stopInterval  time.Duration
 		killed        bool
@@ -28,7 +28,7 @@
 	restartingNode struct {
 		name      string
 		startedAt time.Time
-		// lag is the delay after which it learns of membership changes, news holds the changes sent to it.
+		// lag is the delay after which the node learns of membership changes, updates holds the changes sent to it.
 		lag     time.Duration
 		updates []membershipUpdate
 		role    kernel.ColdRole
@@ -56,7 +56,8 @@
 	return f
 }
 
-// tell sends the nodes that are not leaving to all nodes, each of which learns of them after its own delay.
+// announceMembership sends the nodes that are not leaving to all nodes, each of which learns of them after its own
+// delay.
 func (f *restartingFleet) announceMembership(now time.Time) {
 	var staying []kernel.Peer
 	for _, n := range f.nodes {
@@ -69,14 +70,14 @@
 	}
 }
 
-// stop stops the first senders, as many as are stopped at a time.
+// stopSenders stops the first stoppedAtOnce senders.
 func (f *restartingFleet) stopSenders(now time.Time) {
-	left := f.stoppedAtOnce
+	remaining := f.stoppedAtOnce
 	for _, n := range f.nodes {
-		if left == 0 || !n.sender || n.leaving || now.Before(n.downUntil) {
+		if remaining == 0 || !n.sender || n.leaving || now.Before(n.downUntil) {
 			continue
 		}
-		left--
+		remaining--
 		n.leaving = !f.killed
 		n.downUntil = now.Add(restartDuration)
 		if n.leaving {
@@ -111,20 +112,21 @@
 	return true
 }
 
+// knownPeers returns the membership in the newest change that has reached the node.
 func (n *restartingNode) knownPeers(now time.Time) []kernel.Peer {
 	var nodes []kernel.Peer
-	for _, news := range n.updates {
-		if !now.Before(news.at) {
-			nodes = news.nodes
+	for _, update := range n.updates {
+		if !now.Before(update.at) {
+			nodes = update.nodes
 		}
 	}
 	return nodes
 }
 
-// play returns the arrival times of the requests at the endpoint.
-func (f *restartingFleet) run(length time.Duration) (arrivals []time.Time) {
+// run runs the simulation and returns the arrival times of the requests at the endpoint.
+func (f *restartingFleet) run(duration time.Duration) (arrivals []time.Time) {
 	start := time.Unix(1000, 0)
-	for elapsed := time.Duration(0); elapsed < length; elapsed += coldStep {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += coldStep {
 		now := start.Add(elapsed)
 		if elapsed >= coldDisruptionAt && elapsed%f.stopInterval == 0 {
 			f.stopSenders(now)
@@ -146,18 +148,18 @@
 
 // A cold endpoint gets no more than the bound in any second, however often its senders are stopped and restarted, one
 // by one or several at a time. A sender that takes over must not send at once: the one that it replaces may just have
-// sent, and still sends while it drains. Without that wait an endpoint bounded to 6 requests a second got 9.
+// sent, and still sends while it drains. Without that delay an endpoint bounded to 6 requests a second got 9.
 func TestColdBoundHoldsWhileSendersRestart(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{4, 8, 76} {
 		for _, rate := range []float64{1, 4, 9.4, 30} {
-			for _, gap := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second} {
-				for stops := range 3 {
+			for _, stopInterval := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second} {
+				for i := range 3 {
 					for _, killed := range []bool{false, true} {
 						f := newRestartingFleet(nodes, rate)
-						f.stoppedAtOnce, f.stopInterval, f.killed = stops+1, gap, killed
+						f.stoppedAtOnce, f.stopInterval, f.killed = i+1, stopInterval, killed
 						arrivals := f.run(12 * time.Second)
-						must.LessEq(t, int(1.5*rate+5), maxCountWithin(arrivals, time.Second), must.Sprint(nodes, rate, gap, stops+1, killed))
+						must.LessEq(t, int(1.5*rate+5), maxCountWithin(arrivals, time.Second), must.Sprint(nodes, rate, stopInterval, i+1, killed))
 						must.GreaterEq(t, int(coldDisruptionAt/time.Second), len(arrivals))
 					}
 				}
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -12,19 +12,21 @@
 	"basilstall.example/basilstall/model"
 )
 
+// endpointIn returns a live endpoint in a failure domain.
 func endpointIn(domain, name, pool string) model.Endpoint {
 	return model.Endpoint{Name: name, Pool: pool, Address: name + ":1", FailureDomain: domain, State: model.Live}
 }
 
 // domainsRegistry returns a registry with one endpoint of a pool in each of several failure domains.
 func domainsRegistry(now time.Time, pool string, domains ...string) kernel.Registry {
-	var listed []model.Endpoint
+	var endpoints []model.Endpoint
 	for _, domain := range domains {
-		listed = append(listed, endpointIn(domain, pool+"-"+domain, pool))
+		endpoints = append(endpoints, endpointIn(domain, pool+"-"+domain, pool))
 	}
-	return kernel.NewRegistry().WithChanges(now, now, listed, nil, nil)
+	return kernel.NewRegistry().WithChanges(now, now, endpoints, nil, nil)
 }
 
+// evacuationsOf returns evacuations that hold the given failure domains.
 func evacuationsOf(now time.Time, domains ...string) kernel.Evacuations {
 	e, _ := kernel.Evacuations{}.With(now, kernel.EvacuationChange{Evacuated: domains})
 	return e
@@ -43,8 +45,8 @@
 	return out
 }
 
-// evacuationMachine simulates the evacuation rows of the store, a node that reads them and a node that follows that
-// one.
+// evacuationMachine simulates the evacuation rows of the store, a node that reads them and a second node that
+// copies them from the first.
 type evacuationMachine struct {
 	now              time.Time
 	version          uint64
@@ -63,6 +65,7 @@
 	}
 }
 
+// readAll applies all rows of the store, as after a loss of the history of its changes.
 func (m *evacuationMachine) readAll() {
 	var rows []kernel.Row
 	for _, r := range m.store {
@@ -86,6 +89,7 @@
 	m.reader.Apply(m.now, rows, m.version, false)
 }
 
+// copyFromReader applies the changes that the reader has and the follower lacks, to the registry too.
 func (m *evacuationMachine) copyFromReader() {
 	after, _ := m.follower.Version()
 	d, known := m.reader.Since(m.now, after)
@@ -142,41 +146,43 @@
 func TestEvacuatedDomainGetsNoPieces(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "workers", "a", "b")
-	g := kernel.NewBatchQueue(batchTraits)
-	g.SetEndpoints(registry.Endpoints("workers"))
-	early := newPieceGroup(1, 1, 1000, now.Add(time.Minute))
-	early.Domain = "a"
-	ok, _ := g.Add(now, early)
+	q := kernel.NewBatchQueue(batchTraits)
+	q.SetEndpoints(registry.Endpoints("workers"))
+	first := newPieceGroup(1, 1, 1000, now.Add(time.Minute))
+	first.Domain = "a"
+	ok, _ := q.Add(now, first)
 	must.True(t, ok)
-	inFlight, ok := g.Next(now)
+	inFlight, ok := q.Next(now)
 	must.True(t, ok)
 	must.EqOp(t, "a", inFlight.Endpoint.FailureDomain)
 
-	g.SetEndpoints(registry.WithEvacuations(evacuationsOf(now, "a")).Endpoints("workers"))
+	q.SetEndpoints(registry.WithEvacuations(evacuationsOf(now, "a")).Endpoints("workers"))
 	total := 0
 	for id := uint64(2); id < 30; id++ {
 		now = now.Add(time.Second)
 		group := newPieceGroup(id, 1, 1000, now.Add(time.Minute))
 		group.Domain, group.LocalityWait = "a", time.Second
-		ok, _ = g.Add(now, group)
+		ok, _ = q.Add(now, group)
 		must.True(t, ok)
-		for batch, more := g.Next(now); more; batch, more = g.Next(now) {
+		for batch, more := q.Next(now); more; batch, more = q.Next(now) {
 			must.EqOp(t, "b", batch.Endpoint.FailureDomain)
 			total += len(batch.Pieces)
-			g.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
+			q.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
 		}
 	}
 	must.Positive(t, total)
-	ended, _ := g.Done(now, inFlight, []model.PieceResult{{Handle: "h"}})
+	ended, _ := q.Done(now, inFlight, []model.PieceResult{{Handle: "h"}})
 	must.SliceLen(t, 1, ended, must.Sprint("a call in flight ends normally"))
 	must.EqOp(t, model.PieceFault(""), ended[0].Fault)
 
-	g.SetEndpoints(registry.WithEvacuations(evacuationsOf(now, "a", "b")).Endpoints("workers"))
-	ok, retry := g.Add(now, newPieceGroup(99, 1, 1000, now.Add(time.Minute)))
+	q.SetEndpoints(registry.WithEvacuations(evacuationsOf(now, "a", "b")).Endpoints("workers"))
+	ok, retry := q.Add(now, newPieceGroup(99, 1, 1000, now.Add(time.Minute)))
 	must.False(t, ok, must.Sprint("pieces that no endpoint can make are not queued"))
 	must.Positive(t, retry)
 }
 
+// A request is refused if all endpoints of its pool, or of a stage for which it has pieces, are in evacuated
+// domains.
 func TestAdmitPoolsRefusesEvacuatedPools(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "engines", "a", "b").WithChanges(now, now, []model.Endpoint{endpointIn("a", "worker", "workers")}, nil, nil)
@@ -202,17 +208,18 @@
 	}
 }
 
-// The home domain of a prompt moves away from an evacuated domain and returns to it afterwards.
+// The affinity domain of a prompt moves away from an evacuated domain and returns to it afterwards. The evacuation
+// of another domain does not move it.
 func TestPromptReturnsAfterEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "engines", "a", "b", "c")
 	for i := range 50 {
 		key := fmt.Sprint("part-", i)
 		home := kernel.AffinityDomain(key, registry.Endpoints("engines"))
-		away := registry.WithEvacuations(evacuationsOf(now, home))
-		must.NotEq(t, home, kernel.AffinityDomain(key, away.Endpoints("engines")))
-		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
-		must.EqOp(t, home, kernel.AffinityDomain(key, away.WithEvacuations(back).Endpoints("engines")))
+		without := registry.WithEvacuations(evacuationsOf(now, home))
+		must.NotEq(t, home, kernel.AffinityDomain(key, without.Endpoints("engines")))
+		restored, _ := without.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
+		must.EqOp(t, home, kernel.AffinityDomain(key, without.WithEvacuations(restored).Endpoints("engines")))
 		for _, other := range []string{"a", "b", "c"} {
 			if other != home {
 				must.EqOp(t, home, kernel.AffinityDomain(key, registry.WithEvacuations(evacuationsOf(now, other)).Endpoints("engines")))
