--- a/kernel/explorer_actions_test.go
+++ b/kernel/explorer_actions_test.go
@@ -8,7 +8,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// read lets a process read any row version newer than the one it knows.
+// readRow lets a process read any row version newer than the one it read last.
 func (e *explorer) readRow(s exploreState, p int) {
 	for v := max(0, s.procs[p].readVersion+1); v < len(s.rows); v++ {
 		next := s.clone()
@@ -17,7 +17,7 @@
 	}
 }
 
-// swap lets a process that knows the newest row write the next one; the reply may be lost.
+// writeRow lets a process that has read the newest row write the next version; the reply may be lost.
 func (e *explorer) writeRow(s exploreState, p int) {
 	if e.withGrants || s.procs[p].readVersion != len(s.rows)-1 {
 		return
@@ -34,15 +34,17 @@
 	}
 }
 
+// nextRows returns the rows that a process may write on top of a row: one with a later Firm, and after a handover
+// one with the transfer to the successor.
 func (e *explorer) nextRows(s exploreState, p int, row kernel.Claims) []kernel.Claims {
-	var out []kernel.Claims
+	var rows []kernel.Claims
 	if firm := row.Firm.Add(time.Millisecond); !firm.After(time.UnixMilli(exploreMaxTime)) {
-		out = append(out, row.WithHorizon(firm, firm, "w"))
+		rows = append(rows, row.WithHorizon(firm, firm, "w"))
 	}
 	if p == leavingProc && s.procs[p].stopped && s.handedOver && !row.HasLeft(exploreMember(p).ID()) {
-		out = append(out, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.successorProc(s)), "w"))
+		rows = append(rows, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.successorProc(s)), "w"))
 	}
-	return out
+	return rows
 }
 
 // beginEra lets a process send an era to the table. The era starts above what the process has granted, or what
@@ -67,6 +69,8 @@
 	}
 }
 
+// sendEras lets an era be sent for each set of members, against a version of the row. Without grants it takes
+// effect at once.
 func (e *explorer) sendEras(s exploreState, version int, from time.Time) {
 	row := s.rows[version]
 	if e.fault == eraBelowGrants {
@@ -111,7 +115,7 @@
 	e.addState(next)
 }
 
-// grant lets a process ask a process, which may be itself, for a grant; the reply may be lost.
+// requestGrant lets a process ask a process, which may be itself, for a grant; the reply may be lost.
 func (e *explorer) requestGrant(s exploreState, p int) {
 	if !e.withGrants || s.procs[p].readVersion < 0 {
 		return
@@ -145,11 +149,11 @@
 	}
 }
 
-func containsMember(members []kernel.Member, m kernel.Member) bool {
-	return slices.Contains(members, m)
+func containsMember(members []kernel.Member, member kernel.Member) bool {
+	return slices.Contains(members, member)
 }
 
-// heir returns the process to which the leaving one hands over its keys.
+// successorProc returns the process to which the leaving one hands over its keys.
 func (e *explorer) successorProc(s exploreState) int {
 	if s.procs[restartedProc].alive || s.procs[restartedProc].readVersion >= 0 {
 		return restartedProc
@@ -157,7 +161,7 @@
 	return crashingProc
 }
 
-// arrive lets an attempt reach a process as its entry node.
+// submitAttempt lets an attempt reach a process as its entry node.
 func (e *explorer) submitAttempt(s exploreState, p int) {
 	if s.attempts >= exploreAttempts || s.procs[p].readVersion < 0 {
 		return
@@ -210,14 +214,15 @@
 	e.addState(next)
 }
 
+// storeEntry keeps the entry of the key in a ledger as the entry of a process.
 func (s *exploreState) storeEntry(p int, ledger *kernel.Ledger) {
 	if entry, ok := ledger.Entry(exploreKey.ID); ok {
 		s.ledgers[p][exploreKey.ID] = entry
 	}
 }
 
-// end ends a running key in each possible way: answered, sent without an answer, failed before the call was sent,
-// refused before anything ran.
+// endRun ends the run of a key in each possible way: answered, sent without an answer, failed before the call was
+// sent, refused before anything ran.
 func (e *explorer) endRun(s exploreState, p int) {
 	entry, ok := s.ledgers[p][exploreKey.ID]
 	if !ok || entry.State != kernel.KeyRunning {
--- a/kernel/explorer_test.go
+++ b/kernel/explorer_test.go
@@ -23,9 +23,10 @@
 	exploreMaxEras  = 3
 	exploreProcs    = 3
 	exploreAttempts = 2
-	crashingProc    = 0
-	restartedProc   = 2
-	leavingProc     = 1
+	// The processes by number: the one that may crash, its restart, and the one that may leave.
+	crashingProc  = 0
+	restartedProc = 2
+	leavingProc   = 1
 )
 
 // fault is a defect injected into the protocol, which the explorer must find.
@@ -47,7 +48,7 @@
 
 type (
 	exploreProc struct {
-		// known is the index of the row version that was read; -1 before the first read.
+		// readVersion is the index of the newest row version that was read, -1 before the first read.
 		readVersion int
 		alive       bool
 		// stopped is set from the first message of the handover on.
@@ -78,26 +79,26 @@
 		// runs counts calls of the service; runAttempt is the attempt that made the first.
 		runs       int
 		runAttempt int
-		// told is the highest attempt that was answered with NotRun, -1 for none.
+		// highestNotRun is the highest attempt that was answered with NotRun, -1 for none.
 		highestNotRun int
 		grants        [exploreProcs]*kernel.Grants
 		pending       []explorePending
-		// handed is set once the entries of the leaving process were sent to its successor.
+		// handedOver is set once the entries of the leaving process were sent to its successor.
 		handedOver bool
 	}
 
 	explorer struct {
 		t     *testing.T
 		fault fault
-		// numbered gives each attempt its own number; otherwise all attempts have number 0.
+		// numberedAttempts gives each attempt its own number; otherwise all attempts have number 0.
 		numberedAttempts bool
-		// grants lets members grant keys beyond Firm. To limit the number of states, no process then crashes or
+		// withGrants lets members grant keys beyond Firm. To limit the number of states, no process then crashes or
 		// leaves, the third process is a live one outside the first era, and Firm moves only with an era.
 		withGrants bool
-		// leaves lets a member hand over its keys and leave; otherwise one member crashes and is restarted.
+		// withHandover lets a member hand over its keys and leave; otherwise one member crashes and is restarted.
 		withHandover bool
 		visited      map[string]bool
-		// todo holds the states to expand at the next depth.
+		// frontier holds the states to expand at the next depth.
 		frontier  []exploreState
 		depth     int
 		violation string
@@ -106,10 +107,12 @@
 
 var exploreKey = kernel.Key{ID: "customer/key", Issued: time.UnixMilli(exploreKeyTime)}
 
+// exploreMember returns the member that a process is. The first and the third process are incarnations of one node.
 func exploreMember(p int) kernel.Member {
 	return kernel.Member{Node: fmt.Sprintf("n%d", p%2), Incarnation: fmt.Sprintf("i%d", p)}
 }
 
+// procOf returns the number of the process that a member is.
 func (e *explorer) procOf(m kernel.Member) int {
 	for p := range exploreProcs {
 		if exploreMember(p).ID() == m.ID() {
@@ -156,6 +159,7 @@
 	return s
 }
 
+// rowKey returns a comparable form of a row.
 func rowKey(row kernel.Claims) string {
 	key := []byte{byte('0' + row.Firm.UnixMilli()), byte('0' + row.Horizon.UnixMilli()), ':'}
 	for _, era := range row.Eras {
@@ -220,6 +224,7 @@
 	return string(key)
 }
 
+// addState adds a state that was not visited before to the frontier, and checks the invariants in it.
 func (e *explorer) addState(s exploreState) {
 	if e.violation != "" {
 		return
@@ -231,9 +236,9 @@
 	e.visited[key] = true
 	switch {
 	case s.runs > 1:
-		e.violation = "service called twice: " + key
+		e.violation = "the service was called twice for the key, in state " + key
 	case s.runs > 0 && s.runAttempt <= s.highestNotRun:
-		e.violation = "attempt ran after NotRun: " + key
+		e.violation = "an attempt ran after it was answered with NotRun, in state " + key
 	}
 	e.frontier = append(e.frontier, s)
 }
@@ -252,6 +257,7 @@
 	}
 }
 
+// expand adds all states that follow from a state by one action.
 func (e *explorer) expand(s exploreState) {
 	for p := range exploreProcs {
 		if s.procs[p].alive {
@@ -294,9 +300,11 @@
 	}
 }
 
+// Each fault breaks an invariant, which shows that the explorer reaches the states that the rules of the protocol
+// exclude.
 func TestExplorerFindsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
-		"entry node answers NotRun":                  entrySaysNotRun,
+		"entry node without an owner answers NotRun": entrySaysNotRun,
 		"refusals are not remembered":                refusalForgotten,
 		"era starts below the horizon":               eraBelowHorizon,
 		"restart counts as the same member":          sameIncarnation,
@@ -316,9 +324,9 @@
 			}
 			e.explore()
 			if e.violation == "" {
-				t.Fatalf("fault not found in %d states", len(e.visited))
+				t.Fatalf("no violation found in %d states", len(e.visited))
 			}
-			t.Logf("found after %d states and %d steps: %s", len(e.visited), e.depth, e.violation)
+			t.Logf("violation found after %d states, %d steps deep: %s", len(e.visited), e.depth, e.violation)
 		})
 	}
 }
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -10,12 +10,14 @@
 	"basilstall.example/basilstall/model"
 )
 
+// endpointInRegion returns an endpoint in the only failure domain of a region.
 func endpointInRegion(region, name, pool string) model.Endpoint {
 	e := endpointIn("domain of "+region, name, pool)
 	e.Region = region
 	return e
 }
 
+// A request is served only in regions that both its route and its customer allow. No list allows all regions.
 func TestAllowedRegionsIntersectRouteAndCustomer(t *testing.T) {
 	for _, tc := range []struct {
 		route, customer, allowed []string
@@ -50,9 +52,9 @@
 		regions   kernel.AllowedRegions
 		want      string
 	}{
-		{"own", nil, anywhere, "north"},
-		{"not allowed", nil, southOrWest, "south"},
-		{"evacuated", []string{"domain of north"}, anywhere, "south"},
+		{"own region", nil, anywhere, "north"},
+		{"own region not allowed", nil, southOrWest, "south"},
+		{"own region evacuated", []string{"domain of north"}, anywhere, "south"},
 		{"one allowed region evacuated", []string{"domain of south"}, southOrWest, "west"},
 		{"all allowed regions evacuated", []string{"domain of south", "domain of west"}, southOrWest, ""},
 	} {
--- a/kernel/idle_test.go
+++ b/kernel/idle_test.go
@@ -12,13 +12,13 @@
 // requests on them. If each node kept up to eight idle connections regardless of that limit, 400 nodes would keep 3,200
 // where 620 are accepted.
 func TestMaxIdleConnectionsFitsEndpointLimit(t *testing.T) {
-	for _, connections := range []int{1, 52, 110, 370, 620} {
+	for _, limit := range []int{1, 52, 110, 370, 620} {
 		for _, nodes := range []int{1, 8, 76, 300, 400} {
-			must.LessEq(t, connections, nodes*kernel.MaxIdleConnections(connections, nodes))
+			must.LessEq(t, limit, nodes*kernel.MaxIdleConnections(limit, nodes))
 		}
 	}
 	must.EqOp(t, 8, kernel.MaxIdleConnections(0, 400))
 	must.EqOp(t, 8, kernel.MaxIdleConnections(370, 8))
 	must.EqOp(t, 1, kernel.MaxIdleConnections(620, 400))
-	must.EqOp(t, 0, kernel.MaxIdleConnections(620, 0), must.Sprint("all nodes of a fleet may know of no nodes yet"))
+	must.EqOp(t, 0, kernel.MaxIdleConnections(620, 0), must.Sprint("a node that knows of no nodes yet may be one of many"))
 }
--- a/kernel/ledger_test.go
+++ b/kernel/ledger_test.go
@@ -14,10 +14,12 @@
 
 var testStart = time.UnixMilli(1_700_000_000_000)
 
+// timedKey returns a key with an issue time.
 func timedKey(id string, at time.Time) kernel.Key {
 	return kernel.Key{ID: id, Issued: at}
 }
 
+// newRefusal returns a refusal for overload with a verdict.
 func newRefusal(v model.Verdict) *model.Refusal {
 	return model.NewRefusal(v, model.Overloaded, time.Second, "")
 }
@@ -110,19 +112,21 @@
 
 // ledgerModel is the reference model that the state machine compares a ledger with.
 type ledgerModel struct {
-	ledger          *kernel.Ledger
-	running         map[string]bool
-	sent            map[string]bool
+	ledger  *kernel.Ledger
+	running map[string]bool
+	sent    map[string]bool
+	// By key: highestNotRun is the highest attempt that was answered with NotRun, highestAdmitted the highest that
+	// was run or joined, lowestWaiting the lowest that waits for the present run, and highestReached the highest that
+	// may have reached an endpoint.
 	highestNotRun   map[string]int
 	highestAdmitted map[string]int
-	// lowest and reached are, by key, the lowest attempt that waits and the highest that reached an endpoint.
-	lowestWaiting  map[string]int
-	highestReached map[string]int
+	lowestWaiting   map[string]int
+	highestReached  map[string]int
 }
 
-// TestLedgerInvariantsInRandomInterleavings checks the invariants of a ledger: a key whose call was sent never runs again,
-// a running key is not started a second time, an attempt that was answered with NotRun never runs, and an attempt
-// that reached an endpoint is not answered with NotRun.
+// TestLedgerInvariantsInRandomInterleavings checks the invariants of a ledger: a key whose call was sent never runs
+// again, a running key is not started a second time, an attempt that was answered with NotRun never runs, and an
+// attempt that reached an endpoint is not answered with NotRun.
 func TestLedgerInvariantsInRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -9,8 +9,8 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// gossipSim simulates the memberships of a fleet: in each round, every node that is up sends
-// heartbeats to its neighbours over links that are not cut.
+// gossipSim simulates the memberships of a fleet: in each round, every node that is up sends heartbeats to its
+// neighbours over links that are not cut.
 type gossipSim struct {
 	now     time.Time
 	nodes   []*kernel.Membership
@@ -33,8 +33,8 @@
 	return g
 }
 
-// round delivers all heartbeats of one period at the same moment, then all replies: an update
-// travels at most two hops in a round.
+// round delivers all heartbeats of one period at the same moment, then all replies: an update travels at most two
+// hops in a round.
 func (g *gossipSim) round() {
 	g.now = g.now.Add(500 * time.Millisecond)
 	var pairs [][2]int
@@ -54,39 +54,41 @@
 	g.exchange(pairs, 1, 0)
 }
 
+// exchange delivers the pending updates of one node of each pair to the other, all at the same moment. The first
+// update is the heartbeat.
 func (g *gossipSim) exchange(pairs [][2]int, from, to int) {
-	all := make([][]kernel.GossipUpdate, len(pairs))
+	updates := make([][]kernel.GossipUpdate, len(pairs))
 	for i, pair := range pairs {
-		all[i] = g.nodes[pair[from]].PendingUpdates()
+		updates[i] = g.nodes[pair[from]].PendingUpdates()
 	}
 	for i, pair := range pairs {
 		node := g.nodes[pair[to]]
-		node.RecordHeartbeat(g.now, all[i][0])
-		for _, n := range all[i][1:] {
-			node.Apply(g.now, n)
+		node.RecordHeartbeat(g.now, updates[i][0])
+		for _, update := range updates[i][1:] {
+			node.Apply(g.now, update)
 		}
 	}
 }
 
 // countSeeing counts the nodes that are up and see exactly that many members alive.
 func (g *gossipSim) countSeeing(alive int) int {
-	n := 0
+	count := 0
 	for i, node := range g.nodes {
 		if !g.down[i] && len(node.Alive()) == alive {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // runUntil runs rounds until all nodes that are up see that many members alive, and returns the time it took.
 func (g *gossipSim) runUntil(t *testing.T, alive int) time.Duration {
 	t.Helper()
-	began := g.now
+	start := g.now
 	for range 200 {
 		g.round()
 		if g.countSeeing(alive) == len(g.nodes)-len(g.down) {
-			return g.now.Sub(began)
+			return g.now.Sub(start)
 		}
 	}
 	t.Fatalf("%d of %d nodes see %d alive", g.countSeeing(alive), len(g.nodes)-len(g.down), alive)
@@ -108,6 +110,8 @@
 	}
 }
 
+// A node that misses the heartbeats of another over a broken link does not declare it dead, as others still hear
+// it.
 func TestMembershipBrokenLinkDeclaresNobodyDead(t *testing.T) {
 	g := newGossipSim(9)
 	g.linkCut = func(a, b int) bool { return a+b == 1 }
@@ -140,10 +144,10 @@
 
 func TestMembershipRestartReplacesIncarnation(t *testing.T) {
 	m := kernel.NewMembership(testStart, members(1)[0], "d")
-	old := kernel.Member{Node: "x", Incarnation: "1"}
-	fresh := kernel.Member{Node: "x", Incarnation: "2"}
-	m.Apply(testStart, kernel.GossipUpdate{Member: fresh, Beat: 1})
-	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: old, Beat: 99}))
-	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: old, Beat: 100, State: kernel.MemberDead}))
+	previous := kernel.Member{Node: "x", Incarnation: "1"}
+	restarted := kernel.Member{Node: "x", Incarnation: "2"}
+	m.Apply(testStart, kernel.GossipUpdate{Member: restarted, Beat: 1})
+	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: previous, Beat: 99}))
+	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: previous, Beat: 100, State: kernel.MemberDead}))
 	must.Len(t, 2, m.Alive())
 }
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -45,18 +45,18 @@
 // taken over.
 func TestMixedPoolStaysWithinRateCap(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Share("mixed")
+	share := mixedTable().Share("mixed")
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			t.Parallel()
 			stated := model.NewRateCap(perSecond)
 			f := newCappedFleet(1, 8, perSecond)
-			f.view = f.view.WithPart(part)
+			f.view = f.view.WithPart(share)
 			arrivals := f.arrivals(30*time.Second, func(*cappedFleet) {})
-			for _, begins := range []bool{false, true} {
+			for _, takesOver := range []bool{false, true} {
 				q := cappedQueue{queue: newBatchQueue(4)}
-				q.queue.SetRateCap("worker-0", stated.WithPart(part))
-				if begins {
+				q.queue.SetRateCap("worker-0", stated.WithPart(share))
+				if takesOver {
 					q.queue.TakeOver(time.Unix(1000, 0))
 				}
 				q.run(30 * time.Second)
@@ -67,18 +67,19 @@
 	}
 }
 
-// A cold endpoint that gets requests and pieces receives no more than its limit from both together, also while nodes
-// disagree about which of them may send to it.
+// A cold endpoint that gets requests and pieces receives no more than its limit from both together, also while
+// nodes disagree about which of them may send to it. perView is how many requests and pieces the senders of one
+// membership view may send within 1.8 s, as sends within this time may arrive within one second.
 func TestMixedPoolStaysWithinColdBound(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Share("mixed")
-	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+	poolShare := mixedTable().Share("mixed")
+	for _, limits := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{4, 9.4, 50, 1000} {
 			perView := 0
-			for _, share := range []kernel.ColdShare{terms.FractionalShare(part, rate), terms.FractionalShare(part, rate).ForSingleSender()} {
+			for _, share := range []kernel.ColdShare{limits.FractionalShare(poolShare, rate), limits.FractionalShare(poolShare, rate).ForSingleSender()} {
 				perView += share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
 			}
-			must.LessEq(t, int(max(rate, rate*terms.Excess+terms.Slack)), 2*perView, must.Sprint(terms, rate))
+			must.LessEq(t, int(max(rate, rate*limits.Excess+limits.Slack)), 2*perView, must.Sprint(limits, rate))
 		}
 	}
 }
--- a/kernel/orders_test.go
+++ b/kernel/orders_test.go
@@ -11,8 +11,8 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// TestOrdersOfTwoHoldersNeverOverlap runs two nodes with arbitrary pauses, slow and lost replies, and engines that ignore
-// fencing numbers. No order of an earlier holder arrives after the first order of a later one.
+// TestOrdersOfTwoHoldersNeverOverlap runs two nodes with arbitrary pauses, slow and lost replies, and engines that
+// ignore fencing numbers. No order of an earlier holder arrives after the first order of a later one.
 func TestOrdersOfTwoHoldersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &leaseModel{now: testStart, nodes: members(2)}
@@ -27,8 +27,8 @@
 	})
 }
 
-// TestPausedHolderWithLapsedLeaseOrdersNothing steps through the most critical interleaving: a holder is
-// paused while its lease expires, and another node takes over.
+// TestPausedHolderWithLapsedLeaseOrdersNothing steps through the most critical interleaving: a holder is paused
+// while its lease expires, and another node takes over.
 func TestPausedHolderWithLapsedLeaseOrdersNothing(t *testing.T) {
 	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
 	lease := kernel.Lease{Holder: members(2)[0], Number: 1}
@@ -49,8 +49,8 @@
 	row     kernel.Lease
 	version uint64
 	views   [2]kernel.LeaseView
-	// latest is the latest possible arrival of an order, and first is when the first order was sent, by fencing
-	// number.
+	// latestArrival is the latest time at which an order may arrive, and firstSent is when the first order was
+	// sent, by fencing number.
 	latestArrival map[uint64]time.Time
 	firstSent     map[uint64]time.Time
 }
@@ -61,16 +61,16 @@
 
 func (m *leaseModel) write(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "node")
-	w := m.views[i]
-	next := kernel.Lease{Holder: m.nodes[i], Number: w.Lease.Number}
+	view := m.views[i]
+	next := kernel.Lease{Holder: m.nodes[i], Number: view.Lease.Number}
 	switch {
-	case w.ShouldRenew(m.now):
-	case w.MayAcquire(m.now, i):
+	case view.ShouldRenew(m.now):
+	case view.MayAcquire(m.now, i):
 		next.Number++
 	default:
 		t.Skip("may not write")
 	}
-	if w.Version != m.version {
+	if view.Version != m.version {
 		t.Skip("conflict")
 	}
 	sent := m.now
@@ -80,19 +80,19 @@
 		return
 	}
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "answer ms")) * time.Millisecond)
-	m.views[i] = w.WithWrite(m.now, sent, next, m.version)
+	m.views[i] = view.WithWrite(m.now, sent, next, m.version)
 }
 
 func (m *leaseModel) order(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "node")
-	w := m.views[i]
-	if !w.MayOrder(m.now) {
+	view := m.views[i]
+	if !view.MayOrder(m.now) {
 		t.Skip("no lease")
 	}
 	if m.latestArrival == nil {
 		m.latestArrival, m.firstSent = map[uint64]time.Time{}, map[uint64]time.Time{}
 	}
-	number := w.Lease.Number
+	number := view.Lease.Number
 	arrival := m.now.Add(kernel.OrderTimeout)
 	if _, known := m.firstSent[number]; !known {
 		m.firstSent[number] = m.now
@@ -127,7 +127,7 @@
 				o.OrderEnded(order)
 			}
 		}
-		must.LessEq(t, 1, loads, must.Sprint("more loads than the weight store allows"))
+		must.LessEq(t, 1, loads, must.Sprint("the weight store allows one load per interval"))
 	}
 	must.EqOp(t, 2, copiesOf(engines, "a"))
 	must.EqOp(t, 2, copiesOf(engines, "b"))
@@ -159,6 +159,7 @@
 	must.Eq(t, []kernel.Order{{Engine: "e1", Adapter: "soon", Evict: true}}, idle)
 }
 
+// executeOrder loads or evicts the adapter at the engine of an order.
 func executeOrder(engines []kernel.EngineView, order kernel.Order) {
 	for i, e := range engines {
 		if e.Name != order.Engine {
@@ -177,16 +178,17 @@
 	}
 }
 
+// copiesOf returns the number of engines that have an adapter loaded.
 func copiesOf(engines []kernel.EngineView, adapter string) int {
-	n := 0
+	copies := 0
 	for _, e := range engines {
 		for _, a := range e.Adapters {
 			if a == adapter {
-				n++
+				copies++
 			}
 		}
 	}
-	return n
+	return copies
 }
 
 func ExampleLeaseRank() {
--- a/kernel/placement_test.go
+++ b/kernel/placement_test.go
@@ -11,6 +11,7 @@
 	"basilstall.example/basilstall/model"
 )
 
+// engineCandidates returns n live engines in three failure domains.
 func engineCandidates(n int) []kernel.EngineCandidate {
 	var out []kernel.EngineCandidate
 	for i := range n {
@@ -40,7 +41,7 @@
 		key := fmt.Sprint("key-", k)
 		i := kernel.PickEngine(now, all, key)
 		must.Eq(t, i, kernel.PickEngine(now, all, key))
-		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("the domain is that of the engine"))
+		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("AffinityDomain agrees with PickEngine"))
 		used[i]++
 	}
 	must.MapLen(t, 12, used)
@@ -68,9 +69,9 @@
 }
 
 func TestLocalityWait(t *testing.T) {
-	full := 444 * time.Millisecond
-	must.EqOp(t, 0, kernel.LocalityWait(50_000, full, time.Minute), must.Sprint("little to move"))
-	must.EqOp(t, full, kernel.LocalityWait(3_600_000, full, time.Minute), must.Sprint("until the next call in the domain"))
-	must.EqOp(t, 100*time.Millisecond, kernel.LocalityWait(3_600_000, full, 600*time.Millisecond), must.Sprint("a sixth of the slack"))
-	must.EqOp(t, 0, kernel.LocalityWait(3_600_000, full, -time.Second), must.Sprint("late already"))
+	fullWait := 444 * time.Millisecond
+	must.EqOp(t, 0, kernel.LocalityWait(50_000, fullWait, time.Minute), must.Sprint("few bytes of inputs to send"))
+	must.EqOp(t, fullWait, kernel.LocalityWait(3_600_000, fullWait, time.Minute), must.Sprint("a full call, until the next one in the domain starts"))
+	must.EqOp(t, 100*time.Millisecond, kernel.LocalityWait(3_600_000, fullWait, 600*time.Millisecond), must.Sprint("at most a sixth of the slack"))
+	must.EqOp(t, 0, kernel.LocalityWait(3_600_000, fullWait, -time.Second), must.Sprint("already late"))
 }
