--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -28,13 +28,14 @@
 	return nil
 }
 
-// serve reports whether a request that arrives at a node may be sent.
-func (f *permitFleet) trySend(n *cappedNode, asks bool) bool {
+// trySend sends a request that arrives at a node if the node may send by itself or, with usePermits set, gets a
+// permit. It reports whether the request was sent.
+func (f *permitFleet) trySend(n *cappedNode, usePermits bool) bool {
 	if f.view.Due(f.now, n.sentAt, n.rank) {
 		n.sentAt = f.now
 		return true
 	}
-	if !asks {
+	if !usePermits {
 		return false
 	}
 	permits := f.permits[n.name].WithSharers(kernel.CapSharers(f.now, n.settled, "engine"), n.name)
@@ -51,6 +52,7 @@
 	return granted
 }
 
+// requestPermit requests a permit from a node that shares the cap. A node that is down denies it without a wait.
 func (f *permitFleet) requestPermit(name string) (granted bool, wait time.Duration) {
 	sharer := f.node(name)
 	if sharer == nil || sharer.down {
@@ -63,29 +65,29 @@
 	return granted, wait
 }
 
-// play sends requests to random nodes at a total rate of demand a second, and returns the maximum number that arrives
-// at the endpoint in a window, and the average rate a second.
-func (f *permitFleet) run(length time.Duration, demand float64, asks bool, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
+// run sends requests to random nodes at a total rate of demand a second, and returns the maximum number that
+// arrives at the endpoint in a window, and the average rate a second.
+func (f *permitFleet) run(duration time.Duration, demand float64, usePermits bool, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
 	start := f.now
 	var arrivals []time.Time
-	for step := time.Duration(0); step < length; step += capStep {
-		f.now = start.Add(step)
-		if step == capDisruptionAt {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += capStep {
+		f.now = start.Add(elapsed)
+		if elapsed == capDisruptionAt {
 			disruption(f.cappedFleet)
 		}
 		for _, n := range f.nodes {
-			if !n.down && step%capRefreshInterval == 0 {
+			if !n.down && elapsed%capRefreshInterval == 0 {
 				n.refresh(f.now)
 			}
 		}
 		for due := demand * capStep.Seconds(); due > 0; due-- {
 			n := f.nodes[f.rng.IntN(len(f.nodes))]
-			if f.rng.Float64() < due && !n.down && f.trySend(n, asks) {
+			if f.rng.Float64() < due && !n.down && f.trySend(n, usePermits) {
 				arrivals = append(arrivals, f.now.Add(f.sendDelay()))
 			}
 		}
 	}
-	return maxCountWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
+	return maxCountWithin(arrivals, capWindow), float64(len(arrivals)) / duration.Seconds()
 }
 
 func newPermitFleet(nodes int, perSecond float64) *permitFleet {
@@ -103,10 +105,10 @@
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
 					t.Parallel()
 					f := newPermitFleet(nodes, perSecond)
-					maxInWindow, got := f.run(capRunDuration, 3*perSecond+1, true, disruption)
+					maxInWindow, sentPerSecond := f.run(capRunDuration, 3*perSecond+1, true, disruption)
 					must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxInWindow)
 					if name == "none" {
-						must.GreaterEq(t, 0.6*perSecond, got)
+						must.GreaterEq(t, 0.6*perSecond, sentPerSecond)
 					}
 				})
 			}
@@ -114,21 +116,21 @@
 	}
 }
 
-// The same at the size of the whole fleet.
+// The same for a fleet of 400 nodes of which half restart.
 func TestPermitsSpreadRateCapOverLargeFleet(t *testing.T) {
 	t.Parallel()
 	f := newPermitFleet(400, 1)
-	maxInWindow, got := f.run(capRunDuration, 4, true, cappedDisruptions["half restart"])
+	maxInWindow, sentPerSecond := f.run(capRunDuration, 4, true, cappedDisruptions["half restart"])
 	must.LessEq(t, 11, maxInWindow)
-	must.GreaterEq(t, 0.5, got)
+	must.GreaterEq(t, 0.5, sentPerSecond)
 }
 
 // Without permits the nodes that share a cap can use it only for the requests that reach them: with 400 nodes, about
 // one hundredth of the rate.
 func TestRateCapIsUnderusedWithoutPermits(t *testing.T) {
 	t.Parallel()
-	_, got := newPermitFleet(400, 8).run(capRunDuration, 25, false, func(*cappedFleet) {})
-	must.LessEq(t, 0.5, got)
+	_, sentPerSecond := newPermitFleet(400, 8).run(capRunDuration, 25, false, func(*cappedFleet) {})
+	must.LessEq(t, 0.5, sentPerSecond)
 }
 
 // Nodes that were denied a permit ask again when their turn comes: the number of permit requests is bounded by the rate
@@ -137,35 +139,36 @@
 	t.Parallel()
 	f := newPermitFleet(400, 1)
 	f.run(capRunDuration, 400, true, func(*cappedFleet) {})
-	const sharers, turn = 4, 5.0
-	bound := capRunDuration.Seconds() * (2 + sharers*400/turn)
+	// A denial by one of the four nodes that share the cap holds for at most 5 s.
+	const sharers, turnSeconds = 4, 5.0
+	bound := capRunDuration.Seconds() * (2 + sharers*400/turnSeconds)
 	must.LessEq(t, bound, float64(f.permitRequests))
 }
 
-// A permit is granted when the cap allows a send, denied nodes are told their turns, and a node that does not share the
-// cap grants no permits.
+// A permit is granted when the cap allows a send, each denied node is told when its turn comes, and a node that
+// does not share the cap grants no permits.
 func TestPermitIssuer(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	one := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
-	issuer, granted, _ := kernel.PermitIssuer{}.Permit(now, one, now.Add(-4*time.Second), 0)
+	view := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
+	issuer, granted, _ := kernel.PermitIssuer{}.Permit(now, view, now.Add(-4*time.Second), 0)
 	must.True(t, granted)
 	for _, want := range []time.Duration{3 * time.Second, 5 * time.Second, 5 * time.Second} {
 		var wait time.Duration
-		issuer, granted, wait = issuer.Permit(now.Add(time.Second), one, now, 0)
+		issuer, granted, wait = issuer.Permit(now.Add(time.Second), view, now, 0)
 		must.False(t, granted)
 		must.EqOp(t, want, wait)
 	}
-	_, granted, wait := issuer.Permit(now.Add(5*time.Second), one, now.Add(4*time.Second), 0)
+	_, granted, wait := issuer.Permit(now.Add(5*time.Second), view, now.Add(4*time.Second), 0)
 	must.False(t, granted)
-	must.EqOp(t, 3*time.Second, wait, must.Sprint("nodes denied before the last send do not count"))
-	_, granted, _ = issuer.Permit(now.Add(time.Hour), one, now, 4)
+	must.EqOp(t, 3*time.Second, wait, must.Sprint("nodes denied before the last send are not counted"))
+	_, granted, _ = issuer.Permit(now.Add(time.Hour), view, now, 4)
 	must.False(t, granted)
 	_, granted, _ = issuer.Permit(now.Add(time.Hour), kernel.CapView{}, now, 0)
 	must.False(t, granted)
 }
 
-// A node that was denied a permit, or got no answer, asks another node.
+// A node that was denied a permit, or got no answer, requests it from another node.
 func TestPermitIsRequestedElsewhereAfterDenial(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -189,7 +192,7 @@
 }
 
 // The state of an endpoint, with the nodes that share its cap, may have been dropped by the time that one of them
-// answers.
+// denies a permit. The denial must still be recorded.
 func TestDenialForDroppedEndpoint(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
--- a/kernel/ratecap_test.go
+++ b/kernel/ratecap_test.go
@@ -16,6 +16,7 @@
 )
 
 const (
+	// capWindow is the window in which the requests that arrive are counted.
 	capWindow = 4 * time.Second
 	capStep   = 20 * time.Millisecond
 	// capRefreshInterval is how often nodes refresh their membership view.
@@ -37,7 +38,8 @@
 
 	cappedNode struct {
 		name string
-		// lag is the delay after which the node learns of membership changes, known is the membership that it knows.
+		// lag is the delay after which the node learns of membership changes, updates holds the changes sent to it, and
+		// knownPeers is the membership that it knows.
 		lag        time.Duration
 		settled    kernel.SettledNodes
 		knownPeers []kernel.Peer
@@ -47,6 +49,7 @@
 		rank       int
 	}
 
+	// membershipUpdate is the membership that a node learns of at a time.
 	membershipUpdate struct {
 		at    time.Time
 		nodes []kernel.Peer
@@ -63,12 +66,12 @@
 	return f
 }
 
-// lag returns a random delay after which a node learns of membership changes.
+// randomLag returns a random delay after which a node learns of membership changes.
 func (f *cappedFleet) randomLag() time.Duration {
 	return time.Duration(f.rng.IntN(3000)) * time.Millisecond
 }
 
-// tell sends the present membership to all nodes, each of which learns of it after its own delay.
+// announceMembership sends the present membership to all nodes, each of which learns of it after its own delay.
 func (f *cappedFleet) announceMembership() {
 	var all []kernel.Peer
 	for _, n := range f.nodes {
@@ -81,7 +84,7 @@
 	}
 }
 
-// first returns the highest ranked nodes of the endpoint.
+// topRanked returns the nodes that come first by rank, which are those that send to the endpoint.
 func (f *cappedFleet) topRanked(count int) []*cappedNode {
 	out := slices.Clone(f.nodes)
 	slices.SortFunc(out, func(a, b *cappedNode) int { return cmp.Compare(a.rank, b.rank) })
@@ -95,24 +98,24 @@
 	f.announceMembership()
 }
 
-// play lets all nodes send as fast as they may, and returns the maximum number of requests that arrive in a window, and
-// the average rate a second.
-func (f *cappedFleet) run(length time.Duration, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
-	arrivals := f.arrivals(length, disruption)
-	return maxCountWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
+// run lets all nodes send as fast as they may, and returns the maximum number of requests that arrive in a window,
+// and the average rate a second.
+func (f *cappedFleet) run(duration time.Duration, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
+	arrivals := f.arrivals(duration, disruption)
+	return maxCountWithin(arrivals, capWindow), float64(len(arrivals)) / duration.Seconds()
 }
 
 // arrivals lets all nodes send as fast as they may, and returns the arrival times of their requests.
-func (f *cappedFleet) arrivals(length time.Duration, disruption func(*cappedFleet)) []time.Time {
+func (f *cappedFleet) arrivals(duration time.Duration, disruption func(*cappedFleet)) []time.Time {
 	start := f.now
 	var arrivals []time.Time
-	for step := time.Duration(0); step < length; step += capStep {
-		f.now = start.Add(step)
-		if step == capDisruptionAt {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += capStep {
+		f.now = start.Add(elapsed)
+		if elapsed == capDisruptionAt {
 			disruption(f)
 		}
 		for _, n := range f.nodes {
-			if !n.down && step%capRefreshInterval == 0 {
+			if !n.down && elapsed%capRefreshInterval == 0 {
 				n.refresh(f.now)
 			}
 			if n.down || !f.view.Due(f.now, n.sentAt, n.rank) {
@@ -125,7 +128,7 @@
 	return arrivals
 }
 
-// delay returns the random delay of a send; some open a connection first.
+// sendDelay returns the random delay of a send; some open a connection first.
 func (f *cappedFleet) sendDelay() time.Duration {
 	delay := time.Duration(f.rng.IntN(50)) * time.Millisecond
 	if f.rng.IntN(5) == 0 {
@@ -134,12 +137,12 @@
 	return delay
 }
 
-// maxCountWithin returns the maximum number of moments that lie within one window. It sorts the moments.
-func maxCountWithin(moments []time.Time, window time.Duration) int {
-	slices.SortFunc(moments, time.Time.Compare)
+// maxCountWithin returns the maximum number of times that lie within one window. It sorts the times.
+func maxCountWithin(times []time.Time, window time.Duration) int {
+	slices.SortFunc(times, time.Time.Compare)
 	maxCount, oldest := 0, 0
-	for i, at := range moments {
-		for at.Sub(moments[oldest]) > window {
+	for i, at := range times {
+		for at.Sub(times[oldest]) > window {
 			oldest++
 		}
 		maxCount = max(maxCount, i+1-oldest)
@@ -149,9 +152,9 @@
 
 // refresh updates the node's view of the membership with the changes that have reached it.
 func (n *cappedNode) refresh(now time.Time) {
-	for _, news := range n.updates {
-		if !now.Before(news.at) {
-			n.knownPeers = news.nodes
+	for _, update := range n.updates {
+		if !now.Before(update.at) {
+			n.knownPeers = update.nodes
 		}
 	}
 	n.settled = n.settled.With(now, n.knownPeers)
@@ -208,12 +211,12 @@
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
 					t.Parallel()
 					f := newCappedFleet(uint64(nodes), nodes, perSecond)
-					maxInWindow, got := f.run(capRunDuration, disruption)
+					maxInWindow, sentPerSecond := f.run(capRunDuration, disruption)
 					allowed := int(1.5*perSecond*capWindow.Seconds() + 5)
 					must.LessEq(t, allowed, maxInWindow)
 					if name == "none" {
 						share := float64(min(4, nodes)) / 4
-						must.GreaterEq(t, 0.75*share*perSecond, got)
+						must.GreaterEq(t, 0.75*share*perSecond, sentPerSecond)
 					}
 				})
 			}
@@ -221,7 +224,7 @@
 	}
 }
 
-// If all nodes that share a cap are lost for good, the others probe at long intervals whether it still holds.
+// If all nodes that share a cap are lost for good, the other nodes probe at long intervals whether it still holds.
 func TestRateCapIsProbedAfterLossOfSenders(t *testing.T) {
 	t.Parallel()
 	f := newCappedFleet(1, 12, 1)
@@ -243,16 +246,17 @@
 	must.LessEq(t, 11, maxInWindow)
 }
 
-// An answer is ordered by when its request was sent: one whose request was sent before a message about the cap arrived
-// does not end the cap.
+// Answers are ordered by when their requests were sent: an answer without a cap does not end the cap if its request
+// was sent before the cap became known. Of two caps whose order is unknown the lower one holds.
 func TestReorderedAnswersDoNotEndRateCap(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	two, one, none := model.NewRateCap(2), model.NewRateCap(1), model.RateCap{}
 	type answer struct {
-		asked, came float64
-		stated      model.RateCap
+		// sentAt is when the request was sent, receivedAt when its answer arrived, in seconds.
+		sentAt, receivedAt float64
+		stated             model.RateCap
 	}
 	for name, tc := range map[string]struct {
 		answers []answer
@@ -264,22 +268,22 @@
 		"sent when the cap became known": {[]answer{{0, 1, two}, {1, 3, none}}, none},
 		"raised":                         {[]answer{{0, 1, one}, {2, 3, two}}, two},
 		"lowered":                        {[]answer{{0, 1, two}, {2, 3, one}}, one},
-		"order of two unknown":           {[]answer{{0, 1, one}, {0.5, 1.5, two}}, one},
+		"two caps of unknown order":      {[]answer{{0, 1, one}, {0.5, 1.5, two}}, one},
 		"withdrawn and stated again":     {[]answer{{0, 1, two}, {2, 3, none}, {4, 5, one}}, one},
 		"stated by an answer in flight":  {[]answer{{0, 1, two}, {2, 3, none}, {2.5, 4, one}}, one},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var b kernel.CapView
+			var view kernel.CapView
 			for _, a := range tc.answers {
-				b = b.WithAnswer(at(a.asked), at(a.came), a.stated)
+				view = view.WithAnswer(at(a.sentAt), at(a.receivedAt), a.stated)
 			}
-			must.Eq(t, tc.want, b.Cap)
+			must.Eq(t, tc.want, view.Cap)
 		})
 	}
 }
 
-// A notice of another node holds until the next one, except for an endpoint that has just stated a cap in its own
-// answer.
+// A notice of another node holds until the next one. A notice does not end a cap that the endpoint stated in an
+// answer a short time ago, and never raises it.
 func TestRateCapNotices(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -291,28 +295,28 @@
 	must.Eq(t, one, answered.WithNotice(now.Add(time.Second), none).Cap)
 	must.Eq(t, none, answered.WithNotice(now.Add(time.Minute), none).Cap)
 	two, half := model.NewRateCap(2), model.NewRateCap(0.5)
-	must.Eq(t, one, answered.WithNotice(now.Add(time.Minute), two).Cap, must.Sprint("the endpoint's own answer is the newer one"))
+	must.Eq(t, one, answered.WithNotice(now.Add(time.Minute), two).Cap, must.Sprint("a notice does not raise a cap that the endpoint stated to this node"))
 	must.Eq(t, half, answered.WithNotice(now.Add(time.Minute), half).Cap)
 	must.Eq(t, two, noticed.WithNotice(now.Add(time.Minute), two).Cap)
 }
 
-// An endpoint that states another rate in each answer does not cause a write for each: senders learn the rate from the
-// answers.
+// An endpoint that states another rate in each answer does not cause a write for each: senders learn the rate from
+// the answers.
 func TestChangingRateIsPublishedRarely(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
 	published := map[int]int{}
 	for rank := range 3 {
-		var news kernel.CapPublisher
+		var publisher kernel.CapPublisher
 		for i := range 600 {
 			now := start.Add(time.Duration(i) * 200 * time.Millisecond)
-			news.View = news.View.WithAnswer(now, now, model.NewRateCap(1+float64(i%7)/10))
+			publisher.View = publisher.View.WithAnswer(now, now, model.NewRateCap(1+float64(i%7)/10))
 			if rank > 0 && i == 0 {
-				news.ApplyNotice(now, news.View.Cap)
+				publisher.ApplyNotice(now, publisher.View.Cap)
 			}
-			if news.ShouldPublish(now, rank, 0.5) {
+			if publisher.ShouldPublish(now, rank, 0.5) {
 				published[rank]++
-				news.RecordWrite(now, news.View.Cap, true)
+				publisher.RecordWrite(now, publisher.View.Cap, true)
 			}
 		}
 	}
@@ -324,25 +328,25 @@
 // write at each change, five times a second for each such endpoint, beyond the bound on the writes of all nodes.
 func TestIntermittentCapIsPublishedRarely(t *testing.T) {
 	t.Parallel()
-	const length, interval = 2 * time.Minute, 200 * time.Millisecond
+	const duration, interval = 2 * time.Minute, 200 * time.Millisecond
 	start := time.Unix(1000, 0)
 	published := 0
-	var news kernel.CapPublisher
-	for elapsed := time.Duration(0); elapsed < length; elapsed += interval {
+	var publisher kernel.CapPublisher
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += interval {
 		now := start.Add(elapsed)
 		stated := model.RateCap{}
 		if elapsed/interval%2 == 0 {
 			stated = model.NewRateCap(1)
 		}
-		news.View = news.View.WithAnswer(now, now, stated)
-		if news.ShouldPublish(now, 0, 0.5) {
+		publisher.View = publisher.View.WithAnswer(now, now, stated)
+		if publisher.ShouldPublish(now, 0, 0.5) {
 			published++
-			news.RecordWrite(now, news.View.Cap, true)
+			publisher.RecordWrite(now, publisher.View.Cap, true)
 		}
 	}
-	must.Between(t, 2, published, int(length/(2*time.Second))+1)
-	news.View = news.View.WithAnswer(start.Add(length), start.Add(length), model.NewRateCap(1))
-	must.True(t, news.Published.Stated || news.ShouldPublish(start.Add(length+2*time.Second), 0, 0.5), must.Sprint("the last change is published"))
+	must.Between(t, 2, published, int(duration/(2*time.Second))+1)
+	publisher.View = publisher.View.WithAnswer(start.Add(duration), start.Add(duration), model.NewRateCap(1))
+	must.True(t, publisher.Published.Stated || publisher.ShouldPublish(start.Add(duration+2*time.Second), 0, 0.5), must.Sprint("the last change is published"))
 }
 
 // The first node by rank publishes a cap at once, the others only if no node has done so. Failed writes are retried
@@ -393,7 +397,7 @@
 		refused   bool
 		retry     time.Duration
 	}{
-		"none":                            {nil, false, 0},
+		"no endpoints":                    {nil, false, 0},
 		"one that may be sent to":         {[]kernel.CappedEndpoint{sender, {View: one}}, false, 0},
 		"this node sends later":           {[]kernel.CappedEndpoint{other, sender}, true, 3 * time.Second},
 		"other nodes send":                {[]kernel.CappedEndpoint{other, other}, true, 500 * time.Millisecond},
--- a/kernel/ratelimit_test.go
+++ b/kernel/ratelimit_test.go
@@ -13,11 +13,12 @@
 
 // rateFleet simulates nodes that get the requests of one customer from a load balancer.
 type rateFleet struct {
-	rng            *rand.Rand
-	rate           float64
-	nodes          []string
-	holders        []string
-	buckets        map[string]kernel.RateBucket
+	rng     *rand.Rand
+	rate    float64
+	nodes   []string
+	holders []string
+	buckets map[string]kernel.RateBucket
+	// remoteRequests is the number of times that a node asked another one whether a request is within the rate.
 	remoteRequests int
 }
 
@@ -30,14 +31,14 @@
 	return f
 }
 
-// serve reports whether a request at a node is within the rate.
+// admit reports whether a request at a node is within the rate.
 func (f *rateFleet) admit(now time.Time, node string) bool {
 	for _, holder := range kernel.HoldersToAsk(f.holders, node, f.rng.Float64()) {
 		if holder != node {
 			f.remoteRequests++
 		}
-		share, ok, _ := f.buckets[holder].Take(now, f.rate, len(f.holders))
-		f.buckets[holder] = share
+		bucket, ok, _ := f.buckets[holder].Take(now, f.rate, len(f.holders))
+		f.buckets[holder] = bucket
 		if ok {
 			return true
 		}
@@ -45,11 +46,11 @@
 	return false
 }
 
-// play sends requests to random nodes at a total rate of demand a second, and returns when requests were served.
-func (f *rateFleet) run(length time.Duration, demand float64) (served []time.Time) {
+// run sends requests to random nodes at a total rate of demand a second, and returns when requests were served.
+func (f *rateFleet) run(duration time.Duration, demand float64) (served []time.Time) {
 	const step = 10 * time.Millisecond
 	start := time.Unix(1000, 0)
-	for elapsed := time.Duration(0); elapsed < length; elapsed += step {
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
 		now := start.Add(elapsed)
 		for due := demand * step.Seconds(); due > 0; due-- {
 			if f.rng.Float64() < due && f.admit(now, f.nodes[f.rng.IntN(len(f.nodes))]) {
@@ -60,19 +61,19 @@
 	return served
 }
 
-// The nodes together serve a customer its rate and at most one second of it at once, whatever the size of the fleet and
-// whichever nodes get its requests. Where each of 400 nodes held a part of a rate of five a second, all 400 served a
-// request at once: a part below one request a second still allows a whole one at first.
+// The nodes together serve a customer its rate and at most one second of it at once, whatever the size of the fleet
+// and whichever nodes get its requests. If each of 400 nodes held a part of a rate of five a second, all 400 would
+// serve a request at once, as a part below one request a second still allows a whole one at first.
 func TestFleetKeepsCustomerRate(t *testing.T) {
 	t.Parallel()
-	const length, window = 30 * time.Second, 4 * time.Second
+	const duration, window = 30 * time.Second, 4 * time.Second
 	for _, nodes := range []int{1, 9, 400} {
 		for _, rate := range []float64{0.2, 1, 5, 90, 500} {
 			t.Run(fmt.Sprintf("%d nodes/%v a second", nodes, rate), func(t *testing.T) {
 				t.Parallel()
-				served := newRateFleet(nodes, rate).run(length, 10*rate)
+				served := newRateFleet(nodes, rate).run(duration, 10*rate)
 				must.LessEq(t, int(rate*window.Seconds()+max(1, rate))+1, maxCountWithin(served, window))
-				must.GreaterEq(t, 0.8*rate*length.Seconds(), float64(len(served)))
+				must.GreaterEq(t, 0.8*rate*duration.Seconds(), float64(len(served)))
 			})
 		}
 	}
@@ -99,12 +100,12 @@
 		draw    float64
 		want    []string
 	}{
-		"none":              {nil, "a", 0.5, nil},
-		"one":               {holders[:1], "x", 0.99, []string{"a"}},
-		"another node":      {holders, "x", 0, []string{"a", "b", "c"}},
-		"drawn":             {holders, "x", 0.8, []string{"d", "a", "b"}},
-		"a holder, itself":  {holders, "c", 0, []string{"c"}},
-		"the draw's bounds": {holders, "x", 1, []string{"d", "a", "b"}},
+		"none":                      {nil, "a", 0.5, nil},
+		"one":                       {holders[:1], "x", 0.99, []string{"a"}},
+		"not a holder":              {holders, "x", 0, []string{"a", "b", "c"}},
+		"first by the draw":         {holders, "x", 0.8, []string{"d", "a", "b"}},
+		"a holder asks only itself": {holders, "c", 0, []string{"c"}},
+		"draw of 1":                 {holders, "x", 1, []string{"d", "a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			must.Eq(t, tc.want, kernel.HoldersToAsk(tc.holders, tc.self, tc.draw))
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -22,7 +22,8 @@
 	followerStoreInterval = 900 * time.Millisecond
 	followerStoreRetry    = 300 * time.Millisecond
 	followerMaxAge        = 2 * time.Second
-	followerMaxKeyAge     = 4500 * time.Millisecond
+	// followerMaxKeyAge is how old the routing may be for API keys to be trusted.
+	followerMaxKeyAge = 4500 * time.Millisecond
 )
 
 type (
@@ -32,10 +33,10 @@
 		random *rand.Rand
 		peers  []kernel.Peer
 		nodes  map[string]*followerNode
-		// answers tells whether the store answers a node, and frozen whether a node is suspended.
+		// storeAnswers tells whether the store answers a node, and frozen whether a node is suspended.
 		storeAnswers func(node string) bool
 		frozen       func(node string) bool
-		// calls counts the calls to the store by the failure domain of the node that made them.
+		// storeCalls counts the calls to the store by the failure domain of the node that made them.
 		storeCalls map[string]int
 	}
 
@@ -46,7 +47,7 @@
 		readsStore bool
 		storeDown  bool
 		// nextPoll and nextStoreCall are the times at which it next asks other nodes and next reads the store. While it
-		// waits for the answer of pendingSource to a long poll, until is when that answer comes at the latest.
+		// waits for the answer of pendingSource to a long poll, longPollEnd is when that answer comes at the latest.
 		nextPoll, nextStoreCall time.Time
 		pendingSource           string
 		longPollEnd             time.Time
@@ -54,13 +55,13 @@
 	}
 )
 
-func newFollowerSim(seed uint64, domains, each int) *followerSim {
+func newFollowerSim(seed uint64, domains, nodesPerDomain int) *followerSim {
 	f := &followerSim{
 		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*followerNode{}, storeCalls: map[string]int{},
 		storeAnswers: func(string) bool { return true }, frozen: func(string) bool { return false },
 	}
 	for d := range domains {
-		for n := range each {
+		for n := range nodesPerDomain {
 			p := kernel.Peer{Name: fmt.Sprintf("node-%d-%d", d, n), Domain: fmt.Sprint("domain-", d), Capacity: 1}
 			f.peers = append(f.peers, p)
 			f.nodes[p.Name] = &followerNode{
@@ -72,15 +73,15 @@
 	return f
 }
 
-// run advances the time and calls look after each step.
-func (f *followerSim) run(length time.Duration, look func()) {
-	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(followerStep) {
+// run advances the time and calls onStep after each step.
+func (f *followerSim) run(duration time.Duration, onStep func()) {
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(followerStep) {
 		for _, p := range f.peers {
 			if n := f.nodes[p.Name]; !f.frozen(p.Name) {
 				f.step(n)
 			}
 		}
-		look()
+		onStep()
 	}
 }
 
@@ -118,6 +119,7 @@
 	return n.selector.Plan(f.now, reachable, n.storeLost())
 }
 
+// storeLost reports whether the node reads the store and gets no answer.
 func (n *followerNode) storeLost() bool { return n.readsStore && n.storeDown }
 
 // pollSources asks other nodes one after the other until an answer suffices; the last one may delay its answer.
@@ -158,17 +160,19 @@
 	}
 }
 
+// isStale reports whether a node gets no answer from the store and its data is too old to be an answer to others.
 func (f *followerSim) isStale(n *followerNode) bool {
 	return n.storeLost() && f.now.Sub(n.provenAt) > followerMaxAge
 }
 
-// recordPoll tells the node that is asked about the one that asks it.
-func (f *followerSim) recordPoll(asked, by *followerNode) {
-	if asked.storeLost() && by.provenAt.After(asked.provenAt) {
-		asked.selector.RecordFresherNode(f.now, by.Name)
+// recordPoll tells the node that is asked about the one that asks it, whose data may be more recent.
+func (f *followerSim) recordPoll(asked, poller *followerNode) {
+	if asked.storeLost() && poller.provenAt.After(asked.provenAt) {
+		asked.selector.RecordFresherNode(f.now, poller.Name)
 	}
 }
 
+// awaitAnswer ends a long poll once the source has recent data, is suspended or has answered late.
 func (f *followerSim) awaitAnswer(n *followerNode) {
 	source := f.nodes[n.pendingSource]
 	if f.isStale(source) && f.now.Before(n.longPollEnd) && !f.frozen(source.Name) {
@@ -182,6 +186,7 @@
 	f.endFailedPoll(n, f.plan(n))
 }
 
+// applyAnswer applies the answer of a source and reports whether it suffices.
 func (f *followerSim) applyAnswer(n, source *followerNode) bool {
 	if source.provenAt.After(n.provenAt) {
 		n.provenAt = source.provenAt
@@ -189,6 +194,7 @@
 	return n.selector.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.storeLost(), Age: f.now.Sub(source.provenAt)})
 }
 
+// endPoll applies a plan and sets the time of the next poll.
 func (f *followerSim) endPoll(n *followerNode, plan kernel.SourcePlan, pause time.Duration) {
 	if plan.ReadStore && !n.readsStore {
 		n.nextStoreCall = f.now
@@ -212,18 +218,20 @@
 }
 
 func (f *followerSim) totalStoreCalls() int {
-	all := 0
-	for _, n := range f.storeCalls {
-		all += n
+	total := 0
+	for _, calls := range f.storeCalls {
+		total += calls
 	}
-	return all
+	return total
 }
 
-// designatedReaders returns the nodes that are designated to read the store, as any node sees it.
+// designatedReaders returns the nodes that are designated to read the store, as any node sees it: the first two of
+// each failure domain.
 func (f *followerSim) designatedReaders() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range f.peers {
-		// A node that reaches only one other node reads the store or follows that one.
+		// A node comes before another one or after it whatever other nodes there are, so that its rank follows from
+		// pairs.
 		rank := 0
 		for _, other := range f.peers {
 			if other.Domain == p.Domain && kernel.NodesByHash("reader of "+p.Domain, []kernel.Peer{p, other})[0] != p.Name {
@@ -237,30 +245,30 @@
 
 func noAction() {}
 
-// Guards against a rush on an unavailable store. When each node that found its reader's data too old read the store
-// itself, repeatedly, and so did each node that took the place of a failing reader, a store that was silent for 6 s got
-// 5,096 calls from 195 nodes within 20 s, and 149 of them became readers within two seconds. A fleet reads once per
-// failure domain and interval while the store answers; an outage must not cost more calls with more nodes.
+// An outage of the store must not cost more calls with more nodes; while the store answers, a fleet reads once per
+// failure domain and interval. When each node that found its reader's data too old read the store itself,
+// repeatedly, and so did each node that took the place of a failing reader, a store that was silent for 6 s got
+// 5,096 calls from 195 nodes within 20 s, and 149 of them became readers within two seconds.
 func TestFewNodesReadUnavailableStore(t *testing.T) {
 	const outage = 6 * time.Second
-	for _, each := range []int{8, 39} {
-		f := newFollowerSim(uint64(each), 5, each)
+	for _, nodesPerDomain := range []int{8, 39} {
+		f := newFollowerSim(uint64(nodesPerDomain), 5, nodesPerDomain)
 		f.run(5*time.Second, noAction)
 		for domain, calls := range f.storeCalls {
-			must.LessEq(t, 10, calls, must.Sprint(domain, " with ", each, " nodes, calm"))
+			must.LessEq(t, 10, calls, must.Sprint(domain, " with ", nodesPerDomain, " nodes, before the outage"))
 		}
 		f.storeCalls = map[string]int{}
 		f.storeAnswers = func(string) bool { return false }
 		f.run(outage, noAction)
-		must.LessEq(t, 600, f.totalStoreCalls(), must.Sprint(each, " nodes a domain"))
+		must.LessEq(t, 600, f.totalStoreCalls(), must.Sprint(nodesPerDomain, " nodes a domain: during the outage"))
 		f.storeAnswers = func(string) bool { return true }
 		f.run(500*time.Millisecond, noAction)
-		must.LessEq(t, time.Second, f.maxAge(), must.Sprint(each, " nodes a domain: half a second after the store's return"))
+		must.LessEq(t, time.Second, f.maxAge(), must.Sprint(nodesPerDomain, " nodes a domain: half a second after the store's return"))
 		f.storeCalls = map[string]int{}
 		f.run(5*time.Second, noAction)
 		f.storeCalls = map[string]int{}
 		f.run(5*time.Second, noAction)
-		must.LessEq(t, 5*10, f.totalStoreCalls(), must.Sprint(each, " nodes a domain: calm again"))
+		must.LessEq(t, 5*10, f.totalStoreCalls(), must.Sprint(nodesPerDomain, " nodes a domain: after the outage"))
 	}
 }
 
@@ -268,14 +276,14 @@
 // if it refuses exactly the designated readers.
 func TestPartlyAvailableStoreIsFound(t *testing.T) {
 	for seed := range uint64(10) {
-		for _, each := range []int{3, 8} {
-			f := newFollowerSim(seed, 3, each)
+		for _, nodesPerDomain := range []int{3, 8} {
+			f := newFollowerSim(seed, 3, nodesPerDomain)
 			f.run(5*time.Second, noAction)
-			bound := f.designatedReaders()
-			f.storeAnswers = func(node string) bool { return !bound[node] }
+			readers := f.designatedReaders()
+			f.storeAnswers = func(node string) bool { return !readers[node] }
 			oldest := time.Duration(0)
 			f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-			must.Less(t, followerMaxKeyAge, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: the designated readers refused"))
+			must.Less(t, followerMaxKeyAge, oldest, must.Sprint("seed ", seed, ", ", nodesPerDomain, " nodes a domain: the designated readers refused"))
 		}
 	}
 	for seed := range uint64(2) {
@@ -315,13 +323,15 @@
 func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
 	f := newFollowerSim(3, 3, 8)
 	f.run(5*time.Second, noAction)
-	bound := f.designatedReaders()
-	f.frozen = func(node string) bool { return bound[node] }
+	readers := f.designatedReaders()
+	f.frozen = func(node string) bool { return readers[node] }
 	oldest := time.Duration(0)
 	f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 	must.Less(t, followerMaxKeyAge, oldest)
 }
 
+// The timeout of a call doubles up to its limit while answers do not arrive completely in time, and returns to the
+// base after one that does. An answer that is too large for its link at first arrives in the end.
 func TestCallTimeoutGrowsUntilAnswerInTime(t *testing.T) {
 	const base, limit = 2 * time.Second, 7 * time.Second
 	timeout := kernel.CallTimeout(0, base, limit, false)
