--- a/kernel/quarantine_test.go
+++ b/kernel/quarantine_test.go
@@ -70,7 +70,7 @@
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.NotHeld, "c": kernel.NotHeld},
 		},
 		{
-			"a request that ran beside the cause at three of four crashes may be a cause, too",
+			"a request that ran beside the cause at three of four crashes may be a cause as well",
 			[][]model.Digest{{"a"}, {"b", "a"}, {"b", "a"}, {"b", "a"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.TrialOnly},
 		},
@@ -94,7 +94,7 @@
 			for d, want := range tc.want {
 				must.EqOp(t, want, q.holdState(d), must.Sprint(d))
 			}
-			// A second evaluation finds nothing new: no node is informed again.
+			// A second evaluation finds nothing new, so that no node is informed again.
 			again := q.evaluate()
 			must.SliceEmpty(t, again.Hold)
 			must.SliceEmpty(t, again.Lift)
@@ -150,7 +150,7 @@
 	must.True(t, q.startTrial("bad"))
 	must.False(t, q.startTrial("good"), must.Sprint("one trial at a time"))
 	q.crash("last", "bad")
-	must.False(t, q.startTrial("bad"), must.Sprint("its trial has a result already"))
+	must.False(t, q.startTrial("bad"), must.Sprint("its trial already has a result"))
 	change := q.evaluate()
 	must.SliceLen(t, 1, change.Hold)
 	must.True(t, change.Hold[0].Firm)
@@ -197,7 +197,7 @@
 	must.EqOp(t, kernel.HoldTime-2*time.Minute, retry, must.Sprint("retry when the hold ends"))
 	q = newAmbiguousHarness()
 	for range 10 {
-		must.True(t, q.startTrial("good"), must.Sprint("a request that was not sent does not count"))
+		must.True(t, q.startTrial("good"), must.Sprint("a trial that was cancelled before it was sent does not count"))
 		q.CancelTrial("good")
 	}
 }
--- a/kernel/registry_test.go
+++ b/kernel/registry_test.go
@@ -10,10 +10,12 @@
 	"basilstall.example/basilstall/model"
 )
 
+// listedEndpoint returns an endpoint of the pool "p" in a state.
 func listedEndpoint(name string, state model.HostState) model.Endpoint {
 	return model.Endpoint{Name: name, Pool: "p", Address: name + ":1", State: state}
 }
 
+// endpointNames returns the names of the endpoints of the pool "p".
 func endpointNames(r kernel.Registry) []string {
 	var out []string
 	for _, e := range r.Endpoints("p") {
@@ -31,6 +33,8 @@
 	must.Eq(t, model.Leaving, e.State)
 }
 
+// Entries that lapse while the store is down are kept for a grace period after the outage, in which their endpoints
+// can be listed again.
 func TestRegistryKeepsEntriesLapsedInOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
@@ -112,8 +116,8 @@
 	must.SliceLen(t, 1, changes)
 	must.EqOp(t, startedEndpoint("a", 900).Incarnation(), changes[0].Before.Incarnation())
 	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), changes[0].Endpoint.Incarnation())
-	late := restarted.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
-	e, _ := late.Find("a")
+	unchanged := restarted.WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
+	e, _ := unchanged.Find("a")
 	must.EqOp(t, startedEndpoint("a", 990).Incarnation(), e.Incarnation(), must.Sprint("an older entry that arrives late is ignored"))
 }
 
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -13,46 +13,49 @@
 
 func TestReplicaReportsOnlyChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := kernel.NewReplica()
-	must.Len(t, 2, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
-	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
-	must.Len(t, 1, m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
-	changes := m.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
-	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, changes, must.Sprint("rows that a whole table lacks are removed"))
-	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer is ignored"))
+	r := kernel.NewReplica()
+	must.Len(t, 2, r.Apply(now, []kernel.Row{{Key: "a", Version: 1}, {Key: "b", Version: 2}}, 2, true))
+	must.SliceEmpty(t, r.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 3, false))
+	must.Len(t, 1, r.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 4, false))
+	changes := r.Apply(now, []kernel.Row{{Key: "a", Version: 4}}, 5, true)
+	must.Eq(t, []kernel.Row{{Key: "b", Version: 5, Removed: true}}, changes, must.Sprint("rows that are missing from the whole table are removed"))
+	must.SliceEmpty(t, r.Apply(now, []kernel.Row{{Key: "a", Version: 3}}, 3, false), must.Sprint("an older answer is ignored"))
 }
 
-// A row that was written and removed between two calls must not be reported as a change. Removals are applied before
-// additions, so that an endpoint that was listed and removed in one answer stayed in use for good.
+// A row that was written and removed between two calls must not be reported as a change. Removals are applied
+// before additions, so that an endpoint that was listed and removed in one answer would stay in use permanently.
 func TestRowAddedAndRemovedInOneAnswerIsNoChange(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := kernel.NewReplica()
-	m.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
-	must.SliceEmpty(t, m.Apply(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
-	changes := m.Apply(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
+	r := kernel.NewReplica()
+	r.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
+	must.SliceEmpty(t, r.Apply(now, []kernel.Row{{Key: "b", Version: 2}, {Key: "b", Version: 3, Removed: true}}, 3, false))
+	changes := r.Apply(now, []kernel.Row{{Key: "a", Version: 4, Removed: true}, {Key: "a", Version: 5}}, 5, false)
 	must.Eq(t, []kernel.Row{{Key: "a", Version: 5}}, changes)
-	changes = m.Apply(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
+	changes = r.Apply(now, []kernel.Row{{Key: "a", Version: 6}, {Key: "a", Version: 7, Removed: true}}, 7, false)
 	must.Eq(t, []kernel.Row{{Key: "a", Version: 7, Removed: true}}, changes)
-	d, _ := m.Since(now, 1)
+	d, _ := r.Since(now, 1)
 	must.Len(t, 2, d.Rows, must.Sprint("a delta holds both removals"))
 }
 
+// A copy is proven current only as of the time at which its source was, counted back from when the copy was
+// requested.
 func TestDeltaKeepsAgeOfSource(t *testing.T) {
 	now := time.Unix(1000, 0)
-	source, copied := kernel.NewReplica(), kernel.NewReplica()
+	source, follower := kernel.NewReplica(), kernel.NewReplica()
 	source.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
 	asked := now.Add(2 * time.Second)
 	answered := asked.Add(700 * time.Millisecond)
 	d, ok := source.Since(answered, 0)
 	must.True(t, ok)
-	copied.ApplyDelta(asked, d)
-	must.False(t, copied.ProvenAt().After(now), must.Sprint("not proven later than by the store's own answer"))
-	must.Eq(t, now.Add(-700*time.Millisecond), copied.ProvenAt())
+	follower.ApplyDelta(asked, d)
+	must.False(t, follower.ProvenAt().After(now), must.Sprint("not proven later than by the store's own answer"))
+	must.Eq(t, now.Add(-700*time.Millisecond), follower.ProvenAt())
 	_, ok = kernel.NewReplica().Since(now, 0)
 	must.False(t, ok)
 }
 
-// replicaMachine drives a store, two replicas that read it, and a third that copies either of them or reads the store.
+// replicaMachine drives a store, two replicas that read it, and a follower that copies either of them or reads the
+// store.
 type replicaMachine struct {
 	now      time.Time
 	version  uint64
@@ -60,7 +63,7 @@
 	log      []kernel.Row
 	sources  [2]*kernel.Replica
 	follower *kernel.Replica
-	// observed is the table as it follows from the changes that the copy reported.
+	// observed is the table as it follows from the changes that the follower reported.
 	observed map[string]kernel.Row
 }
 
@@ -110,6 +113,7 @@
 	}
 }
 
+// read lets a replica read the changes from the store, or the whole table at first.
 func (m *replicaMachine) read(source int) {
 	after, known := m.sources[source].Version()
 	var rows []kernel.Row
@@ -127,7 +131,7 @@
 	m.sources[source].Apply(m.now, rows, m.version, !known)
 }
 
-// copyFromStore lets the copy read the changes from the store itself.
+// copyFromStore lets the follower read the changes from the store itself.
 func (m *replicaMachine) copyFromStore(t *rapid.T) {
 	after, known := m.follower.Version()
 	if !known {
@@ -142,6 +146,7 @@
 	m.observe(t, m.follower.Apply(m.now, rows, m.version, false))
 }
 
+// copyFromSource lets the follower copy the changes from a replica.
 func (m *replicaMachine) copyFromSource(t *rapid.T, source int) {
 	before, _ := m.follower.Version()
 	if d, ok := m.sources[source].Since(m.now, before); ok {
@@ -152,13 +157,13 @@
 	}
 }
 
-// agree brings the copy up to date and compares it, and the reported changes, with the store.
+// checkAgreement brings the follower up to date and compares it, and the reported changes, with the store.
 func (m *replicaMachine) checkAgreement(t *rapid.T) {
 	m.read(0)
 	m.copyFromSource(t, 0)
 	all, _ := m.follower.Since(m.now, 0)
 	if len(all.Rows) != len(m.store) || len(m.observed) != len(m.store) {
-		t.Fatalf("the copy has %d rows, the reported changes give %d, the store has %d", len(all.Rows), len(m.observed), len(m.store))
+		t.Fatalf("the follower has %d rows, the reported changes give %d, the store has %d", len(all.Rows), len(m.observed), len(m.store))
 	}
 	for _, r := range all.Rows {
 		if m.store[r.Key] != r || m.observed[r.Key] != r {
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -11,6 +11,7 @@
 	"basilstall.example/basilstall/model"
 )
 
+// sessionPrompt returns a prompt of 400 shared tokens and the rest of a session.
 func sessionPrompt(session string, tokens int) model.Prompt {
 	return model.Prompt{TokensIn: tokens, TokensOut: 80, Parts: []model.PromptPart{{ID: "shared", Tokens: 400}, {ID: session, Tokens: tokens - 400}}}
 }
@@ -75,89 +76,89 @@
 	}
 }
 
-// request submits a request of three pieces for admission.
-func (b *overloadSim) submit(now time.Time, id uint64) {
-	f := model.Forward{ReceivedAt: now, Pieces: []int{3}}
+// submit submits a request of three pieces for admission.
+func (s *overloadSim) submit(now time.Time, id uint64) {
+	forward := model.Forward{ReceivedAt: now, Pieces: []int{3}}
 	identity := fmt.Sprint(id)
-	if b.refused != nil {
-		f = f.WithWaited(b.refused.TakeWaited(now, identity))
+	if s.refused != nil {
+		forward = forward.WithWaited(s.refused.TakeWaited(now, identity))
 	}
-	admitted := b.admission
+	admitted := s.admission
 	admitted.Deadline = now.Add(6 * time.Second)
-	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.EstimateWait(now, newPieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
-	plan := kernel.PlanStages(f, admitted, estimates, engineTime)
-	refusal := kernel.AdmitStages(now, f, admitted, plan, estimates)
+	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: s.queue.EstimateWait(now, newPieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
+	plan := kernel.PlanStages(forward, admitted, estimates, engineTime)
+	refusal := kernel.AdmitStages(now, forward, admitted, plan, estimates)
 	if refusal == nil {
 		group := newPieceGroup(id, 3, 8000, plan.Due[0])
-		if ok, _ := b.queue.Add(now, group); ok {
+		if ok, _ := s.queue.Add(now, group); ok {
 			return
 		}
 		refusal = model.NewRefusal(model.NotRun, model.StageLate, 300*time.Millisecond, "")
 	}
-	if b.refused != nil {
-		b.refused.Add(now, identity, f.Waited)
+	if s.refused != nil {
+		s.refused.Add(now, identity, forward.Waited)
 	}
-	if now.Equal(b.firstAttempt[id]) {
-		b.retryAt[id] = now.Add(refusal.RetryAfter)
+	if now.Equal(s.firstAttempt[id]) {
+		s.retryAt[id] = now.Add(refusal.RetryAfter)
 	}
 }
 
 // advanceCalls ends the calls that are due and starts new ones.
-func (b *overloadSim) advanceCalls(now time.Time) {
+func (s *overloadSim) advanceCalls(now time.Time) {
 	var unfinished []kernel.PieceBatch
-	for _, batch := range b.running {
-		if b.queue.Expected(batch) > now.Sub(batch.StartedAt()) {
+	for _, batch := range s.running {
+		if s.queue.Expected(batch) > now.Sub(batch.StartedAt()) {
 			unfinished = append(unfinished, batch)
 			continue
 		}
-		outcomes, _ := b.queue.Done(now, batch, resultsFor(batch))
+		outcomes, _ := s.queue.Done(now, batch, resultsFor(batch))
 		for _, o := range outcomes {
 			for _, m := range o.Made {
-				b.queue.Release(now, m)
+				s.queue.Release(now, m)
 			}
-			if now.Add(engineTime).Sub(b.firstAttempt[o.Group]) <= overloadObjective {
-				b.onTime++
+			if now.Add(engineTime).Sub(s.firstAttempt[o.Group]) <= overloadObjective {
+				s.onTime++
 			}
 		}
 	}
-	b.running = unfinished
-	b.queue.Expire(now)
+	s.running = unfinished
+	s.queue.Expire(now)
 	for {
-		batch, ok := b.queue.Next(now)
+		batch, ok := s.queue.Next(now)
 		if !ok {
 			return
 		}
-		b.running = append(b.running, batch)
+		s.running = append(s.running, batch)
 	}
 }
 
 // run returns how many requests were on time under a load of 1.8 times the pool's capacity.
-func (b *overloadSim) run() int {
+func (s *overloadSim) run() int {
 	start := time.Unix(1000, 0)
 	id := uint64(0)
 	for now := start; now.Sub(start) < 10*time.Second; now = now.Add(overloadStep) {
 		if now.Sub(start) < 7*time.Second {
 			for ; float64(id) < 39*now.Sub(start).Seconds(); id++ {
-				b.firstAttempt[id+1] = now
-				b.submit(now, id+1)
+				s.firstAttempt[id+1] = now
+				s.submit(now, id+1)
 			}
 		}
-		for retry, at := range b.retryAt {
+		for retry, at := range s.retryAt {
 			if !now.Before(at) {
-				delete(b.retryAt, retry)
-				b.submit(now, retry)
+				delete(s.retryAt, retry)
+				s.submit(now, retry)
 			}
 		}
-		b.advanceCalls(now)
+		s.advanceCalls(now)
 	}
-	return b.onTime
+	return s.onTime
 }
 
 // Under overload, retries of refused requests must not take capacity from requests that can still be on time:
 // both would then be late.
 func TestRetriesDoNotMakeNewRequestsLate(t *testing.T) {
-	without := newOverloadSim(nil).run()
-	with := newOverloadSim(kernel.NewRefusedRequests()).run()
-	t.Logf("on time: %d without RefusedRequests, %d with it", without, with)
-	must.Greater(t, without*11/10, with, must.Sprintf("%d on time, %d without RefusedRequests", with, without))
+	onTimeWithout := newOverloadSim(nil).run()
+	onTimeWith := newOverloadSim(kernel.NewRefusedRequests()).run()
+	t.Logf("on time: %d without RefusedRequests, %d with it", onTimeWithout, onTimeWith)
+	must.Greater(t, onTimeWithout*11/10, onTimeWith, must.Sprintf("%d on time, %d without RefusedRequests", onTimeWith, onTimeWithout))
 }
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -13,8 +13,10 @@
 	"basilstall.example/basilstall/model"
 )
 
+// trustLimit is how old the routing may be for requests to be admitted by it.
 const trustLimit = 4 * time.Second
 
+// testRouting returns routing with two routes of nested prefixes, a public route and two customers.
 func testRouting(version uint64) model.Routing {
 	return model.Routing{
 		Version: version,
@@ -30,6 +32,7 @@
 	}
 }
 
+// newForward returns a GET request.
 func newForward(host, path, key string, at time.Time) model.Forward {
 	return model.Forward{ID: "id", Method: "GET", URI: path, Path: path, Host: host, Key: key, ReceivedAt: at}
 }
@@ -115,7 +118,7 @@
 		{"public route", view, newForward("b.example", "/1", "", now), 0, ""},
 		{"public route, old routing", view, newForward("b.example", "/1", "", now), trustLimit + time.Second, ""},
 		{"no route", view, newForward("a.example", "/z", "key-a", now), 0, model.UnknownPipeline},
-		{"no routing: never a false 404", kernel.RoutingView{}, newForward("a.example", "/z", "key-a", now), 0, model.NotReady},
+		{"no routing: NotReady instead of a false 404", kernel.RoutingView{}, newForward("a.example", "/z", "key-a", now), 0, model.NotReady},
 		{"old routing", view, newForward("a.example", "/x/1", "key-a", now.Add(trustLimit)), trustLimit + time.Millisecond, model.StaleRouting},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -161,7 +164,7 @@
 	must.Eq(t, model.Unauthorized, kernel.StillAdmitted(now, later, trustLimit, f, a).Reason)
 
 	a.Deadline = now.Add(time.Hour)
-	frozen := now.Add(trustLimit + time.Second)
-	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(frozen, view, trustLimit, f, a).Reason)
+	afterTrustLimit := now.Add(trustLimit + time.Second)
+	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(afterTrustLimit, view, trustLimit, f, a).Reason)
 	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Deadline, view, trustLimit, f, a).Reason)
 }
--- a/kernel/routing_test.go
+++ b/kernel/routing_test.go
@@ -12,6 +12,7 @@
 	"basilstall.example/basilstall/model"
 )
 
+// candidates returns n live endpoints in three failure domains.
 func candidates(n int) []kernel.Candidate {
 	domains := []string{"zorrotza", "basauri", "erandio"}
 	out := make([]kernel.Candidate, n)
@@ -40,10 +41,12 @@
 	must.EqOp(t, "23", names(kernel.Usable(now, cs, nil)))
 	must.EqOp(t, "3", names(kernel.Usable(now, cs, []string{"runner-2"})))
 	cs[2].Health, cs[3].Health = ejected, ejected
-	must.EqOp(t, "12", names(kernel.Usable(now, cs, nil)), must.Sprint("half of the pool is used even if all of it fails"))
-	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("ejected endpoints get a call again"))
+	must.EqOp(t, "12", names(kernel.Usable(now, cs, nil)), must.Sprint("at least half of the pool is used even if all endpoints are ejected or leaving"))
+	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("endpoints are used again after their ejection"))
 }
 
+// Each ejection of an endpoint that keeps failing lasts at least as long as the one before, up to 30 s, and after
+// it a single probe is allowed.
 func TestEjectionsLengthenAndAllowOneProbe(t *testing.T) {
 	now := testStart
 	h := kernel.Health{}
@@ -64,10 +67,10 @@
 
 func TestTwoChoicesBalancesLoadAndPrefersOwnDomain(t *testing.T) {
 	cs := candidates(12)
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	own := 0
 	for range 1200 {
-		i := kernel.PickTwoChoices(testStart, cs, "zorrotza", random.Float64(), random.Float64())
+		i := kernel.PickTwoChoices(testStart, cs, "zorrotza", rng.Float64(), rng.Float64())
 		cs[i].InFlight++
 		if cs[i].Endpoint.FailureDomain == "zorrotza" {
 			own++
@@ -102,7 +105,7 @@
 		}
 		cs[home].InFlight++
 	}
-	must.Between(t, 1, cs[home].InFlight, 3, must.Sprint("one hot prefix spills over"))
+	must.Between(t, 1, cs[home].InFlight, 3, must.Sprint("requests of a frequent prefix go to other endpoints, too"))
 	for i := range cs {
 		cs[i].Load.Slots = 4
 	}
@@ -111,12 +114,12 @@
 	cs[home].InFlight = 4
 	must.NotEqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"), must.Sprint("no free slot"))
 	// Without one endpoint only the prefixes that hash to it move.
-	fresh := candidates(12)
+	idle := candidates(12)
 	moved := 0
 	for i := range 200 {
 		prefix := fmt.Sprint("p", i)
-		before := fresh[kernel.PickPrefix(testStart, fresh, prefix)].Endpoint.Name
-		after := fresh[:11][kernel.PickPrefix(testStart, fresh[:11], prefix)].Endpoint.Name
+		before := idle[kernel.PickPrefix(testStart, idle, prefix)].Endpoint.Name
+		after := idle[:11][kernel.PickPrefix(testStart, idle[:11], prefix)].Endpoint.Name
 		if before != after {
 			must.EqOp(t, "runner-11", before)
 			moved++
--- a/kernel/settings_test.go
+++ b/kernel/settings_test.go
@@ -28,10 +28,10 @@
 func TestCheckDocument(t *testing.T) {
 	replaced := func(old, text string) string { return strings.Replace(validTeam, old, text, 1) }
 	cases := []struct {
-		name string
-		path string
-		text string
-		says string
+		name    string
+		path    string
+		text    string
+		wantErr string
 	}{
 		{"good", "teams/bilbao", validTeam, ""},
 		{"good fleet", "fleet", "Horizon: 30s\n", ""},
@@ -50,11 +50,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			err := kernel.NewSettings().Check(c.path, c.text)
-			if c.says == "" {
+			if c.wantErr == "" {
 				must.NoError(t, err)
 				return
 			}
-			must.ErrorContains(t, err, c.says)
+			must.ErrorContains(t, err, c.wantErr)
 		})
 	}
 }
@@ -88,8 +88,8 @@
 	must.ErrorContains(t, s.Check("teams/moravia", other), "taken by another team")
 }
 
-// The revision in force and that of each document never decrease, whatever snapshots arrive in whatever order: from the
-// table, outdated, or from peers.
+// The revision in force and that of each document never decrease, whatever snapshots arrive in whatever order: from
+// the table, outdated, or from peers.
 func TestSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := kernel.NewSettings()
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestFleetRetryBudgetBoundsAllNodes(t *testing.T) {
-	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
+	limits := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	const nodes = 8
 	budgets := make([]*kernel.FleetRetryBudget, nodes)
 	for i := range budgets {
-		budgets[i] = kernel.NewFleetRetryBudget(terms, time.Time{})
+		budgets[i] = kernel.NewFleetRetryBudget(limits, time.Time{})
 	}
 	now := time.Unix(1000, 0)
 	taken, requests := 0, 0
@@ -46,14 +46,14 @@
 // none of them knows of the others yet.
 func TestFleetRetryBudgetHoldsAfterRestart(t *testing.T) {
 	t.Parallel()
-	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
+	limits := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
 	for _, nodes := range []int{1, 8, 76, 400} {
 		for _, known := range []int{nodes, 0} {
 			spend := func(startedAt, at time.Time, known int) int {
 				spent := 0
 				for range nodes {
-					b := kernel.NewFleetRetryBudget(terms, startedAt)
+					b := kernel.NewFleetRetryBudget(limits, startedAt)
 					for b.TakeRetry(at, known) {
 						spent++
 					}
@@ -61,9 +61,9 @@
 				return spent
 			}
 			spent := spend(time.Time{}, start, nodes)
-			again := start.Add(terms.Window / 2)
-			spent += spend(again, again.Add(time.Second), known)
-			must.LessEq(t, int(terms.Slack), spent, must.Sprint(nodes, " nodes, each knows ", known))
+			restartedAt := start.Add(limits.Window / 2)
+			spent += spend(restartedAt, restartedAt.Add(time.Second), known)
+			must.LessEq(t, int(limits.Slack), spent, must.Sprint(nodes, " nodes, each knows ", known))
 		}
 	}
 }
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -10,6 +10,8 @@
 	"basilstall.example/basilstall/model"
 )
 
+// stagedRequest returns a request with the given numbers of pieces for four stages. The first stage has no
+// successor; the other three follow one another.
 func stagedRequest(now time.Time, pieces ...int) (model.Forward, kernel.Admission) {
 	f := model.Forward{ID: "id", ReceivedAt: now, Pieces: pieces}
 	a := kernel.Admission{
@@ -27,6 +29,7 @@
 	return f, a
 }
 
+// poolEstimates returns estimates with the same wait for the pools of four stages.
 func poolEstimates(wait time.Duration) []kernel.PoolEstimate {
 	out := make([]kernel.PoolEstimate, 4)
 	for i := range out {
@@ -46,6 +49,7 @@
 	must.True(t, plan.Until[1].Before(a.Deadline))
 }
 
+// A stage without pieces takes no time and gives no input to the engine.
 func TestOmittedStageTakesNoTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 0, 1, 6, 10)
@@ -57,6 +61,7 @@
 	must.Eq(t, 200*time.Millisecond, plan.Expected)
 }
 
+// A request whose stages would be late is refused if the queues of their pools are long.
 func TestAdmitStagesRefusesLateStages(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 1, 1, 6, 10)
