--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -130,7 +130,7 @@
 
 // Of two full calls one has to wait. If both can be on time, the one that is due earlier goes first, otherwise
 // the one with the higher priority, whichever was added first.
-func TestUrgentWorkGoesFirst(t *testing.T) {
+func TestUrgentGroupsGoFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
 	for _, tc := range []struct {
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -104,7 +104,7 @@
 	}
 	delete(s.running, s.now)
 	for !s.nextArrival.After(s.now) && s.nextArrival.Sub(s.began) < s.load.length {
-		s.arrive()
+		s.addNextGroup()
 	}
 	if s.now.Sub(s.began)%loadExpireInterval == 0 {
 		s.recordEnded(s.queue.Expire(s.now))
@@ -139,7 +139,7 @@
 }
 
 // arrive adds the next group and draws the arrival time of the one after it.
-func (s *simulatedPool) arrive() {
+func (s *simulatedPool) addNextGroup() {
 	pieces := 1 + s.random.IntN(4)
 	group := newPieceGroup(uint64(len(s.groups)+1), pieces, 1_500_000, s.now.Add(s.load.slack))
 	group.Until = group.Due.Add(s.load.timeoutAfterDue)
@@ -221,7 +221,7 @@
 }
 
 // A pool without a backlog makes late work, as this takes no capacity from other work.
-func TestLateWorkIsMadeWithoutBacklog(t *testing.T) {
+func TestLateGroupsAreMadeWithoutBacklog(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
 	late := newPieceGroup(1, 3, 8000, now.Add(-time.Second))
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -62,7 +62,7 @@
 
 // end completes a call as its worker would: pieces without room are not made. Results are freed at once, as if
 // they had been fetched.
-func (s *batcherLossSim) end(now time.Time, batch kernel.PieceBatch) {
+func (s *batcherLossSim) endCall(now time.Time, batch kernel.PieceBatch) {
 	room := int(roomTraits.Room/roomResultBytes) - s.foreignResults(batch.StartedAt(), batch.Endpoint.Name)
 	results := resultsFor(batch)
 	for i := range results {
@@ -91,7 +91,7 @@
 		for len(s.running) > 0 && !now.Before(s.running[0].StartedAt().Add(444*time.Millisecond)) {
 			batch := s.running[0]
 			s.running = s.running[1:]
-			s.end(now, batch)
+			s.endCall(now, batch)
 		}
 		s.queue.Expire(now)
 		// 60 requests arrive each second; the calls can carry 79.
--- a/kernel/batchslow_test.go
+++ b/kernel/batchslow_test.go
@@ -66,14 +66,14 @@
 }
 
 // A group that would be late on any worker is not requeued: a second call would take a worker from other groups.
-func TestLateWorkIsNotMadeTwice(t *testing.T) {
+func TestLatePiecesAreNotMadeTwice(t *testing.T) {
 	q, first, now := startOverdueCall(t, 500*time.Millisecond)
 	must.EqOp(t, 0, q.Overdue(now, first))
 }
 
 // A slow worker gets the groups that it can make on time and those that would be late anyway. Otherwise it gets one
 // piece a second as a probe.
-func TestSlowWorkerGetsWorkItMakesOnTime(t *testing.T) {
+func TestSlowWorkerGetsGroupsItMakesOnTime(t *testing.T) {
 	q, first, now := startOverdueCall(t, 2*time.Second)
 	q.Overdue(now, first)
 	second, _ := q.Next(now)
--- a/kernel/explorer_actions_test.go
+++ b/kernel/explorer_actions_test.go
@@ -140,7 +140,7 @@
 			next = next.clone()
 			next.grants[p].Record(exploreMember(q).ID(), era, until)
 		}
-		if e.fault == oneGrantIsEnough {
+		if e.fault == oneGrantForAll {
 			for _, m := range row.NewestEra().Members {
 				next.grants[p].Record(m.ID(), era, until)
 			}
@@ -175,7 +175,7 @@
 	owner, ok := s.rows[s.procs[p].readVersion].OwnerOf(exploreKey)
 	if ok {
 		next.messages = append(next.messages, exploreMessage{to: e.procOf(owner), attempt: number})
-	} else if e.fault == entrySaysNotRun {
+	} else if e.fault == entryAnswersNotRun {
 		next.highestNotRun = max(next.highestNotRun, number)
 	}
 	e.addState(next)
@@ -255,7 +255,7 @@
 			}
 		}
 		next.storeEntry(p, ledger)
-		if e.fault == refusalForgotten && outcome == "refused" {
+		if e.fault == refusalNotStored && outcome == "refused" {
 			delete(next.ledgers[p], exploreKey.ID)
 		}
 		e.sendOutcomeToSuccessor(&next, p)
--- a/kernel/explorer_test.go
+++ b/kernel/explorer_test.go
@@ -34,14 +34,14 @@
 
 const (
 	noFault fault = iota
-	entrySaysNotRun
-	refusalForgotten
+	entryAnswersNotRun
+	refusalNotStored
 	eraBelowHorizon
 	sameIncarnation
 	runsAfterHandover
 	handoverWithoutEntries
 	runsWithoutGrants
-	oneGrantIsEnough
+	oneGrantForAll
 	eraBelowGrants
 	sealIgnored
 )
@@ -304,13 +304,13 @@
 // exclude.
 func TestExplorerFindsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
-		"entry node without an owner answers NotRun": entrySaysNotRun,
-		"refusals are not remembered":                refusalForgotten,
+		"entry node without an owner answers NotRun": entryAnswersNotRun,
+		"refusals are not remembered":                refusalNotStored,
 		"era starts below the horizon":               eraBelowHorizon,
 		"restart counts as the same member":          sameIncarnation,
 		"member runs keys after its handover":        runsAfterHandover,
 		"owner runs keys beyond Firm without grants": runsWithoutGrants,
-		"one grant is taken for all":                 oneGrantIsEnough,
+		"one grant is taken for all":                 oneGrantForAll,
 		"era starts below what was granted":          eraBelowGrants,
 		"grants go on while an era is written":       sealIgnored,
 		"successor does not get the entries":         handoverWithoutEntries,
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -112,7 +112,7 @@
 
 // A node that misses the heartbeats of another over a broken link does not declare it dead, as others still hear
 // it.
-func TestMembershipBrokenLinkDeclaresNobodyDead(t *testing.T) {
+func TestMembershipBrokenLinkDeclaresNoMemberDead(t *testing.T) {
 	g := newGossipSim(9)
 	g.linkCut = func(a, b int) bool { return a+b == 1 }
 	for range 60 {
--- a/kernel/placement_test.go
+++ b/kernel/placement_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-func TestAffinityKeyIsTheLastSharedPart(t *testing.T) {
+func TestAffinityKeyIsLastSharedPart(t *testing.T) {
 	parts := []model.PromptPart{{ID: "type"}, {ID: "agreement"}, {ID: "own"}}
 	must.Eq(t, "agreement", kernel.AffinityKey(model.Prompt{Parts: parts}))
 	must.Eq(t, "type", kernel.AffinityKey(model.Prompt{Parts: parts[:1]}))
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestPickEngineAvoidsEngineWithMuchToPrefill(t *testing.T) {
+func TestPickEngineAvoidsLongPrefillQueue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engineCandidates(12)
 	i := kernel.PickEngine(now, all, "key")
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -35,7 +35,7 @@
 		nodes  map[string]*followerNode
 		// storeAnswers tells whether the store answers a node, and frozen whether a node is suspended.
 		storeAnswers func(node string) bool
-		frozen       func(node string) bool
+		suspended    func(node string) bool
 		// storeCalls counts the calls to the store by the failure domain of the node that made them.
 		storeCalls map[string]int
 	}
@@ -58,7 +58,7 @@
 func newFollowerSim(seed uint64, domains, nodesPerDomain int) *followerSim {
 	f := &followerSim{
 		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*followerNode{}, storeCalls: map[string]int{},
-		storeAnswers: func(string) bool { return true }, frozen: func(string) bool { return false },
+		storeAnswers: func(string) bool { return true }, suspended: func(string) bool { return false },
 	}
 	for d := range domains {
 		for n := range nodesPerDomain {
@@ -77,7 +77,7 @@
 func (f *followerSim) run(duration time.Duration, onStep func()) {
 	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(followerStep) {
 		for _, p := range f.peers {
-			if n := f.nodes[p.Name]; !f.frozen(p.Name) {
+			if n := f.nodes[p.Name]; !f.suspended(p.Name) {
 				f.step(n)
 			}
 		}
@@ -127,7 +127,7 @@
 	plan := f.plan(n)
 	for ; attempts < followerMaxAttempts && plan.Source != ""; attempts++ {
 		source := f.nodes[plan.Source]
-		if f.frozen(source.Name) {
+		if f.suspended(source.Name) {
 			n.suspects[source.Name] = true
 			n.nextPoll = f.now.Add(followerCallTimeout)
 			return
@@ -175,7 +175,7 @@
 // awaitAnswer ends a long poll once the source has recent data, is suspended or has answered late.
 func (f *followerSim) awaitAnswer(n *followerNode) {
 	source := f.nodes[n.pendingSource]
-	if f.isStale(source) && f.now.Before(n.longPollEnd) && !f.frozen(source.Name) {
+	if f.isStale(source) && f.now.Before(n.longPollEnd) && !f.suspended(source.Name) {
 		return
 	}
 	n.pendingSource = ""
@@ -210,7 +210,7 @@
 func (f *followerSim) maxAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
-		if !f.frozen(n.Name) {
+		if !f.suspended(n.Name) {
 			oldest = max(oldest, f.now.Sub(n.provenAt))
 		}
 	}
@@ -320,11 +320,11 @@
 }
 
 // Suspended nodes, the designated readers among them, make no other node's data stale.
-func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
+func TestSuspendedReadersDoNotMakeOthersStale(t *testing.T) {
 	f := newFollowerSim(3, 3, 8)
 	f.run(5*time.Second, noAction)
 	readers := f.designatedReaders()
-	f.frozen = func(node string) bool { return readers[node] }
+	f.suspended = func(node string) bool { return readers[node] }
 	oldest := time.Duration(0)
 	f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
 	must.Less(t, followerMaxKeyAge, oldest)
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -90,7 +90,7 @@
 	must.Between(t, 350, counts["q"], 650)
 }
 
-func TestRoutingOnlyMovesForward(t *testing.T) {
+func TestRoutingVersionNeverDecreases(t *testing.T) {
 	now := time.Unix(1000, 0)
 	newer := kernel.NewRouteTable(testRouting(7))
 	view := kernel.RoutingView{}.With(now, newer)
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -32,7 +32,7 @@
 	must.Positive(t, taken)
 }
 
-func TestFleetRetryBudgetRefillsWithTheWindow(t *testing.T) {
+func TestFleetRetryBudgetRefillsWithWindow(t *testing.T) {
 	b := kernel.NewFleetRetryBudget(kernel.FleetRetryLimits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, time.Time{})
 	now := time.Unix(1000, 0)
 	for b.TakeRetry(now, 1) {
