--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -28,7 +28,7 @@
 	must.EqOp(t, 20, counts["small"])
 	must.EqOp(t, 80, counts["large"])
 	must.EqOp(t, 20, counts["burst"])
-	// Work-conserving: alone, the burst gets everything.
+	// The queue is work-conserving: without other customers the burst gets all of the service.
 	for range 480 {
 		must.EqOp(t, "burst", q.Pop().Customer)
 	}
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -67,6 +67,7 @@
 	}
 )
 
+// simulate runs a load under a policy and returns all groups with their outcomes.
 func simulate(load pieceLoad, policy kernel.Policy) []*simulatedGroup {
 	start := time.Unix(1000, 0)
 	s := &simulatedPool{
@@ -138,7 +139,7 @@
 	return time.Duration(s.load.slowdown * float64(usual))
 }
 
-// arrive adds the next group and draws the arrival time of the one after it.
+// addNextGroup adds the next group and draws the arrival time of the one after it.
 func (s *simulatedPool) addNextGroup() {
 	pieces := 1 + s.random.IntN(4)
 	group := newPieceGroup(uint64(len(s.groups)+1), pieces, 1_500_000, s.now.Add(s.load.slack))
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -19,9 +19,9 @@
 
 const roomResultBytes = 60_000
 
-// batcherLossSim simulates the loss of a batcher with all its state: the workers are full of results that nobody
-// frees. These were made over the second before the loss, and each expires Keep after it was made. Requests of
-// four pieces arrive at three quarters of the calls' capacity.
+// batcherLossSim simulates the loss of a batcher with all its state: the workers are full of results that are never
+// freed. These were made over the second before the loss, and each expires Keep after it was made. Requests of four
+// pieces arrive at three quarters of the calls' capacity.
 type batcherLossSim struct {
 	queue *kernel.BatchQueue
 	// expiries holds, by worker, the times at which the results of the lost batcher expire.
@@ -60,7 +60,7 @@
 	return n
 }
 
-// end completes a call as its worker would: pieces without room are not made. Results are freed at once, as if
+// endCall completes a call as its worker would: pieces without room are not made. Results are freed at once, as if
 // they had been fetched.
 func (s *batcherLossSim) endCall(now time.Time, batch kernel.PieceBatch) {
 	room := int(roomTraits.Room/roomResultBytes) - s.foreignResults(batch.StartedAt(), batch.Endpoint.Name)
--- a/kernel/explorer_test.go
+++ b/kernel/explorer_test.go
@@ -305,7 +305,7 @@
 func TestExplorerFindsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
 		"entry node without an owner answers NotRun": entryAnswersNotRun,
-		"refusals are not remembered":                refusalNotStored,
+		"refusals are not stored":                    refusalNotStored,
 		"era starts below the horizon":               eraBelowHorizon,
 		"restart counts as the same member":          sameIncarnation,
 		"member runs keys after its handover":        runsAfterHandover,
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// A node that misses the heartbeats of another over a broken link does not declare it dead, as others still hear
-// it.
+// A node that gets no heartbeats from another one over a broken link does not declare it dead, as other members
+// still get them.
 func TestMembershipBrokenLinkDeclaresNoMemberDead(t *testing.T) {
 	g := newGossipSim(9)
 	g.linkCut = func(a, b int) bool { return a+b == 1 }
--- a/kernel/orders_test.go
+++ b/kernel/orders_test.go
@@ -142,9 +142,9 @@
 func TestOrdersLoadMostUrgentAndEvictIdle(t *testing.T) {
 	o := kernel.NewOrderPlanner(time.Second)
 	now := testStart
-	for i, name := range []string{"late", "soon", "calm"} {
+	for i, name := range []string{"late", "soon", "undated"} {
 		d := kernel.Demand{Adapter: name, Used: now}
-		if name != "calm" {
+		if name != "undated" {
 			d.Deadline = now.Add(time.Duration(5-i) * time.Second)
 		}
 		o.AddDemand(now, d)
--- a/kernel/quarantine_test.go
+++ b/kernel/quarantine_test.go
@@ -65,12 +65,12 @@
 		{"two crashes are too few", [][]model.Digest{{"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.NotHeld}},
 		{"three are enough", [][]model.Digest{{"a"}, {"a"}, {"a"}}, map[model.Digest]kernel.HoldState{"a": kernel.Held}},
 		{
-			"requests that ran beside the cause are not held",
+			"requests that ran together with the cause are not held",
 			[][]model.Digest{{"b", "a"}, {"b", "a"}, {"c", "a"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.NotHeld, "c": kernel.NotHeld},
 		},
 		{
-			"a request that ran beside the cause at three of four crashes may be a cause as well",
+			"a request that ran together with the cause at three of four crashes may be a cause as well",
 			[][]model.Digest{{"a"}, {"b", "a"}, {"b", "a"}, {"b", "a"}},
 			map[model.Digest]kernel.HoldState{"a": kernel.Held, "b": kernel.TrialOnly},
 		},
--- a/kernel/ratecap_test.go
+++ b/kernel/ratecap_test.go
@@ -166,6 +166,7 @@
 	n.settled, n.sentAt, n.rank = kernel.SettledNodes{}, time.Time{}, math.MaxInt
 }
 
+// cappedDisruptions are changes of the nodes or of their membership views during a run.
 var cappedDisruptions = map[string]func(*cappedFleet){
 	"none": func(*cappedFleet) {},
 	"one node joins": func(f *cappedFleet) {
@@ -397,12 +398,12 @@
 		refused   bool
 		retry     time.Duration
 	}{
-		"no endpoints":                    {nil, false, 0},
-		"one that may be sent to":         {[]kernel.CappedEndpoint{sender, {View: one}}, false, 0},
-		"this node sends later":           {[]kernel.CappedEndpoint{other, sender}, true, 3 * time.Second},
-		"other nodes send":                {[]kernel.CappedEndpoint{other, other}, true, 500 * time.Millisecond},
-		"other nodes send, many at once":  {slices.Repeat([]kernel.CappedEndpoint{other}, 100), true, 150 * time.Millisecond},
-		"other nodes send, hardly at all": {[]kernel.CappedEndpoint{{View: kernel.CapView{}.WithNotice(now, model.NewRateCap(0)), Rank: 9}}, true, time.Second},
+		"no endpoints":                     {nil, false, 0},
+		"one that may be sent to":          {[]kernel.CappedEndpoint{sender, {View: one}}, false, 0},
+		"this node sends later":            {[]kernel.CappedEndpoint{other, sender}, true, 3 * time.Second},
+		"other nodes send":                 {[]kernel.CappedEndpoint{other, other}, true, 500 * time.Millisecond},
+		"other nodes send, 100 endpoints":  {slices.Repeat([]kernel.CappedEndpoint{other}, 100), true, 150 * time.Millisecond},
+		"other nodes send, at a rate of 0": {[]kernel.CappedEndpoint{{View: kernel.CapView{}.WithNotice(now, model.NewRateCap(0)), Rank: 9}}, true, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			refusal := kernel.AdmitCapped(now, "engines", tc.endpoints)
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -33,7 +33,7 @@
 		random *rand.Rand
 		peers  []kernel.Peer
 		nodes  map[string]*followerNode
-		// storeAnswers tells whether the store answers a node, and frozen whether a node is suspended.
+		// storeAnswers tells whether the store answers a node, and suspended whether a node is.
 		storeAnswers func(node string) bool
 		suspended    func(node string) bool
 		// storeCalls counts the calls to the store by the failure domain of the node that made them.
@@ -98,6 +98,7 @@
 	}
 }
 
+// readStore reads the store, or records that it does not answer.
 func (f *followerSim) readStore(n *followerNode) {
 	f.storeCalls[n.Domain]++
 	n.storeDown = !f.storeAnswers(n.Name)
@@ -109,6 +110,7 @@
 	n.nextStoreCall = f.now.Add(followerStoreInterval)
 }
 
+// plan returns where a node gets its data from, given the nodes that it reaches.
 func (f *followerSim) plan(n *followerNode) kernel.SourcePlan {
 	var reachable []kernel.Peer
 	for _, p := range f.peers {
@@ -206,7 +208,7 @@
 	n.nextPoll = f.now.Add(pause)
 }
 
-// maxAge returns the greatest age of the data of the nodes that are not frozen.
+// maxAge returns the greatest age of the data of the nodes that are not suspended.
 func (f *followerSim) maxAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
@@ -243,6 +245,7 @@
 	return out
 }
 
+// noAction is the onStep of runs that need none.
 func noAction() {}
 
 // An outage of the store must not cost more calls with more nodes; while the store answers, a fleet reads once per
