--- a/follow/notices.go
+++ b/follow/notices.go
@@ -58,7 +58,7 @@
 		change.Hold = append(change.Hold, held)
 	}
 	if len(change.Hold)+len(change.Lift) > 0 {
-		n.relay.SetHeldBack(change)
+		n.relay.ApplyQuarantineChange(change)
 	}
 }
 
--- a/follow/source.go
+++ b/follow/source.go
@@ -122,7 +122,7 @@
 	}
 	asked := clock.Now()
 	var reply peer.FeedReply
-	if err := f.relay.Ask(ctx, peerSilence+hold, node, peer.KindFeed, question, &reply); err != nil {
+	if err := f.relay.CallUnlessSilent(ctx, peerSilence+hold, node, peer.KindFeed, question, &reply); err != nil {
 		f.noteGivenUp(node, "", err)
 		return kernel.SourceAnswer{}, err
 	}
