--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -22,10 +22,10 @@
 type (
 	// coldFleet simulates nodes that all have more requests for one cold endpoint than it may get.
 	coldFleet struct {
-		rng   *rand.Rand
-		terms kernel.ColdLimits
-		rate  float64
-		nodes []coldNode
+		rng    *rand.Rand
+		limits kernel.ColdLimits
+		rate   float64
+		nodes  []coldNode
 	}
 
 	coldNode struct {
@@ -37,8 +37,8 @@
 	}
 )
 
-func newColdFleet(seed uint64, nodes int, terms kernel.ColdLimits, rate float64) *coldFleet {
-	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, rate: rate}
+func newColdFleet(seed uint64, nodes int, limits kernel.ColdLimits, rate float64) *coldFleet {
+	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), limits: limits, rate: rate}
 	all := peersNamed("node", nodes)
 	for _, p := range all {
 		f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: all})
@@ -46,23 +46,24 @@
 	return f
 }
 
-func peersNamed(kind string, n int) []kernel.Peer {
+// peersNamed returns n nodes whose names start with a prefix.
+func peersNamed(prefix string, n int) []kernel.Peer {
 	var out []kernel.Peer
 	for i := range n {
-		out = append(out, kernel.Peer{Name: fmt.Sprint(kind, "-", i)})
+		out = append(out, kernel.Peer{Name: fmt.Sprint(prefix, "-", i)})
 	}
 	return out
 }
 
-// play lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
-// arrive within one second and the total. Some sends open a connection first.
-func (f *coldFleet) play(length time.Duration, at func(elapsed time.Duration)) (maxInSecond, total int) {
-	share := f.terms.Share(f.rate)
+// run lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
+// arrive within one second and the total. Some sends open a connection first. It calls onStep before each step.
+func (f *coldFleet) run(duration time.Duration, onStep func(elapsed time.Duration)) (maxInSecond, total int) {
+	share := f.limits.Share(f.rate)
 	start := time.Unix(1000, 0)
-	e := model.Endpoint{Name: "cold", ColdUntil: start.Add(length)}
+	e := model.Endpoint{Name: "cold", ColdUntil: start.Add(duration)}
 	var arrivals []time.Duration
-	for elapsed := time.Duration(0); elapsed < length; elapsed += coldStep {
-		at(elapsed)
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += coldStep {
+		onStep(elapsed)
 		now := start.Add(elapsed)
 		for i := range f.nodes {
 			n := &f.nodes[i]
@@ -133,7 +134,7 @@
 			f.nodes[i].knownPeers = append(slices.Clone(before), joined[:f.rng.IntN(len(joined)+1)]...)
 		}
 	},
-	"many restart and know no node yet": func(f *coldFleet) {
+	"half of the nodes restart and know no node yet": func(f *coldFleet) {
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
 				f.nodes[i].knownPeers, f.nodes[i].sentAt = nil, time.Time{}
@@ -149,16 +150,16 @@
 
 // A cold endpoint that all nodes want to use gets no more than the bound in any second and is not left idle, whatever
 // the size of the fleet, the disruption and the membership views of the nodes.
-func TestAColdEndpointGetsNoMoreThanItsBound(t *testing.T) {
-	const length = 10 * time.Second
-	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
-	bound := int(rate*terms.Excess + terms.Slack)
+func TestColdEndpointStaysWithinBound(t *testing.T) {
+	const duration = 10 * time.Second
+	limits, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
+	bound := int(rate*limits.Excess + limits.Slack)
 	for name, disruption := range coldDisruptions {
 		t.Run(name, func(t *testing.T) {
 			for _, nodes := range []int{1, 8, 76, 400} {
 				for seed := range uint64(5) {
-					f := newColdFleet(seed, nodes, terms, rate)
-					maxInSecond, total := f.play(length, func(elapsed time.Duration) {
+					f := newColdFleet(seed, nodes, limits, rate)
+					maxInSecond, total := f.run(duration, func(elapsed time.Duration) {
 						if elapsed == coldDisruptionAt {
 							disruption(f)
 						}
@@ -171,24 +172,26 @@
 	}
 }
 
-func TestAPoolWithoutAStatedRateHasNoBound(t *testing.T) {
+func TestPoolWithoutColdRateHasNoBound(t *testing.T) {
 	must.EqOp(t, 0, kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(0).Senders)
 }
 
-// The bound is kept for pools of all rates, also where the settings give no excess.
-func TestTheSharesOfAColdEndpointFitItsBound(t *testing.T) {
-	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
+// The bound holds for pools of all rates, also where the settings give no excess. Two membership views may be in
+// use at the same time. perView is how many requests the senders of one view may send within 1.8 s, as sends within
+// this time may arrive within one second.
+func TestColdSharesFitBound(t *testing.T) {
+	for _, limits := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{2, 3, 5, 9.4, 50, 1000} {
-			share := terms.Share(rate)
+			share := limits.Share(rate)
 			perView := share.Senders * int((1800*time.Millisecond+share.MinInterval-1)/share.MinInterval)
-			must.LessEq(t, max(2, int(max(rate, rate*terms.Excess+terms.Slack))), 2*perView, must.Sprint(terms, rate, share))
+			must.LessEq(t, max(2, int(max(rate, rate*limits.Excess+limits.Slack))), 2*perView, must.Sprint(limits, rate, share))
 		}
 	}
 }
 
-func TestAnEntrySaysUntilWhenItsEndpointIsCold(t *testing.T) {
+func TestNewestEntryDecidesCold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	e := in("a", "p-a", "p")
+	e := endpointIn("a", "p-a", "p")
 	e.ColdFor = 3 * time.Second
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{e}, nil, nil)
 	must.True(t, kernel.AnyCold(now.Add(2900*time.Millisecond), r.Endpoints("p")))
@@ -203,41 +206,41 @@
 
 // Endpoints may have become cold while their domain was evacuated. Their entries say so only after the end of the
 // evacuation is known.
-func TestARestoredDomainCountsAsCold(t *testing.T) {
+func TestRestoredDomainCountsAsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuated(now, "a"))
+	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuationsOf(now, "a"))
 	ended := now.Add(10 * time.Second)
-	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
-	r = r.WithEvacuations(back)
+	restored, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
+	r = r.WithEvacuations(restored)
 	for _, e := range r.Endpoints("p") {
 		must.EqOp(t, e.FailureDomain == "a", kernel.IsCold(ended, e))
 		must.False(t, kernel.IsCold(ended.Add(4*time.Second), e))
 	}
-	r = r.WithChanges(ended.Add(time.Second), ended.Add(time.Second), []model.Endpoint{in("a", "p-a", "p")}, nil, nil)
+	r = r.WithChanges(ended.Add(time.Second), ended.Add(time.Second), []model.Endpoint{endpointIn("a", "p-a", "p")}, nil, nil)
 	must.True(t, kernel.IsCold(ended.Add(time.Second), r.Endpoints("p")[0]), must.Sprint("the entry may have been written before the evacuation ended"))
 }
 
 // Calls to a cold worker are spaced, and the warm workers make the remaining pieces.
-func TestAColdWorkerGetsFewCalls(t *testing.T) {
+func TestColdWorkerGetsFewCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
-	warm, cold := in("a", "warm", "workers"), in("a", "cold", "workers")
+	warm, cold := endpointIn("a", "warm", "workers"), endpointIn("a", "cold", "workers")
 	cold.ColdUntil = start.Add(time.Minute)
-	g := kernel.NewBatchQueue(batchTraits)
+	q := kernel.NewBatchQueue(batchTraits)
 	share := kernel.ColdLimits{}.Share(4).ForSingleSender()
-	g.SetColdShare(share)
-	g.SetEndpoints([]model.Endpoint{warm, cold})
+	q.SetColdShare(share)
+	q.SetEndpoints([]model.Endpoint{warm, cold})
 	calls := map[string]int{}
 	id := uint64(0)
-	const length = 20 * time.Second
-	for elapsed := time.Duration(0); elapsed < length; elapsed += 50 * time.Millisecond {
+	const duration = 20 * time.Second
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += 50 * time.Millisecond {
 		now := start.Add(elapsed)
 		id++
-		g.Add(now, pieceGroup(id, batchTraits.Batch, 10, now.Add(time.Minute)))
-		for batch, more := g.Next(now); more; batch, more = g.Next(now) {
+		q.Add(now, newPieceGroup(id, batchTraits.Batch, 10, now.Add(time.Minute)))
+		for batch, more := q.Next(now); more; batch, more = q.Next(now) {
 			calls[batch.Endpoint.Name]++
-			g.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
+			q.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
 			if calls["cold"]+calls["warm"] > 10_000 {
-				t.Fatal("calls do not end")
+				t.Fatal("more than 10,000 calls started: Next does not end")
 			}
 			if batch.Endpoint.Name == "warm" {
 				break
@@ -245,6 +248,6 @@
 		}
 	}
 	must.Positive(t, calls["cold"])
-	must.LessEq(t, int(length/share.MinInterval)+1, calls["cold"])
+	must.LessEq(t, int(duration/share.MinInterval)+1, calls["cold"])
 	must.Greater(t, 2*calls["cold"], calls["warm"])
 }
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -9,18 +9,18 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// gossipSim simulates the memberships of a fleet: in each round, every node that is up sends
-// heartbeats to its neighbours over links that are not cut.
+// gossipSim simulates the memberships of a fleet: in each round, every node that is up sends heartbeats to its
+// neighbours over links that are not cut.
 type gossipSim struct {
-	now   time.Time
-	nodes []*kernel.Membership
-	names map[string]int
-	down  map[int]bool
-	cut   func(a, b int) bool
+	now     time.Time
+	nodes   []*kernel.Membership
+	indexes map[string]int
+	down    map[int]bool
+	linkCut func(a, b int) bool
 }
 
 func newGossipSim(n int) *gossipSim {
-	g := &gossipSim{now: ledgerStart, names: map[string]int{}, down: map[int]bool{}, cut: func(int, int) bool { return false }}
+	g := &gossipSim{now: testStart, indexes: map[string]int{}, down: map[int]bool{}, linkCut: func(int, int) bool { return false }}
 	all := members(n)
 	for i, m := range all {
 		node := kernel.NewMembership(g.now, m, "d")
@@ -28,13 +28,13 @@
 			node.AddListed(g.now, other, "d")
 		}
 		g.nodes = append(g.nodes, node)
-		g.names[m.Node] = i
+		g.indexes[m.Node] = i
 	}
 	return g
 }
 
-// round delivers all heartbeats of one period at the same moment, then all replies: an update
-// travels at most two hops in a round.
+// round delivers all heartbeats of one period at the same moment, then all replies: an update travels at most two
+// hops in a round.
 func (g *gossipSim) round() {
 	g.now = g.now.Add(500 * time.Millisecond)
 	var pairs [][2]int
@@ -44,8 +44,8 @@
 		}
 		node.Tick(g.now)
 		for _, info := range node.Neighbours() {
-			b := g.names[info.Member.Node]
-			if !g.down[b] && !g.cut(a, b) {
+			b := g.indexes[info.Member.Node]
+			if !g.down[b] && !g.linkCut(a, b) {
 				pairs = append(pairs, [2]int{a, b})
 			}
 		}
@@ -54,46 +54,48 @@
 	g.exchange(pairs, 1, 0)
 }
 
+// exchange delivers the pending updates of one node of each pair to the other, all at the same moment. The first
+// update is the heartbeat.
 func (g *gossipSim) exchange(pairs [][2]int, from, to int) {
-	all := make([][]kernel.GossipUpdate, len(pairs))
+	updates := make([][]kernel.GossipUpdate, len(pairs))
 	for i, pair := range pairs {
-		all[i] = g.nodes[pair[from]].PendingUpdates()
+		updates[i] = g.nodes[pair[from]].PendingUpdates()
 	}
 	for i, pair := range pairs {
 		node := g.nodes[pair[to]]
-		node.RecordHeartbeat(g.now, all[i][0])
-		for _, n := range all[i][1:] {
-			node.Apply(g.now, n)
+		node.RecordHeartbeat(g.now, updates[i][0])
+		for _, update := range updates[i][1:] {
+			node.Apply(g.now, update)
 		}
 	}
 }
 
 // countSeeing counts the nodes that are up and see exactly that many members alive.
 func (g *gossipSim) countSeeing(alive int) int {
-	n := 0
+	count := 0
 	for i, node := range g.nodes {
 		if !g.down[i] && len(node.Alive()) == alive {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // runUntil runs rounds until all nodes that are up see that many members alive, and returns the time it took.
 func (g *gossipSim) runUntil(t *testing.T, alive int) time.Duration {
 	t.Helper()
-	began := g.now
+	start := g.now
 	for range 200 {
 		g.round()
 		if g.countSeeing(alive) == len(g.nodes)-len(g.down) {
-			return g.now.Sub(began)
+			return g.now.Sub(start)
 		}
 	}
 	t.Fatalf("%d of %d nodes see %d alive", g.countSeeing(alive), len(g.nodes)-len(g.down), alive)
 	return 0
 }
 
-func TestMembershipDeadMemberIsKnownEverywhereWithinSeconds(t *testing.T) {
+func TestMembershipDeadMemberIsKnownWithinSeconds(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 100, 400} {
 		g := newGossipSim(n)
 		for range 60 {
@@ -108,9 +110,11 @@
 	}
 }
 
-func TestMembershipBrokenLinkDeclaresNobodyDead(t *testing.T) {
+// A node that gets no heartbeats from another one over a broken link does not declare it dead, as other members
+// still get them.
+func TestMembershipBrokenLinkDeclaresNoMemberDead(t *testing.T) {
 	g := newGossipSim(9)
-	g.cut = func(a, b int) bool { return a+b == 1 }
+	g.linkCut = func(a, b int) bool { return a+b == 1 }
 	for range 60 {
 		g.round()
 		must.EqOp(t, 9, g.countSeeing(9))
@@ -119,13 +123,13 @@
 
 func TestMembershipPartitionHeals(t *testing.T) {
 	g := newGossipSim(9)
-	g.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
+	g.linkCut = func(a, b int) bool { return (a < 3) != (b < 3) }
 	for range 40 {
 		g.round()
 	}
 	must.EqOp(t, 3, g.countSeeing(3))
 	must.EqOp(t, 6, g.countSeeing(6))
-	g.cut = func(int, int) bool { return false }
+	g.linkCut = func(int, int) bool { return false }
 	t.Logf("all members alive again after %s", g.runUntil(t, 9))
 }
 
@@ -139,11 +143,11 @@
 }
 
 func TestMembershipRestartReplacesIncarnation(t *testing.T) {
-	m := kernel.NewMembership(ledgerStart, members(1)[0], "d")
-	old := kernel.Member{Node: "x", Incarnation: "1"}
-	fresh := kernel.Member{Node: "x", Incarnation: "2"}
-	m.Apply(ledgerStart, kernel.GossipUpdate{Member: fresh, Beat: 1})
-	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 99}))
-	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 100, State: kernel.MemberDead}))
+	m := kernel.NewMembership(testStart, members(1)[0], "d")
+	previous := kernel.Member{Node: "x", Incarnation: "1"}
+	restarted := kernel.Member{Node: "x", Incarnation: "2"}
+	m.Apply(testStart, kernel.GossipUpdate{Member: restarted, Beat: 1})
+	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: previous, Beat: 99}))
+	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: previous, Beat: 100, State: kernel.MemberDead}))
 	must.Len(t, 2, m.Alive())
 }
--- a/kernel/placement_test.go
+++ b/kernel/placement_test.go
@@ -11,7 +11,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-func engines(n int) []kernel.EngineCandidate {
+// engineCandidates returns n live engines in three failure domains.
+func engineCandidates(n int) []kernel.EngineCandidate {
 	var out []kernel.EngineCandidate
 	for i := range n {
 		out = append(out, kernel.EngineCandidate{Candidate: kernel.Candidate{Endpoint: model.Endpoint{
@@ -21,7 +22,7 @@
 	return out
 }
 
-func TestAffinityKeyIsTheLastSharedPart(t *testing.T) {
+func TestAffinityKeyIsLastSharedPart(t *testing.T) {
 	parts := []model.PromptPart{{ID: "type"}, {ID: "agreement"}, {ID: "own"}}
 	must.Eq(t, "agreement", kernel.AffinityKey(model.Prompt{Parts: parts}))
 	must.Eq(t, "type", kernel.AffinityKey(model.Prompt{Parts: parts[:1]}))
@@ -30,7 +31,7 @@
 
 func TestPickEngineIsConsistentByKey(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := engines(12)
+	all := engineCandidates(12)
 	var endpoints []model.Endpoint
 	for _, e := range all {
 		endpoints = append(endpoints, e.Endpoint)
@@ -40,7 +41,7 @@
 		key := fmt.Sprint("key-", k)
 		i := kernel.PickEngine(now, all, key)
 		must.Eq(t, i, kernel.PickEngine(now, all, key))
-		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("the domain is that of the engine"))
+		must.Eq(t, all[i].Endpoint.FailureDomain, kernel.AffinityDomain(key, endpoints), must.Sprint("AffinityDomain agrees with PickEngine"))
 		used[i]++
 	}
 	must.MapLen(t, 12, used)
@@ -49,9 +50,9 @@
 	}
 }
 
-func TestPickEngineAvoidsEngineWithMuchToPrefill(t *testing.T) {
+func TestPickEngineAvoidsLongPrefillQueue(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := engines(12)
+	all := engineCandidates(12)
 	i := kernel.PickEngine(now, all, "key")
 	all[i].PendingPrefillTokens = 5000
 	must.Eq(t, i, kernel.PickEngine(now, all, "key"), must.Sprint("a short queue costs less than prefilling the prefix again"))
@@ -61,16 +62,16 @@
 
 func TestPickEngineWithoutKeyTakesLeastLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := engines(3)
+	all := engineCandidates(3)
 	all[0].PendingPrefillTokens, all[2].PendingPrefillTokens = 100, 200
 	must.Eq(t, 1, kernel.PickEngine(now, all, ""))
 	must.Eq(t, -1, kernel.PickEngine(now, nil, "key"))
 }
 
 func TestLocalityWait(t *testing.T) {
-	full := 444 * time.Millisecond
-	must.EqOp(t, 0, kernel.LocalityWait(50_000, full, time.Minute), must.Sprint("little to move"))
-	must.EqOp(t, full, kernel.LocalityWait(3_600_000, full, time.Minute), must.Sprint("until the next call in the domain"))
-	must.EqOp(t, 100*time.Millisecond, kernel.LocalityWait(3_600_000, full, 600*time.Millisecond), must.Sprint("a sixth of the slack"))
-	must.EqOp(t, 0, kernel.LocalityWait(3_600_000, full, -time.Second), must.Sprint("late already"))
+	fullWait := 444 * time.Millisecond
+	must.EqOp(t, 0, kernel.LocalityWait(50_000, fullWait, time.Minute), must.Sprint("few bytes of inputs to send"))
+	must.EqOp(t, fullWait, kernel.LocalityWait(3_600_000, fullWait, time.Minute), must.Sprint("a full call, until the next one in the domain starts"))
+	must.EqOp(t, 100*time.Millisecond, kernel.LocalityWait(3_600_000, fullWait, 600*time.Millisecond), must.Sprint("at most a sixth of the slack"))
+	must.EqOp(t, 0, kernel.LocalityWait(3_600_000, fullWait, -time.Second), must.Sprint("already late"))
 }
--- a/kernel/routing_test.go
+++ b/kernel/routing_test.go
@@ -12,6 +12,7 @@
 	"basilstall.example/basilstall/model"
 )
 
+// candidates returns n live endpoints in three failure domains.
 func candidates(n int) []kernel.Candidate {
 	domains := []string{"zorrotza", "basauri", "erandio"}
 	out := make([]kernel.Candidate, n)
@@ -23,8 +24,8 @@
 	return out
 }
 
-func TestUsableLeavesOutTheLeavingAndKeepsAFloor(t *testing.T) {
-	now := ledgerStart
+func TestUsableExcludesLeavingAndKeepsMinimum(t *testing.T) {
+	now := testStart
 	ejected := kernel.Health{}.WithFailure(now).WithFailure(now).WithFailure(now)
 	must.False(t, ejected.Usable(now))
 	cs := candidates(4)
@@ -40,12 +41,14 @@
 	must.EqOp(t, "23", names(kernel.Usable(now, cs, nil)))
 	must.EqOp(t, "3", names(kernel.Usable(now, cs, []string{"runner-2"})))
 	cs[2].Health, cs[3].Health = ejected, ejected
-	must.EqOp(t, "12", names(kernel.Usable(now, cs, nil)), must.Sprint("half of the pool is used even if all of it fails"))
-	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("ejected endpoints get a call again"))
+	must.EqOp(t, "12", names(kernel.Usable(now, cs, nil)), must.Sprint("at least half of the pool is used even if all endpoints are ejected or leaving"))
+	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("endpoints are used again after their ejection"))
 }
 
-func TestEjectionsLastLongerEachTimeAndOneProbeAtATime(t *testing.T) {
-	now := ledgerStart
+// Each ejection of an endpoint that keeps failing lasts at least as long as the one before, up to 30 s, and after
+// it a single probe is allowed.
+func TestEjectionsLengthenAndAllowOneProbe(t *testing.T) {
+	now := testStart
 	h := kernel.Health{}
 	var last time.Duration
 	for range 8 {
@@ -62,12 +65,12 @@
 	must.False(t, h.WithSuccess().Ejected())
 }
 
-func TestTwoChoicesSpreadsTheLoadAndPrefersTheOwnDomain(t *testing.T) {
+func TestTwoChoicesBalancesLoadAndPrefersOwnDomain(t *testing.T) {
 	cs := candidates(12)
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	own := 0
 	for range 1200 {
-		i := kernel.PickTwoChoices(ledgerStart, cs, "zorrotza", random.Float64(), random.Float64())
+		i := kernel.PickTwoChoices(testStart, cs, "zorrotza", rng.Float64(), rng.Float64())
 		cs[i].InFlight++
 		if cs[i].Endpoint.FailureDomain == "zorrotza" {
 			own++
@@ -77,46 +80,46 @@
 		must.Between(t, 75, c.InFlight, 125, must.Sprint(c.Endpoint.Name))
 	}
 	idle := candidates(12)
-	i := kernel.PickTwoChoices(ledgerStart, idle, "basauri", 0.5, 0.9)
+	i := kernel.PickTwoChoices(testStart, idle, "basauri", 0.5, 0.9)
 	must.EqOp(t, "basauri", idle[i].Endpoint.FailureDomain)
-	must.EqOp(t, -1, kernel.PickTwoChoices(ledgerStart, nil, "basauri", 0, 0))
+	must.EqOp(t, -1, kernel.PickTwoChoices(testStart, nil, "basauri", 0, 0))
 }
 
-func TestStaleLoadReportsLoseTheirWeight(t *testing.T) {
+func TestStaleLoadReportsLoseWeight(t *testing.T) {
 	cs := candidates(2)
 	cs[0].Endpoint.FailureDomain, cs[1].Endpoint.FailureDomain = "x", "x"
 	cs[0].Load = model.Load{Running: 8, Queued: 20, Slots: 8}
-	cs[0].LoadAt = ledgerStart
-	must.EqOp(t, 1, kernel.PickTwoChoices(ledgerStart, cs, "x", 0, 0.9))
-	must.EqOp(t, 0, kernel.PickTwoChoices(ledgerStart.Add(5*time.Second), cs, "x", 0, 0.9))
+	cs[0].LoadAt = testStart
+	must.EqOp(t, 1, kernel.PickTwoChoices(testStart, cs, "x", 0, 0.9))
+	must.EqOp(t, 0, kernel.PickTwoChoices(testStart.Add(5*time.Second), cs, "x", 0, 0.9))
 }
 
-func TestPrefixStaysUntilItsEndpointIsLoadedBeyondTheBound(t *testing.T) {
+func TestPrefixStaysUntilEndpointIsOverloaded(t *testing.T) {
 	cs := candidates(12)
-	home := kernel.PickPrefix(ledgerStart, cs, "agreement-17")
-	must.EqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"))
+	home := kernel.PickPrefix(testStart, cs, "agreement-17")
+	must.EqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"))
 	for cs[home].InFlight < 50 {
-		i := kernel.PickPrefix(ledgerStart, cs, "agreement-17")
+		i := kernel.PickPrefix(testStart, cs, "agreement-17")
 		if i != home {
 			break
 		}
 		cs[home].InFlight++
 	}
-	must.Between(t, 1, cs[home].InFlight, 3, must.Sprint("one hot prefix spills over"))
+	must.Between(t, 1, cs[home].InFlight, 3, must.Sprint("requests of a frequent prefix go to other endpoints, too"))
 	for i := range cs {
 		cs[i].Load.Slots = 4
 	}
 	cs[home].InFlight = 3
-	must.EqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"))
+	must.EqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"))
 	cs[home].InFlight = 4
-	must.NotEqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"), must.Sprint("no free slot"))
+	must.NotEqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"), must.Sprint("no free slot"))
 	// Without one endpoint only the prefixes that hash to it move.
-	fresh := candidates(12)
+	idle := candidates(12)
 	moved := 0
 	for i := range 200 {
 		prefix := fmt.Sprint("p", i)
-		before := fresh[kernel.PickPrefix(ledgerStart, fresh, prefix)].Endpoint.Name
-		after := fresh[:11][kernel.PickPrefix(ledgerStart, fresh[:11], prefix)].Endpoint.Name
+		before := idle[kernel.PickPrefix(testStart, idle, prefix)].Endpoint.Name
+		after := idle[:11][kernel.PickPrefix(testStart, idle[:11], prefix)].Endpoint.Name
 		if before != after {
 			must.EqOp(t, "runner-11", before)
 			moved++
--- a/kernel/settings_test.go
+++ b/kernel/settings_test.go
@@ -25,13 +25,13 @@
       - {Name: encode, Kind: Encode, Pool: encoders}
 `
 
-func TestADocumentIsCheckedWhole(t *testing.T) {
+func TestCheckDocument(t *testing.T) {
 	replaced := func(old, text string) string { return strings.Replace(validTeam, old, text, 1) }
 	cases := []struct {
-		name string
-		path string
-		text string
-		says string
+		name    string
+		path    string
+		text    string
+		wantErr string
 	}{
 		{"good", "teams/bilbao", validTeam, ""},
 		{"good fleet", "fleet", "Horizon: 30s\n", ""},
@@ -50,16 +50,16 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			err := kernel.NewSettings().Check(c.path, c.text)
-			if c.says == "" {
+			if c.wantErr == "" {
 				must.NoError(t, err)
 				return
 			}
-			must.ErrorContains(t, err, c.says)
+			must.ErrorContains(t, err, c.wantErr)
 		})
 	}
 }
 
-func TestABadDocumentLeavesWhatWasInForce(t *testing.T) {
+func TestBadDocumentKeepsSettingsInForce(t *testing.T) {
 	good := model.Document{Path: "teams/bilbao", Revision: 1, YAML: validTeam}
 	s, refused := kernel.NewSettings().WithSnapshot(model.Snapshot{Revision: 1, Documents: []model.Document{good}})
 	must.SliceEmpty(t, refused)
@@ -73,7 +73,7 @@
 	must.True(t, ok)
 }
 
-func TestATokenOfTwoTeamsBelongsToTheEarlierDocumentOnAllNodes(t *testing.T) {
+func TestDuplicateTokenBelongsToEarlierDocument(t *testing.T) {
 	other := strings.Replace(validTeam, "Team: bilbao", "Team: moravia", 1)
 	documents := []model.Document{
 		{Path: "teams/moravia", Revision: 2, YAML: other},
@@ -88,8 +88,8 @@
 	must.ErrorContains(t, s.Check("teams/moravia", other), "taken by another team")
 }
 
-// The revision in force and that of each document never decrease, whatever snapshots arrive in whatever order: from the
-// table, outdated, or from peers.
+// The revision in force and that of each document never decrease, whatever snapshots arrive in whatever order: from
+// the table, outdated, or from peers.
 func TestSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := kernel.NewSettings()
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -9,12 +9,12 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestFleetRetryBudgetIsKeptByAllNodesTogether(t *testing.T) {
-	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
+func TestFleetRetryBudgetBoundsAllNodes(t *testing.T) {
+	limits := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	const nodes = 8
 	budgets := make([]*kernel.FleetRetryBudget, nodes)
 	for i := range budgets {
-		budgets[i] = kernel.NewFleetRetryBudget(terms, time.Time{})
+		budgets[i] = kernel.NewFleetRetryBudget(limits, time.Time{})
 	}
 	now := time.Unix(1000, 0)
 	taken, requests := 0, 0
@@ -32,7 +32,7 @@
 	must.Positive(t, taken)
 }
 
-func TestFleetRetryBudgetRefillsWithTheWindow(t *testing.T) {
+func TestFleetRetryBudgetRefillsWithWindow(t *testing.T) {
 	b := kernel.NewFleetRetryBudget(kernel.FleetRetryLimits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, time.Time{})
 	now := time.Unix(1000, 0)
 	for b.TakeRetry(now, 1) {
@@ -44,16 +44,16 @@
 
 // The fleet stays within the bound when all nodes restart in the middle of a window and lose their counts, also while
 // none of them knows of the others yet.
-func TestFleetRetryBudgetIsKeptWhenAllNodesRestart(t *testing.T) {
+func TestFleetRetryBudgetHoldsAfterRestart(t *testing.T) {
 	t.Parallel()
-	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
+	limits := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
 	for _, nodes := range []int{1, 8, 76, 400} {
 		for _, known := range []int{nodes, 0} {
 			spend := func(startedAt, at time.Time, known int) int {
 				spent := 0
 				for range nodes {
-					b := kernel.NewFleetRetryBudget(terms, startedAt)
+					b := kernel.NewFleetRetryBudget(limits, startedAt)
 					for b.TakeRetry(at, known) {
 						spent++
 					}
@@ -61,9 +61,9 @@
 				return spent
 			}
 			spent := spend(time.Time{}, start, nodes)
-			again := start.Add(terms.Window / 2)
-			spent += spend(again, again.Add(time.Second), known)
-			must.LessEq(t, int(terms.Slack), spent, must.Sprint(nodes, " nodes, each knows ", known))
+			restartedAt := start.Add(limits.Window / 2)
+			spent += spend(restartedAt, restartedAt.Add(time.Second), known)
+			must.LessEq(t, int(limits.Slack), spent, must.Sprint(nodes, " nodes, each knows ", known))
 		}
 	}
 }
