--- a/follow/follower.go
+++ b/follow/follower.go
@@ -23,7 +23,7 @@
 const (
 	// roleCheckInterval is how often a node that need not read the store looks whether it must.
 	roleCheckInterval = 250 * time.Millisecond
-	// minRetryPause and maxRetryPause bound the pause after a question without an answer; each is twice
+	// minRetryPause and maxRetryPause bound the pause after a request without an answer; each is twice
 	// the one before, and shorter or longer by up to retryJitter of it. Few nodes ask a store that is away, so
 	// they may ask often, and all others learn of its return from them.
 	minRetryPause = 150 * time.Millisecond
@@ -127,16 +127,16 @@
 // oldestAge returns the greatest age of the proofs of all tables.
 func (f *Follower) oldestAge() time.Duration {
 	now := clock.Now()
-	oldest := time.Duration(0)
+	age := time.Duration(0)
 	for _, t := range f.tables {
 		if t.IgnoreAge {
 			continue
 		}
 		t.mu.Lock()
-		oldest = max(oldest, now.Sub(t.replica.ProvenAt()))
+		age = max(age, now.Sub(t.replica.ProvenAt()))
 		t.mu.Unlock()
 	}
-	return oldest
+	return age
 }
 
 // lost tells whether this node reads the store and gets no answer.
@@ -158,13 +158,13 @@
 	}
 }
 
-func (f *Follower) setReadsStore(reads bool, why string) {
+func (f *Follower) setReadsStore(reads bool, reason string) {
 	if !reads {
 		// What the store did not answer then says nothing of the next time that it is asked.
 		f.clearDown()
 	}
 	if f.readsStore.Swap(reads) != reads {
-		f.log.Info().Bool("Reads", reads).Str("Why", why).Msg("reading of the store changed")
+		f.log.Info().Bool("Reads", reads).Str("Why", reason).Msg("reading of the store changed")
 	}
 }
 
@@ -178,31 +178,31 @@
 	return f.storeLost() && (!f.allTablesKnown() || f.oldestAge() > f.options.MaxAge)
 }
 
-// HandleFeed answers another node's question for what is known here. Where that is little, the answer waits for
-// news as long as the question allows.
+// HandleFeed answers another node's request for what is known here. Where that is little, the answer waits for
+// news as long as the request allows.
 func (f *Follower) HandleFeed(ctx context.Context, body []byte) (any, error) {
-	var question peer.Feed
-	if err := peer.DecodeBody(body, &question); err != nil {
+	var request peer.Feed
+	if err := peer.DecodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	if question.Node != "" && question.ProvenAgo > 0 && f.storeLost() && f.oldestAge() > question.ProvenAgo {
+	if request.Node != "" && request.ProvenAgo > 0 && f.storeLost() && f.oldestAge() > request.ProvenAgo {
 		f.selectorMu.Lock()
-		f.selector.RecordFresherNode(clock.Now(), question.Node)
+		f.selector.RecordFresherNode(clock.Now(), request.Node)
 		f.selectorMu.Unlock()
 	}
-	if question.Hold > 0 && f.isStale() {
-		f.updates.Await(ctx, min(question.Hold, sourceLongPoll), func() bool { return !f.isStale() })
+	if request.Hold > 0 && f.isStale() {
+		f.updates.Await(ctx, min(request.Hold, sourceLongPoll), func() bool { return !f.isStale() })
 	}
 	reply := peer.FeedReply{Tables: map[string]kernel.Delta{}, Lost: f.storeLost()}
 	now := clock.Now()
 	for _, t := range f.tables {
 		t.mu.Lock()
-		if d, known := t.replica.Since(now, question.After[t.Name]); known {
-			reply.Tables[t.Name] = d
+		if delta, known := t.replica.Since(now, request.After[t.Name]); known {
+			reply.Tables[t.Name] = delta
 		}
 		t.mu.Unlock()
 	}
-	if !question.Unpacks {
+	if !request.Unpacks {
 		return reply, nil
 	}
 	if err := f.packer.pack(&reply); err != nil {
--- a/follow/log.go
+++ b/follow/log.go
@@ -35,44 +35,44 @@
 }
 
 // recordAnswer counts an answer, and logs a large one: whose it was, and what its time went into.
-func (f *Follower) recordAnswer(a answerStats) {
-	f.metrics.FeedTaken(sourceKind(a.source), a.size, a.elapsed)
-	if a.size < largeAnswerBytes {
+func (f *Follower) recordAnswer(s answerStats) {
+	f.metrics.FeedTaken(sourceKind(s.source), s.size, s.elapsed)
+	if s.size < largeAnswerBytes {
 		return
 	}
-	f.log.Info().Str("Table", a.table).Str("From", a.source).Uint64("Version", a.version).Int64("Bytes", a.size).
-		Dur("Elapsed", a.elapsed).Dur("Transfer", a.transfer).Dur("Applied", a.applied).Msg("large answer taken")
+	f.log.Info().Str("Table", s.table).Str("From", s.source).Uint64("Version", s.version).Int64("Bytes", s.size).
+		Dur("Elapsed", s.elapsed).Dur("Transfer", s.transfer).Dur("Applied", s.applied).Msg("large answer taken")
 }
 
 // recordFailure counts what had come of an answer that was given up. At most one a second is logged: one that
 // keeps on coming in vain tells how much of it came each time.
-func (f *Follower) recordFailure(from, table string, err error) {
+func (f *Follower) recordFailure(source, table string, err error) {
 	received, transfer := partialTransfer(err)
-	f.metrics.FeedGivenUp(sourceKind(from), received)
+	f.metrics.FeedGivenUp(sourceKind(source), received)
 	now := clock.Now().UnixNano()
-	last := f.failureLoggedAt.Load()
-	if received == 0 || now-last < int64(failureLogInterval) || !f.failureLoggedAt.CompareAndSwap(last, now) {
+	lastLogged := f.failureLoggedAt.Load()
+	if received == 0 || now-lastLogged < int64(failureLogInterval) || !f.failureLoggedAt.CompareAndSwap(lastLogged, now) {
 		return
 	}
-	f.log.Warn().Str("Table", table).Str("From", from).Int64("Received", received).Dur("Transfer", transfer).
+	f.log.Warn().Str("Table", table).Str("From", source).Int64("Received", received).Dur("Transfer", transfer).
 		Err(err).Msg("answer given up")
 }
 
 // partialTransfer returns how many bytes of an answer had come, and in which time where it is known.
 func partialTransfer(err error) (int64, time.Duration) {
-	var cut *TruncatedError
-	if errors.As(err, &cut) {
-		return cut.Received, cut.Transfer
+	var truncated *TruncatedError
+	if errors.As(err, &truncated) {
+		return truncated.Received, truncated.Transfer
 	}
-	var call *peer.CallError
-	if errors.As(err, &call) {
-		return call.Received, 0
+	var callErr *peer.CallError
+	if errors.As(err, &callErr) {
+		return callErr.Received, 0
 	}
 	return 0, 0
 }
 
-func sourceKind(from string) string {
-	if from == fromStore {
+func sourceKind(source string) string {
+	if source == fromStore {
 		return fromStore
 	}
 	return fromNode
--- a/follow/news.go
+++ b/follow/news.go
@@ -17,27 +17,27 @@
 }
 
 // Tell wakes all who wait.
-func (n *broadcaster) Broadcast() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	close(n.signal)
-	n.signal = make(chan struct{})
+func (b *broadcaster) Broadcast() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	close(b.signal)
+	b.signal = make(chan struct{})
 }
 
 // next is closed at the next news.
-func (n *broadcaster) next() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.signal
+func (b *broadcaster) next() <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.signal
 }
 
 // Await waits until something holds, looking at each news, for a time at most.
-func (n *broadcaster) Await(ctx context.Context, most time.Duration, holds func() bool) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func (b *broadcaster) Await(ctx context.Context, timeout time.Duration, condition func() bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		next := n.next()
-		if holds() {
+		next := b.next()
+		if condition() {
 			return
 		}
 		select {
--- a/follow/nodes.go
+++ b/follow/nodes.go
@@ -48,23 +48,23 @@
 	return Table{Name: NodesTable, PollInterval: NodesPollInterval, Apply: n.apply}
 }
 
-func (n *Nodes) apply(_ time.Time, news []kernel.Row) {
-	if len(news) == 0 && n.tableRead {
+func (n *Nodes) apply(_ time.Time, changes []kernel.Row) {
+	if len(changes) == 0 && n.tableRead {
 		return
 	}
 	n.tableRead = true
 	var announced []string
-	for _, r := range news {
-		if r.Removed {
-			delete(n.rows, r.Key)
+	for _, row := range changes {
+		if row.Removed {
+			delete(n.rows, row.Key)
 			continue
 		}
 		var node relay.Node
-		if err := json.Unmarshal([]byte(r.Value), &node); err != nil {
-			n.log.Error().Str("Node", r.Key).Err(err).Msg("entry of a node not understood")
+		if err := json.Unmarshal([]byte(row.Value), &node); err != nil {
+			n.log.Error().Str("Node", row.Key).Err(err).Msg("entry of a node not understood")
 			continue
 		}
-		n.rows[r.Key] = node
+		n.rows[row.Key] = node
 		if !node.Leaving {
 			announced = append(announced, node.Name)
 		}
@@ -81,9 +81,9 @@
 	n.writeWithRetry(ctx, n.own)
 	select {
 	case <-leaving:
-		gone := n.own
-		gone.Leaving = true
-		n.writeWithRetry(ctx, gone)
+		leavingNode := n.own
+		leavingNode.Leaving = true
+		n.writeWithRetry(ctx, leavingNode)
 	case <-ctx.Done():
 	}
 }
--- a/follow/notices.go
+++ b/follow/notices.go
@@ -39,20 +39,20 @@
 	return Table{Name: NoticesTable, Hold: noticesHold, IgnoreAge: true, Apply: n.apply}
 }
 
-func (n *Notices) apply(_ time.Time, news []kernel.Row) {
+func (n *Notices) apply(_ time.Time, rows []kernel.Row) {
 	var change kernel.QuarantineChange
-	for _, r := range news {
-		if incarnation, ok := strings.CutPrefix(r.Key, RateCapPrefix); ok {
-			n.applyRateCap(incarnation, r)
+	for _, row := range rows {
+		if incarnation, ok := strings.CutPrefix(row.Key, RateCapPrefix); ok {
+			n.applyRateCap(incarnation, row)
 			continue
 		}
-		if r.Removed {
-			change.Lift = append(change.Lift, model.Digest(r.Key))
+		if row.Removed {
+			change.Lift = append(change.Lift, model.Digest(row.Key))
 			continue
 		}
 		var held kernel.HeldRequest
-		if err := json.Unmarshal([]byte(r.Value), &held); err != nil || held.Digest != model.Digest(r.Key) {
-			n.log.Error().Str("Digest", r.Key).Err(err).Msg("entry of a held request not understood")
+		if err := json.Unmarshal([]byte(row.Value), &held); err != nil || held.Digest != model.Digest(row.Key) {
+			n.log.Error().Str("Digest", row.Key).Err(err).Msg("entry of a held request not understood")
 			continue
 		}
 		change.Hold = append(change.Hold, held)
@@ -62,13 +62,13 @@
 	}
 }
 
-func (n *Notices) applyRateCap(incarnation string, r kernel.Row) {
-	var stated model.RateCap
-	if !r.Removed {
-		if err := json.Unmarshal([]byte(r.Value), &stated); err != nil || !stated.Stated {
+func (n *Notices) applyRateCap(incarnation string, row kernel.Row) {
+	var rateCap model.RateCap
+	if !row.Removed {
+		if err := json.Unmarshal([]byte(row.Value), &rateCap); err != nil || !rateCap.Stated {
 			n.log.Error().Str("Endpoint", incarnation).Err(err).Msg("entry of a rate cap not understood")
 			return
 		}
 	}
-	n.relay.SetRateCap(incarnation, stated)
+	n.relay.SetRateCap(incarnation, rateCap)
 }
--- a/follow/pack.go
+++ b/follow/pack.go
@@ -65,9 +65,9 @@
 func (p *packer) packRow(table string, row kernel.Row) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name := rowKey{table: table, key: row.Key}
-	if known, ok := p.packed[name]; ok && known.version == row.Version {
-		return known.data, nil
+	key := rowKey{table: table, key: row.Key}
+	if cached, ok := p.packed[key]; ok && cached.version == row.Version {
+		return cached.data, nil
 	}
 	data, err := peer.Pack([]byte(row.Value))
 	if err != nil {
@@ -76,7 +76,7 @@
 	if len(p.packed) >= maxPackedRows {
 		clear(p.packed)
 	}
-	p.packed[name] = packedValue{version: row.Version, data: data}
+	p.packed[key] = packedValue{version: row.Version, data: data}
 	return data, nil
 }
 
@@ -85,8 +85,8 @@
 	size := int64(0)
 	rows := reply.Tables[table].Rows
 	for i, row := range rows {
-		data, packed := reply.Packed[table][row.Key]
-		if !packed {
+		data, ok := reply.Packed[table][row.Key]
+		if !ok {
 			size += int64(len(row.Value))
 			continue
 		}
--- a/follow/read.go
+++ b/follow/read.go
@@ -12,7 +12,7 @@
 
 // read reads a table from the store for as long as this node is to.
 func (f *Follower) readLoop(ctx context.Context, t *followedTable) {
-	retry := minRetryPause
+	retryPause := minRetryPause
 	for ctx.Err() == nil {
 		if !f.readsStore.Load() || t.IgnoreAge && !f.decided.Load() {
 			clock.Sleep(ctx, roleCheckInterval)
@@ -28,10 +28,10 @@
 			continue
 		}
 		if err != nil {
-			pause = jittered(retry)
-			retry = min(2*retry, f.maxRetry())
+			pause = jittered(retryPause)
+			retryPause = min(2*retryPause, f.retryPauseLimit())
 		} else {
-			retry = minRetryPause
+			retryPause = minRetryPause
 		}
 		if pause > 0 {
 			clock.Sleep(ctx, pause)
@@ -42,31 +42,31 @@
 // settles waits until all tables are known, and then decides whether this node goes on to read. It tells whether
 // it did so just now. After a common start each node reads each table once, and few ask again.
 func (f *Follower) decideRole(ctx context.Context) bool {
-	settled := false
+	decided := false
 	f.updates.Await(ctx, roleCheckInterval, f.allTablesKnown)
 	if f.allTablesKnown() {
 		f.decideOnce.Do(func() {
 			plan := f.plan()
 			f.setReadsStore(plan.ReadStore, plan.Reason)
 			f.decided.Store(true)
-			settled = true
+			decided = true
 		})
 	}
-	return settled
+	return decided
 }
 
 // waitForFirstTable waits while the store answers neither for a table nor for the first one, and tells whether it did:
 // one question at a time finds out whether the store is back.
 func (f *Follower) waitForFirstTable(ctx context.Context, t *followedTable) bool {
-	lead := f.tables[0]
-	if t == lead || !t.down.Load() || !lead.down.Load() {
+	first := f.tables[0]
+	if t == first || !t.down.Load() || !first.down.Load() {
 		return false
 	}
-	f.updates.Await(ctx, roleCheckInterval, func() bool { return !lead.down.Load() })
+	f.updates.Await(ctx, roleCheckInterval, func() bool { return !first.down.Load() })
 	return true
 }
 
-func (f *Follower) maxRetry() time.Duration {
+func (f *Follower) retryPauseLimit() time.Duration {
 	if f.allTablesKnown() {
 		return maxRetryPause
 	}
@@ -78,7 +78,7 @@
 }
 
 func (f *Follower) fetch(ctx context.Context, t *followedTable) error {
-	began := clock.Now()
+	startedAt := clock.Now()
 	t.mu.Lock()
 	after, known := t.replica.Version()
 	t.mu.Unlock()
@@ -87,7 +87,7 @@
 		if err != nil {
 			return err
 		}
-		f.applyAnswer(t, began, answer, true)
+		f.applyAnswer(t, startedAt, answer, true)
 		return nil
 	}
 	hold := t.Hold
@@ -101,14 +101,14 @@
 		f.metrics.Event(fullReadEvent(err))
 		f.log.Info().Str("Table", t.Name).Uint64("After", after).Err(err).Msg("reading the whole table")
 		if answer, err = f.store.ReadAll(ctx, t.Name); err == nil {
-			f.applyAnswer(t, began, answer, true)
+			f.applyAnswer(t, startedAt, answer, true)
 		}
 		return err
 	}
 	if err != nil {
 		return err
 	}
-	f.applyAnswer(t, began, answer, false)
+	f.applyAnswer(t, startedAt, answer, false)
 	return nil
 }
 
@@ -121,15 +121,15 @@
 }
 
 // take takes in what the store answered to a question that began at a time.
-func (f *Follower) applyAnswer(t *followedTable, began time.Time, answer Answer, whole bool) {
-	came := clock.Now()
+func (f *Follower) applyAnswer(t *followedTable, startedAt time.Time, answer Answer, whole bool) {
+	receivedAt := clock.Now()
 	t.mu.Lock()
-	news := t.replica.Apply(began, answer.Rows, answer.Version, whole)
-	t.Apply(t.replica.ProvenAt(), news)
+	changes := t.replica.Apply(startedAt, answer.Rows, answer.Version, whole)
+	t.Apply(t.replica.ProvenAt(), changes)
 	t.mu.Unlock()
 	f.recordAnswer(answerStats{
 		table: t.Name, source: fromStore, version: answer.Version, size: answer.Bytes,
-		elapsed: came.Sub(began), transfer: answer.Transfer, applied: clock.Now().Sub(came),
+		elapsed: receivedAt.Sub(startedAt), transfer: answer.Transfer, applied: clock.Now().Sub(receivedAt),
 	})
 }
 
@@ -142,11 +142,11 @@
 		f.metrics.Event("StoreFailed")
 		f.recordFailure(fromStore, t.Name, err)
 	}
-	was := t.down.Swap(err != nil)
+	wasDown := t.down.Swap(err != nil)
 	if err == nil {
 		f.updates.Broadcast()
 	}
-	if was == (err != nil) {
+	if wasDown == (err != nil) {
 		return
 	}
 	t.mu.Lock()
--- a/follow/source.go
+++ b/follow/source.go
@@ -39,14 +39,14 @@
 		return peerPollInterval
 	}
 	plan := f.plan()
-	for try := 0; try < maxSourceAttempts && plan.Source != ""; try++ {
+	for attempt := 0; attempt < maxSourceAttempts && plan.Source != ""; attempt++ {
 		hold := time.Duration(0)
-		if plan.LongPoll || try == maxSourceAttempts-1 {
-			hold, try = sourceLongPoll, maxSourceAttempts
+		if plan.LongPoll || attempt == maxSourceAttempts-1 {
+			hold, attempt = sourceLongPoll, maxSourceAttempts
 		}
-		enough := f.querySource(ctx, plan.Source, hold)
+		sufficient := f.querySource(ctx, plan.Source, hold)
 		plan = f.plan()
-		if enough {
+		if sufficient {
 			f.setReadsStore(plan.ReadStore, plan.Reason)
 			return peerPollInterval
 		}
@@ -87,9 +87,9 @@
 // probeStore asks the store once where no other node could tell anything and it is this node's turn.
 func (f *Follower) probeStore(ctx context.Context) {
 	f.selectorMu.Lock()
-	tries := f.selector.ShouldProbeStore(f.relay.Reachable(), rand.Float64())
+	probe := f.selector.ShouldProbeStore(f.relay.Reachable(), rand.Float64())
 	f.selectorMu.Unlock()
-	if !tries {
+	if !probe {
 		return
 	}
 	f.metrics.Event("StoreTried")
@@ -109,27 +109,27 @@
 	defer cancel()
 	// Others wait for the same answer, or a large one comes over a slow link: endpoints that leave are to be
 	// known all the same.
-	slow := time.AfterFunc(maxPeerSilence+hold, func() { f.setReadsStore(true, "the reader's answer is slow") })
-	defer slow.Stop()
-	question := peer.Feed{After: map[string]uint64{}, Unpacks: true, Node: f.options.Name, Hold: hold}
+	slowTimer := time.AfterFunc(maxPeerSilence+hold, func() { f.setReadsStore(true, "the reader's answer is slow") })
+	defer slowTimer.Stop()
+	request := peer.Feed{After: map[string]uint64{}, Unpacks: true, Node: f.options.Name, Hold: hold}
 	for _, t := range f.tables {
 		t.mu.Lock()
-		question.After[t.Name], _ = t.replica.Version()
+		request.After[t.Name], _ = t.replica.Version()
 		t.mu.Unlock()
 	}
 	if f.allTablesKnown() {
-		question.ProvenAgo = f.oldestAge()
+		request.ProvenAgo = f.oldestAge()
 	}
-	asked := clock.Now()
+	sentAt := clock.Now()
 	var reply peer.FeedReply
-	if err := f.relay.CallUnlessSilent(ctx, maxPeerSilence+hold, node, peer.KindFeed, question, &reply); err != nil {
+	if err := f.relay.CallUnlessSilent(ctx, maxPeerSilence+hold, node, peer.KindFeed, request, &reply); err != nil {
 		f.recordFailure(node, "", err)
 		return kernel.SourceAnswer{}, err
 	}
-	came := clock.Now()
+	receivedAt := clock.Now()
 	answer := kernel.SourceAnswer{StoreLost: reply.Lost}
 	for _, t := range f.tables {
-		d, ok := reply.Tables[t.Name]
+		delta, ok := reply.Tables[t.Name]
 		if !ok && !t.IgnoreAge {
 			answer.Age = f.options.MaxAge + 1
 		}
@@ -137,22 +137,22 @@
 			continue
 		}
 		if !t.IgnoreAge {
-			answer.Age = max(answer.Age, d.Age)
+			answer.Age = max(answer.Age, delta.Age)
 		}
-		began := clock.Now()
+		startedAt := clock.Now()
 		size, err := unpack(reply, t.Name)
 		if err != nil {
 			return kernel.SourceAnswer{}, err
 		}
 		t.mu.Lock()
-		if version, _ := t.replica.Version(); d.Version >= version {
-			news := t.replica.ApplyDelta(asked, d)
-			t.Apply(t.replica.ProvenAt(), news)
+		if version, _ := t.replica.Version(); delta.Version >= version {
+			changes := t.replica.ApplyDelta(sentAt, delta)
+			t.Apply(t.replica.ProvenAt(), changes)
 		}
 		t.mu.Unlock()
 		f.recordAnswer(answerStats{
-			table: t.Name, source: node, version: d.Version, size: size,
-			elapsed: came.Sub(asked), applied: clock.Now().Sub(began),
+			table: t.Name, source: node, version: delta.Version, size: size,
+			elapsed: receivedAt.Sub(sentAt), applied: clock.Now().Sub(startedAt),
 		})
 	}
 	f.updates.Broadcast()
--- a/follow/table.go
+++ b/follow/table.go
@@ -20,7 +20,7 @@
 		// is decided who reads the store, and at their start nodes have it from those that do.
 		IgnoreAge bool
 		// Apply takes in what is news, and the time at which the table was last proven current.
-		Apply func(provenAt time.Time, news []kernel.Row)
+		Apply func(provenAt time.Time, changes []kernel.Row)
 	}
 
 	// Store is how the platform's store is read.
--- a/table/keys.go
+++ b/table/keys.go
@@ -33,17 +33,17 @@
 		pending = append(pending, i)
 	}
 	for len(pending) > 0 {
-		taken, err := s.tryInsert(ctx, rows, pending)
+		existing, err := s.tryInsert(ctx, rows, pending)
 		if errors.Is(err, ErrUnknown) {
 			return result, s.readBack(ctx, result, pending)
 		}
 		if err != nil {
 			return result, err
 		}
-		if len(taken) == 0 {
+		if len(existing) == 0 {
 			return result, nil
 		}
-		if pending, err = s.resolveExisting(ctx, result, pending, taken); err != nil {
+		if pending, err = s.resolveExisting(ctx, result, pending, existing); err != nil {
 			return result, err
 		}
 	}
@@ -69,15 +69,15 @@
 }
 
 // resolveExisting notes the earlier writers of taken keys and returns what is still to insert.
-func (s *Store) resolveExisting(ctx context.Context, result []KeyRow, pending []int, taken []string) ([]int, error) {
-	isTaken := map[string]bool{}
-	for _, key := range taken {
-		isTaken[key] = true
+func (s *Store) resolveExisting(ctx context.Context, result []KeyRow, pending []int, existing []string) ([]int, error) {
+	exists := map[string]bool{}
+	for _, key := range existing {
+		exists[key] = true
 	}
-	var left []int
+	var remaining []int
 	for _, i := range pending {
-		if !isTaken[keyPrefix+result[i].Key] {
-			left = append(left, i)
+		if !exists[keyPrefix+result[i].Key] {
+			remaining = append(remaining, i)
 			continue
 		}
 		row, err := s.readKey(ctx, result[i].Key)
@@ -86,7 +86,7 @@
 		}
 		result[i] = row
 	}
-	return left, nil
+	return remaining, nil
 }
 
 // readBack resolves a lost answer: what is seen in the table is certain, what is not seen
--- a/table/notices.go
+++ b/table/notices.go
@@ -52,15 +52,15 @@
 }
 
 // ChangeRateCap changes what an endpoint is known to state.
-func (s *Store) ChangeRateCap(ctx context.Context, incarnation string, stated model.RateCap) error {
+func (s *Store) ChangeRateCap(ctx context.Context, incarnation string, rateCap model.RateCap) error {
 	return s.updateNotices(ctx, func(n Notices) Notices {
 		n.RateCaps = maps.Clone(n.RateCaps)
 		if n.RateCaps == nil {
 			n.RateCaps = map[string]model.RateCap{}
 		}
 		delete(n.RateCaps, incarnation)
-		if stated.Stated {
-			n.RateCaps[incarnation] = stated
+		if rateCap.Stated {
+			n.RateCaps[incarnation] = rateCap
 		}
 		return n
 	})
@@ -91,13 +91,13 @@
 // DiffRateCaps returns what has changed between two readings of the row, by the incarnations of endpoints.
 func DiffRateCaps(before, after map[string]model.RateCap) map[string]model.RateCap {
 	change := map[string]model.RateCap{}
-	for incarnation, stated := range after {
-		if before[incarnation] != stated {
-			change[incarnation] = stated
+	for incarnation, rateCap := range after {
+		if before[incarnation] != rateCap {
+			change[incarnation] = rateCap
 		}
 	}
 	for incarnation := range before {
-		if _, still := after[incarnation]; !still {
+		if _, ok := after[incarnation]; !ok {
 			change[incarnation] = model.RateCap{}
 		}
 	}
@@ -107,16 +107,16 @@
 // DiffHeld returns what has changed between two readings of the row.
 func DiffHeld(before, after []kernel.HeldRequest) kernel.QuarantineChange {
 	var change kernel.QuarantineChange
-	find := func(list []kernel.HeldRequest, digest model.Digest) int {
-		return slices.IndexFunc(list, func(h kernel.HeldRequest) bool { return h.Digest == digest })
+	indexOf := func(held []kernel.HeldRequest, digest model.Digest) int {
+		return slices.IndexFunc(held, func(h kernel.HeldRequest) bool { return h.Digest == digest })
 	}
 	for _, h := range after {
-		if i := find(before, h.Digest); i < 0 || !before[i].Equal(h) {
+		if i := indexOf(before, h.Digest); i < 0 || !before[i].Equal(h) {
 			change.Hold = append(change.Hold, h)
 		}
 	}
 	for _, h := range before {
-		if find(after, h.Digest) < 0 {
+		if indexOf(after, h.Digest) < 0 {
 			change.Lift = append(change.Lift, h.Digest)
 		}
 	}
--- a/table/settings.go
+++ b/table/settings.go
@@ -84,21 +84,21 @@
 	if err != nil || path == "" {
 		return all, err
 	}
-	var out []model.Document
+	var changes []model.Document
 	for _, d := range all {
 		if d.Path == path {
-			out = append(out, d)
+			changes = append(changes, d)
 		}
 	}
-	return out, nil
+	return changes, nil
 }
 
 // SetDocument makes a change if the document still has the base revision. The document, the
 // head and the history change in one transaction. On NotApplied with a nil error, current is
 // the document that won the race. The operation's number makes the change idempotent.
 func (s *Store) SetDocument(ctx context.Context, doc model.Document, base uint64) (outcome ChangeOutcome, current model.Document, err error) {
-	for try := range maxSettingsAttempts {
-		if try > 0 && !clock.Sleep(ctx, conflictPauseUnit<<try) {
+	for attempt := range maxSettingsAttempts {
+		if attempt > 0 && !clock.Sleep(ctx, conflictPauseUnit<<attempt) {
 			break
 		}
 		old, oldVersion, err := s.document(ctx, doc.Path)
@@ -137,15 +137,15 @@
 }
 
 // resolveNewerDocument tells an operation that was applied earlier from one that lost to another change.
-func (s *Store) resolveNewerDocument(ctx context.Context, doc, winner model.Document) (ChangeOutcome, model.Document, error) {
+func (s *Store) resolveNewerDocument(ctx context.Context, doc, current model.Document) (ChangeOutcome, model.Document, error) {
 	found, ok, err := s.FindOperation(ctx, doc.Operation)
 	if err != nil {
-		return Unknown, winner, err
+		return Unknown, current, err
 	}
 	if ok {
 		return Applied, found, nil
 	}
-	return NotApplied, winner, nil
+	return NotApplied, current, nil
 }
 
 // resolveUnknownCommit settles a write whose answer was lost. Either the history row that it would
--- a/table/slowwrite_test.go
+++ b/table/slowwrite_test.go
@@ -55,7 +55,7 @@
 func TestLargeDocumentWriteOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		written := 0
-		dialled := make(pipeListener)
+		listener := make(pipeListener)
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == table.RowsPath {
 				_ = json.NewEncoder(w).Encode([]table.Row{})
@@ -69,21 +69,21 @@
 			written = len(tx.Writes)
 			_ = json.NewEncoder(w).Encode(table.Committed{Version: 1})
 		})}
-		go server.Serve(dialled)
+		go server.Serve(listener)
 		defer server.Close()
 		store := table.NewStore("platform")
 		defer store.Close()
 		store.Dial = func(context.Context, string, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			dialled <- far
-			return slowUplink{near}, nil
+			clientEnd, serverEnd := net.Pipe()
+			listener <- serverEnd
+			return slowUplink{clientEnd}, nil
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		document := model.Document{Path: "teams/a", Operation: "1", YAML: strings.Repeat("# a long comment\n", 60_000)}
 		outcome, _, err := store.SetDocument(t.Context(), document, 0)
 		must.NoError(t, err)
 		must.EqOp(t, table.Applied, outcome)
 		must.EqOp(t, 3, written)
-		must.Greater(t, 2*time.Second, time.Since(began), must.Sprint("the link takes longer than a small write may take"))
+		must.Greater(t, 2*time.Second, time.Since(startedAt), must.Sprint("the link takes longer than a small write may take"))
 	})
 }
--- a/table/store.go
+++ b/table/store.go
@@ -117,11 +117,11 @@
 func decodeCommitReply(res *http.Response) (uint64, error) {
 	switch res.StatusCode {
 	case http.StatusOK:
-		var done Committed
-		if err := json.NewDecoder(res.Body).Decode(&done); err != nil {
+		var committed Committed
+		if err := json.NewDecoder(res.Body).Decode(&committed); err != nil {
 			return 0, errors.Wrap(ErrUnknown, err.Error())
 		}
-		return done.Version, nil
+		return committed.Version, nil
 	case http.StatusConflict:
 		conflict := &Conflict{}
 		if err := json.NewDecoder(res.Body).Decode(conflict); err != nil {
@@ -135,12 +135,12 @@
 	}
 }
 
-func (s *Store) read(ctx context.Context, name, value string) ([]Row, error) {
+func (s *Store) read(ctx context.Context, parameter, value string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
 	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.baseURL+RowsPath+"?"+url.Values{name: {value}}.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.baseURL+RowsPath+"?"+url.Values{parameter: {value}}.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "table: unable to make a request")
 	}
--- a/table/store_test.go
+++ b/table/store_test.go
@@ -54,32 +54,32 @@
 	store, s := newStore(t)
 	start := time.UnixMilli(1_700_000_000_000).UTC()
 	members := []kernel.Member{{Node: "a", Incarnation: "1"}}
-	none, version, err := store.Claims(t.Context(), kernel.Claims{})
+	empty, version, err := store.Claims(t.Context(), kernel.Claims{})
 	must.NoError(t, err)
-	must.EqOp(t, 0, none.Number)
-	row := kernel.NewClaims(start, start, start.Add(time.Second), members, "w1")
+	must.EqOp(t, 0, empty.Number)
+	claims := kernel.NewClaims(start, start, start.Add(time.Second), members, "w1")
 	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
-	_, err = store.CompareAndSwapClaims(t.Context(), version, none, row)
+	_, err = store.CompareAndSwapClaims(t.Context(), version, empty, claims)
 	must.NoError(t, err, must.Sprint("recognised by its writer"))
-	_, err = store.CompareAndSwapClaims(t.Context(), version, none, kernel.NewClaims(start, start, start, members, "w2"))
+	_, err = store.CompareAndSwapClaims(t.Context(), version, empty, kernel.NewClaims(start, start, start, members, "w2"))
 	must.Error(t, err)
 	got, _, err := store.Claims(t.Context(), kernel.Claims{})
 	must.NoError(t, err)
-	must.Eq(t, row, got)
+	must.Eq(t, claims, got)
 }
 
 func TestEraMembersAreReadOnce(t *testing.T) {
 	store, s := newStore(t)
 	start := time.UnixMilli(1_700_000_000_000).UTC()
-	row := kernel.NewClaims(start, start, start.Add(time.Second), []kernel.Member{{Node: "a"}}, "w1")
-	_, err := store.CompareAndSwapClaims(t.Context(), 0, kernel.Claims{}, row)
+	claims := kernel.NewClaims(start, start, start.Add(time.Second), []kernel.Member{{Node: "a"}}, "w1")
+	_, err := store.CompareAndSwapClaims(t.Context(), 0, kernel.Claims{}, claims)
 	must.NoError(t, err)
 	known, _, err := store.Claims(t.Context(), kernel.Claims{})
 	must.NoError(t, err)
-	before := s.Usage().TableReads
+	readsBefore := s.Usage().TableReads
 	_, _, err = store.Claims(t.Context(), known)
 	must.NoError(t, err)
-	must.EqOp(t, before+1, s.Usage().TableReads)
+	must.EqOp(t, readsBefore+1, s.Usage().TableReads)
 }
 
 func TestChangeIsAppliedOnceDespiteLostAnswer(t *testing.T) {
