--- a/list/list.go
+++ b/list/list.go
@@ -1,5 +1,5 @@
-// Package list speaks to the platform's list of live and leaving hosts and endpoints. The list
-// lags; it is one witness among several.
+// Package list is a client of the platform's list of live and leaving hosts and endpoints. The list lags behind; it is
+// only one of several sources of the state of a host.
 package list
 
 import (
@@ -17,24 +17,25 @@
 )
 
 const (
-	// Path is the list's.
+	// Path is the path of the list.
 	Path = "/list"
-	// HostsPath takes a host's own entry.
+	// HostsPath is the path to which a host's own entry is sent.
 	HostsPath = "/list/hosts"
-	// callTimeout bounds an announcement, and the time in which nothing comes of the list.
+	// callTimeout bounds an announcement, and the time without a byte while the list is read.
 	callTimeout = 2 * time.Second
-	// maxListBytes bounds the list's bytes, some 100 an entry, and maxReadTime its time: what 10 Mbit/s take for that.
+	// maxListBytes bounds the size of the list, at some 100 bytes per entry, and maxReadTime the time to read it: what
+	// 10 Mbit/s take for that size.
 	maxListBytes = 16 << 20
 	maxReadTime  = 13 * time.Second
 )
 
-// Client reads the list and announces the node's own host.
+// Client reads the list and announces the host of this node.
 type Client struct {
 	baseURL string
 	client  *http.Client
 }
 
-// NewClient returns a client for the platform at an address, HOST:PORT.
+// NewClient returns a client for the platform at an address of the form HOST:PORT.
 func NewClient(address string) *Client {
 	return &Client{
 		baseURL: "http://" + address,
@@ -42,7 +43,7 @@
 	}
 }
 
-// Get returns the list as the platform gives it now.
+// Get returns the current list.
 func (c *Client) Get(ctx context.Context) (model.HostList, error) {
 	var hosts model.HostList
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
@@ -68,7 +69,7 @@
 	return hosts, nil
 }
 
-// Announce tells the platform of the node's own host.
+// Announce sends the entry of the host of this node to the platform.
 func (c *Client) Announce(ctx context.Context, host model.Host) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/table/claims.go
+++ b/table/claims.go
@@ -18,9 +18,9 @@
 )
 
 type (
-	// claimsRow is the row that all nodes read again and again. It names the eras; their
-	// members lie in rows of their own, which never change, so that a fleet of hundreds
-	// does not read its member list every few seconds.
+	// claimsRow is the stored form of kernel.Claims, which all nodes read every few seconds. It holds only references
+	// to the eras. The eras with their members have rows of their own, which never change, so that hundreds of nodes do
+	// not read the list of members each time.
 	claimsRow struct {
 		Number    uint64
 		Writer    string
@@ -36,8 +36,8 @@
 	}
 )
 
-// Claims returns the claims row and its version; the zero row if there is none yet. Known is
-// what the caller read before: eras that it holds are not read again.
+// Claims returns the claims and the version of their row, or zero values if there is no row yet. Eras that are in
+// known, the result of an earlier call, are not read again.
 func (s *Store) Claims(ctx context.Context, known kernel.Claims) (kernel.Claims, uint64, error) {
 	row, err := s.Get(ctx, claimsKey)
 	if errors.Is(err, ErrNotFound) {
@@ -67,6 +67,7 @@
 	return claims, row.Version, nil
 }
 
+// readEra returns the era from known, or else reads its row.
 func (s *Store) readEra(ctx context.Context, ref eraRef, known kernel.Claims) (kernel.Era, error) {
 	i := slices.IndexFunc(known.Eras, func(e kernel.Era) bool { return e.Number == ref.Number })
 	if i >= 0 {
@@ -83,8 +84,9 @@
 	return era, nil
 }
 
-// CompareAndSwapClaims replaces the claims row if it still has the version that was read. If the
-// answer is lost it reads the row back and recognises its own write by the writer's number.
+// CompareAndSwapClaims replaces the claims if their row still has the given version, and returns the new version. If
+// the reply is lost, it reads the row and recognises its own write by Claims.Writer. The eras of old, the claims of
+// that version, are not written again.
 func (s *Store) CompareAndSwapClaims(ctx context.Context, version uint64, old, next kernel.Claims) (uint64, error) {
 	tx, err := claimsTransaction(version, old, next)
 	if err != nil {
--- a/table/keys.go
+++ b/table/keys.go
@@ -10,21 +10,21 @@
 
 const keyPrefix = "keys/"
 
-// KeyRow says who runs a durable key. The first writer wins for ever.
+// KeyRow records which member runs a durable key. The row that is inserted first is never replaced.
 type KeyRow struct {
 	Key string
-	// Member is the node and incarnation that runs the key.
+	// Member is the ID of the member that runs the key: its node and incarnation.
 	Member string
-	// Writer is unique to the insert, so that a lost answer can be resolved by reading.
-	Writer      string
+	// Writer is unique to the insert, so that an insert whose reply was lost can be recognised by reading the row.
+	Writer string
+	// Fingerprint identifies the contents of the request, so that another request with the same key is detected.
 	Fingerprint uint64
 	At          time.Time
 }
 
-// InsertKeys inserts those of the rows whose keys are not there yet, in one transaction
-// unless others insert the same keys at the same moment. The result holds for each row who
-// runs its key: the row's own writer, or an earlier one. An error leaves all of them open:
-// none of them may be run.
+// InsertKeys inserts the rows whose keys do not exist yet. It takes one transaction, unless others insert the same keys
+// at the same time. The result holds the stored row of each key: the given one, with its own writer, or an earlier one.
+// After an error, none of the keys may be run, since it is unknown which member runs them.
 func (s *Store) InsertKeys(ctx context.Context, rows []KeyRow) ([]KeyRow, error) {
 	result := make([]KeyRow, len(rows))
 	copy(result, rows)
@@ -50,6 +50,8 @@
 	return result, nil
 }
 
+// tryInsert inserts the pending rows in one transaction. If keys exist already, it inserts none of the rows and returns
+// the keys of the existing ones.
 func (s *Store) tryInsert(ctx context.Context, rows []KeyRow, pending []int) ([]string, error) {
 	var tx Transaction
 	for _, i := range pending {
@@ -68,7 +70,8 @@
 	return nil, err
 }
 
-// resolveExisting notes the earlier writers of taken keys and returns what is still to insert.
+// resolveExisting reads the existing rows into the result and returns the indices of the rows that are still to be
+// inserted.
 func (s *Store) resolveExisting(ctx context.Context, result []KeyRow, pending []int, existing []string) ([]int, error) {
 	exists := map[string]bool{}
 	for _, key := range existing {
@@ -89,8 +92,8 @@
 	return remaining, nil
 }
 
-// readBack resolves a lost answer: what is seen in the table is certain, what is not seen
-// stays open.
+// readBack resolves an insert whose reply was lost by reading the rows. A row that is found is final. If one is not
+// found, its insert may still take effect, and the error is ErrUnknown.
 func (s *Store) readBack(ctx context.Context, result []KeyRow, pending []int) error {
 	for _, i := range pending {
 		row, err := s.readKey(ctx, result[i].Key)
--- a/table/leases.go
+++ b/table/leases.go
@@ -11,7 +11,7 @@
 
 const leasePrefix = "leases/"
 
-// Lease returns a pool's lease and the row's version; zero values if there is none yet.
+// Lease returns a pool's lease and the version of its row, or zero values if there is no row yet.
 func (s *Store) Lease(ctx context.Context, pool string) (kernel.Lease, uint64, error) {
 	var lease kernel.Lease
 	row, err := s.Get(ctx, leasePrefix+pool)
@@ -27,8 +27,8 @@
 	return lease, row.Version, nil
 }
 
-// CompareAndSwapLease writes a lease if the row still has the version that was read. A lost answer is
-// resolved by the writer's number.
+// CompareAndSwapLease writes a pool's lease if its row still has the given version, and returns the new version. If the
+// reply is lost, it reads the row and recognises its own write by Lease.Writer.
 func (s *Store) CompareAndSwapLease(ctx context.Context, pool string, version uint64, next kernel.Lease) (uint64, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
--- a/table/message.go
+++ b/table/message.go
@@ -7,21 +7,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Paths of the platform's HTTP protocol.
+// Paths of the platform's HTTP API.
 const (
 	RowsPath         = "/table/rows"
 	TransactionsPath = "/table/transactions"
 )
 
 type (
-	// Row is one row. Version is the number of the transaction that wrote it, never zero.
+	// Row is a row. Version is the number of the transaction that wrote it, never zero.
 	Row struct {
 		Key     string
 		Version uint64
 		Value   []byte
 	}
 
-	// Condition holds if the row has just this version; zero means that there is no row.
+	// Condition holds if the row has exactly this version; zero means that the row does not exist.
 	Condition struct {
 		Key     string
 		Version uint64
@@ -33,18 +33,18 @@
 		Value []byte
 	}
 
-	// Transaction writes all its rows if all its conditions hold, else none.
+	// Transaction writes all its rows if all its conditions hold, otherwise none.
 	Transaction struct {
 		Conditions []Condition
 		Writes     []Write
 	}
 
-	// Committed answers a transaction that took effect.
+	// Committed is the reply to a transaction that took effect.
 	Committed struct {
 		Version uint64
 	}
 
-	// Conflict answers a transaction that did not: the keys whose conditions failed.
+	// Conflict is the reply to a transaction that did not take effect. Keys are the keys of the conditions that failed.
 	Conflict struct {
 		Keys []string
 	}
@@ -52,11 +52,11 @@
 
 // The errors of calls to the table.
 var (
-	// ErrNotFound: there is no such row.
+	// ErrNotFound is returned if the row does not exist.
 	ErrNotFound = errors.New("table: no such row")
-	// ErrUnavailable: the service was not reached or said that it did nothing.
+	// ErrUnavailable is returned if the service was not reached or reported that it did nothing, and for a failed read.
 	ErrUnavailable = errors.New("table: the service is not available")
-	// ErrUnknown: the answer is lost; a write may have taken effect.
+	// ErrUnknown is returned if the reply to a transaction was lost: the transaction may have taken effect.
 	ErrUnknown = errors.New("table: the answer was lost")
 )
 
--- a/table/notices.go
+++ b/table/notices.go
@@ -14,20 +14,20 @@
 
 const (
 	noticesKey = "notices/row"
-	// maxNoticesAttempts bounds how often a change is tried again that met another one.
+	// maxNoticesAttempts bounds the attempts of a change that conflicts with other changes.
 	maxNoticesAttempts = 8
 )
 
-// Notices is what nodes tell each other that is to be known to all. It is one row, so that one number tells who has read
-// the newest.
+// Notices is the state that all nodes have to know. It is a single row, so that one version number tells which nodes
+// have read the newest state.
 type Notices struct {
-	// Held are the requests that are held back, the newest last; never more than a node remembers.
+	// Held are the held requests, the newest last, at most as many as a node keeps.
 	Held []kernel.HeldRequest
-	// RateCaps are the endpoints that bound the calls that they take, by their incarnations.
+	// RateCaps are the rate caps that endpoints state, by the incarnation of the endpoint.
 	RateCaps map[string]model.RateCap
 }
 
-// Notices returns what is to be known to all, and the version of its row; nothing if there is no row yet.
+// Notices returns the notices and the version of their row, or zero values if there is no row yet.
 func (s *Store) Notices(ctx context.Context) (Notices, uint64, error) {
 	row, err := s.Get(ctx, noticesKey)
 	if errors.Is(err, ErrNotFound) {
@@ -43,7 +43,7 @@
 	return notices, row.Version, nil
 }
 
-// ChangeHeld changes which requests are held back.
+// ChangeHeld applies a change of the held requests.
 func (s *Store) ChangeHeld(ctx context.Context, change kernel.QuarantineChange) error {
 	return s.updateNotices(ctx, func(n Notices) Notices {
 		n.Held = change.Apply(n.Held)
@@ -51,7 +51,7 @@
 	})
 }
 
-// ChangeRateCap changes what an endpoint is known to state.
+// ChangeRateCap sets the rate cap that an endpoint states, or removes it if the endpoint states none.
 func (s *Store) ChangeRateCap(ctx context.Context, incarnation string, rateCap model.RateCap) error {
 	return s.updateNotices(ctx, func(n Notices) Notices {
 		n.RateCaps = maps.Clone(n.RateCaps)
@@ -85,10 +85,11 @@
 			return err
 		}
 	}
-	return errors.New("table: the notices change too often")
+	return errors.New("table: unable to change the notices: too many conflicting changes")
 }
 
-// DiffRateCaps returns what has changed between two readings of the row, by the incarnations of endpoints.
+// DiffRateCaps returns the rate caps that differ between two reads of the notices, by the incarnation of the endpoint.
+// A removed one is zero.
 func DiffRateCaps(before, after map[string]model.RateCap) map[string]model.RateCap {
 	change := map[string]model.RateCap{}
 	for incarnation, rateCap := range after {
@@ -104,7 +105,7 @@
 	return change
 }
 
-// DiffHeld returns what has changed between two readings of the row.
+// DiffHeld returns the change of the held requests between two reads of the notices.
 func DiffHeld(before, after []kernel.HeldRequest) kernel.QuarantineChange {
 	var change kernel.QuarantineChange
 	indexOf := func(held []kernel.HeldRequest, digest model.Digest) int {
--- a/table/settings.go
+++ b/table/settings.go
@@ -19,38 +19,39 @@
 	documentPrefix   = "settings/documents/"
 	historyPrefix    = "settings/history/"
 	historyKeyFormat = historyPrefix + "%012d"
-	// maxSettingsAttempts bounds how often a change is tried again because another document
-	// changed at the same moment.
+	// maxSettingsAttempts bounds the attempts of an operation that conflicts with a change of another document at the
+	// same time.
 	maxSettingsAttempts = 8
 	resolveRetryPause   = 150 * time.Millisecond
-	// conflictPauseUnit doubles with each try: another document's change is over at once, but
-	// reads may be stale for seconds.
+	// The pause after a conflict begins at twice conflictPauseUnit and doubles with each attempt: the change of another
+	// document is over at once, but reads may be stale for seconds.
 	conflictPauseUnit = 10 * time.Millisecond
 )
 
+// head is the row that holds the newest revision of the settings.
 type head struct {
 	Revision uint64
 }
 
-// ChangeOutcome says what became of a change of settings.
+// ChangeOutcome is the outcome of a change of settings.
 type ChangeOutcome string
 
 // The outcomes of a change.
 const (
 	Applied    ChangeOutcome = "Applied"
 	NotApplied ChangeOutcome = "NotApplied"
-	// Unknown: ask again by the operation's number.
+	// Unknown means that the change may have been applied. Repeating it with the same operation number shows whether it
+	// was.
 	Unknown ChangeOutcome = "Unknown"
 )
 
-// Head returns the fleet's head revision; zero if nothing was ever set.
+// Head returns the newest revision of the settings, or zero if nothing was ever set.
 func (s *Store) Head(ctx context.Context) (uint64, error) {
 	h, _, err := s.head(ctx)
 	return h.Revision, err
 }
 
-// Snapshot returns all documents, at a head revision that was the same before and after
-// they were read.
+// Snapshot returns all documents, as of a revision that was the newest both before and after they were read.
 func (s *Store) Snapshot(ctx context.Context) (model.Snapshot, error) {
 	for range maxSettingsAttempts {
 		before, err := s.Head(ctx)
@@ -72,13 +73,13 @@
 	return model.Snapshot{}, errors.Wrap(ErrUnavailable, "the settings kept changing or the reads were stale")
 }
 
-// Document returns the document at a path; the zero document if there is none.
+// Document returns the document at a path, or the zero document if there is none.
 func (s *Store) Document(ctx context.Context, path string) (model.Document, error) {
 	doc, _, err := s.document(ctx, path)
 	return doc, err
 }
 
-// History returns the changes of a path, oldest first; all changes for an empty path.
+// History returns the changes of the document at a path, oldest first, or all changes if the path is empty.
 func (s *Store) History(ctx context.Context, path string) ([]model.Document, error) {
 	all, err := s.documents(ctx, historyPrefix)
 	if err != nil || path == "" {
@@ -93,9 +94,9 @@
 	return changes, nil
 }
 
-// SetDocument makes a change if the document still has the base revision. The document, the
-// head and the history change in one transaction. On NotApplied with a nil error, current is
-// the document that won the race. The operation's number makes the change idempotent.
+// SetDocument changes a document if its revision is still base. It writes the document, the head and the history in one
+// transaction. If the outcome is NotApplied and the error nil, current is the document as another change left it. The
+// operation number makes the change idempotent.
 func (s *Store) SetDocument(ctx context.Context, doc model.Document, base uint64) (outcome ChangeOutcome, current model.Document, err error) {
 	for attempt := range maxSettingsAttempts {
 		if attempt > 0 && !clock.Sleep(ctx, conflictPauseUnit<<attempt) {
@@ -136,7 +137,8 @@
 	return NotApplied, model.Document{}, errors.Wrap(ErrUnavailable, "the settings kept changing or the reads were stale")
 }
 
-// resolveNewerDocument tells an operation that was applied earlier from one that lost to another change.
+// resolveNewerDocument resolves a change whose document is newer than its base. If the history contains the operation,
+// the change was applied earlier; otherwise another change came first.
 func (s *Store) resolveNewerDocument(ctx context.Context, doc, current model.Document) (ChangeOutcome, model.Document, error) {
 	found, ok, err := s.FindOperation(ctx, doc.Operation)
 	if err != nil {
@@ -148,10 +150,9 @@
 	return NotApplied, current, nil
 }
 
-// resolveUnknownCommit settles a write whose answer was lost. Either the history row that it would
-// have written is there and tells whose it is; or it is absent and the head row is written
-// anew in the same transaction, so that the lost write, which demands the head's old
-// version, can never take effect any more.
+// resolveUnknownCommit resolves a change whose reply was lost. If the history row that it writes exists, that row shows
+// which operation wrote it. If not, a transaction that requires its absence writes the head anew; the lost transaction,
+// which requires the old version of the head, can then no longer take effect.
 func (s *Store) resolveUnknownCommit(ctx context.Context, doc model.Document, headVersion uint64) (ChangeOutcome, model.Document, error) {
 	key := fmt.Sprintf(historyKeyFormat, doc.Revision)
 	headValue, _ := json.Marshal(head{Revision: doc.Revision - 1})
@@ -274,7 +275,8 @@
 	return newest
 }
 
-// SeedTransaction writes a document whatever the table holds, for stand-ins.
+// SeedTransaction returns a transaction that writes a document unconditionally, for the simulated platform of package
+// standin.
 func SeedTransaction(doc model.Document) Transaction {
 	tx := settingsTransaction(doc, 0, 0)
 	tx.Conditions = nil
--- a/table/slowwrite_test.go
+++ b/table/slowwrite_test.go
@@ -16,16 +16,16 @@
 	"basilstall.example/basilstall/table"
 )
 
-// minLinkBytesPerSecond is what the slowest links of hosts carry, in bytes a second.
+// linkBytesPerSecond is the bandwidth of the slowest links of hosts.
 const linkBytesPerSecond = 1_250_000
 
 type (
-	// slowUplink is a connection on which what is sent takes the time of the slowest links; what comes back takes none.
+	// slowUplink is a connection that sends at linkBytesPerSecond and receives without delay.
 	slowUplink struct {
 		net.Conn
 	}
 
-	// pipes listens for the one connection that is dialled.
+	// pipeListener is a net.Listener that accepts the server ends of pipes.
 	pipeListener chan net.Conn
 )
 
@@ -45,13 +45,10 @@
 func (p pipeListener) Close() error   { close(p); return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// What was seen: a test of reads over a slow link failed once beside much else, in its first step, as "the service is not
-// available".
-// How it came about: the write of a large document took longer than a call may take, and was taken back.
-// The cause: a limit on the whole of a write, whatever it carries. A document of the largest size that operators may
-// write, and its copy in the history, take longer than that over the slowest links of hosts, and could never be written.
-// What proved it: the error is that of a write that was taken back after its answer did not come in time. Time is made up
-// here: on a busy machine the work of sending and reading the document took more of it than the link.
+// A fixed timeout on a whole write, whatever its size, cancels the write of a document of the largest size that
+// operators may write: with its copy in the history, it takes longer than that over the slowest links of hosts.
+// SetDocument then returns ErrUnavailable each time, and the document can never be written. The test simulates time,
+// since on a busy machine encoding and decoding the document would take more of the timeout than the link.
 func TestLargeDocumentWriteOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		written := 0
--- a/table/store.go
+++ b/table/store.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// callTimeout bounds a transaction, beside the time that its bytes take, and the time in which nothing comes of a
-	// read: a silent connection must not hold up what needs the table, but large documents may take long over a slow
-	// link.
+	// callTimeout bounds a transaction, in addition to the time that sending its bytes takes, and the time without a
+	// byte during a read. A silent connection must not block the users of the table, but a large document may take long
+	// over a slow link.
 	callTimeout = 2 * time.Second
-	// linkBytesPerSecond is what the slowest links of hosts carry, 10 Mbit/s, in bytes a second.
+	// minLinkBytesPerSecond is the bandwidth of the slowest links of hosts, 10 Mbit/s.
 	minLinkBytesPerSecond = 1_250_000
-	// maxRowsBytes bounds a read's bytes, and maxReadTime its time: what 10 Mbit/s take for that.
+	// maxRowsBytes bounds the size of a read, and maxReadTime its duration: the time that 10 Mbit/s take for that size.
 	maxRowsBytes = 64 << 20
 	maxReadTime  = 54 * time.Second
 )
 
-// Store reads and writes the project's rows. It is safe for concurrent use.
+// Store reads and writes the rows of the table service. It is safe for concurrent use.
 type Store struct {
 	// Dial opens a connection to the platform.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -40,7 +40,7 @@
 	writeCount atomic.Uint64
 }
 
-// NewStore returns a store for the platform at an address, HOST:PORT.
+// NewStore returns a Store for the platform at an address of the form HOST:PORT.
 func NewStore(address string) *Store {
 	s := &Store{Dial: (&net.Dialer{}).DialContext, baseURL: "http://" + address}
 	s.client = &http.Client{Transport: &http.Transport{
@@ -52,10 +52,10 @@
 	return s
 }
 
-// Reads returns how many reads were sent.
+// Reads returns the number of reads that were sent.
 func (s *Store) Reads() uint64 { return s.readCount.Load() }
 
-// Writes returns how many transactions were sent.
+// Writes returns the number of transactions that were sent.
 func (s *Store) Writes() uint64 { return s.writeCount.Load() }
 
 // Close closes idle connections.
@@ -73,13 +73,13 @@
 	return rows[0], nil
 }
 
-// List returns the rows whose keys begin with a prefix, in order of their keys.
+// List returns the rows whose keys begin with a prefix, in the order of their keys.
 func (s *Store) List(ctx context.Context, prefix string) ([]Row, error) {
 	return s.read(ctx, "prefix", prefix)
 }
 
-// Commit carries a transaction out. A *Conflict or ErrUnavailable says that nothing was
-// written; ErrUnknown leaves that open.
+// Commit commits a transaction and returns its version. A *Conflict or ErrUnavailable means that nothing was written;
+// after ErrUnknown, the transaction may have taken effect.
 func (s *Store) Commit(ctx context.Context, tx Transaction) (uint64, error) {
 	body, err := json.Marshal(tx)
 	if err != nil {
@@ -108,8 +108,8 @@
 	return decodeCommitReply(res)
 }
 
-// commitTimeout returns how long a transaction of so many bytes may take. Unlike a read's bytes, those that are sent
-// can't be heard arriving: the system takes them at once.
+// commitTimeout returns the timeout of a transaction of the given size in bytes. It depends on the size because the
+// progress of sending cannot be observed, unlike that of a read: the operating system accepts the bytes at once.
 func commitTimeout(size int) time.Duration {
 	return callTimeout + time.Duration(size)*time.Second/minLinkBytesPerSecond
 }
@@ -135,6 +135,7 @@
 	}
 }
 
+// read returns the rows that a query parameter, "key" or "prefix", selects.
 func (s *Store) read(ctx context.Context, parameter, value string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
--- a/table/store_test.go
+++ b/table/store_test.go
@@ -60,7 +60,7 @@
 	claims := kernel.NewClaims(start, start, start.Add(time.Second), members, "w1")
 	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
 	_, err = store.CompareAndSwapClaims(t.Context(), version, empty, claims)
-	must.NoError(t, err, must.Sprint("recognised by its writer"))
+	must.NoError(t, err, must.Sprint("the write is recognised by its writer"))
 	_, err = store.CompareAndSwapClaims(t.Context(), version, empty, kernel.NewClaims(start, start, start, members, "w2"))
 	must.Error(t, err)
 	got, _, err := store.Claims(t.Context(), kernel.Claims{})
@@ -93,30 +93,30 @@
 	must.EqOp(t, 1, doc.Revision)
 	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
 	outcome, doc = change("op2", "Horizon: 2s", 1)
-	must.EqOp(t, table.Applied, outcome, must.Sprint("resolved by the history row"))
+	must.EqOp(t, table.Applied, outcome, must.Sprint("the outcome is resolved by the history row"))
 	must.EqOp(t, 2, doc.Revision)
 	outcome, doc = change("op2", "Horizon: 2s", 1)
-	must.EqOp(t, table.Applied, outcome, must.Sprint("asked again"))
+	must.EqOp(t, table.Applied, outcome, must.Sprint("the change is repeated"))
 	must.EqOp(t, 2, doc.Revision)
 	outcome, doc = change("op3", "Horizon: 3s", 1)
 	must.EqOp(t, table.NotApplied, outcome)
-	must.EqOp(t, "op2", doc.Operation, must.Sprint("the winner is shown"))
+	must.EqOp(t, "op2", doc.Operation, must.Sprint("the change that came first is returned"))
 	outcome, _ = change("op4", "Horizon: 4s", 2)
 	must.EqOp(t, table.Applied, outcome)
 	outcome, doc = change("op2", "Horizon: 2s", 1)
-	must.EqOp(t, table.Applied, outcome, must.Sprint("applied once, and overwritten since"))
+	must.EqOp(t, table.Applied, outcome, must.Sprint("the change was applied once and overwritten later"))
 	must.EqOp(t, 2, doc.Revision)
 }
 
-// Seen with the routing of another interface: a limit on the whole answer has one that outgrows its link
-// given up and read again for good. All documents of the settings are one answer, too.
+// A time limit on the whole answer, instead of on the time without a byte, would end a read whose answer is too large
+// for its link, and it would fail each time that it is repeated. All documents of the settings are one answer.
 func TestSnapshotOverSlowLink(t *testing.T) {
 	direct, s := newStore(t)
 	document := model.Document{Path: "teams/a", Operation: "1", YAML: strings.Repeat("# a long comment\n", 60_000)}
 	outcome, _, err := direct.SetDocument(t.Context(), document, 0)
 	must.NoError(t, err)
 	must.EqOp(t, table.Applied, outcome)
-	// 1 MB takes 3 s.
+	// The document of 1 MB takes 3 s over this link.
 	link := standin.NewLink(s.Address(), 32<<10, 100*time.Millisecond)
 	t.Cleanup(link.Close)
 	store := table.NewStore(link.Address())
