--- a/follow/log.go
+++ b/follow/log.go
@@ -10,69 +10,71 @@
 )
 
 const (
-	// largeAnswer is from how many bytes on an answer is logged: it fills a link of 10 Mbit/s for 50 ms.
-	largeAnswer = 64 << 10
-	// givenUpEvery is the least time between two lines on answers that were given up.
-	givenUpEvery = time.Second
+	// largeAnswerBytes is the size from which answers are logged: it occupies a link of 10 Mbit/s for 50 ms.
+	largeAnswerBytes = 64 << 10
+	// failureLogInterval is the minimum time between two log lines about failed answers.
+	failureLogInterval = time.Second
 
-	// fromStore and fromNode say in metrics whose answer it was.
+	// fromStore and fromNode are the values of the metrics label "from".
 	fromStore = "store"
 	fromNode  = "node"
 )
 
-// taken is an answer that was taken in.
-type taken struct {
-	table   string
-	from    string
+// answerStats describes an answer that was applied.
+type answerStats struct {
+	table string
+	// source is fromStore, or the name of the node that answered.
+	source  string
 	version uint64
 	// size is in bytes.
 	size int64
-	// elapsed is the time since the question; transfer that since the answer's first byte, where it is
-	// known; applied how long it took to decode and apply it.
+	// elapsed is the time from the request to the end of the answer, transfer the part of it from the first byte of the
+	// answer on (zero if unknown), and applied the time to apply the answer, including decompression.
 	elapsed  time.Duration
 	transfer time.Duration
 	applied  time.Duration
 }
 
-// noteTaken counts an answer, and logs a large one: whose it was, and what its time went into.
-func (f *Follower) noteTaken(a taken) {
-	f.metrics.FeedTaken(kindOf(a.from), a.size, a.elapsed)
-	if a.size < largeAnswer {
+// recordAnswer counts an answer in the metrics. It logs a large one with its source and the time spent in each phase.
+func (f *Follower) recordAnswer(s answerStats) {
+	f.metrics.FeedTaken(sourceKind(s.source), s.size, s.elapsed)
+	if s.size < largeAnswerBytes {
 		return
 	}
-	f.log.Info().Str("Table", a.table).Str("From", a.from).Uint64("Version", a.version).Int64("Bytes", a.size).
-		Dur("Elapsed", a.elapsed).Dur("Transfer", a.transfer).Dur("Applied", a.applied).Msg("large answer taken")
+	f.log.Info().Str("Table", s.table).Str("From", s.source).Uint64("Version", s.version).Int64("Bytes", s.size).
+		Dur("Elapsed", s.elapsed).Dur("Transfer", s.transfer).Dur("Applied", s.applied).Msg("large answer taken")
 }
 
-// noteGivenUp counts what had come of an answer that was given up. At most one a second is logged: one that
-// keeps on coming in vain tells how much of it came each time.
-func (f *Follower) noteGivenUp(from, table string, err error) {
-	received, transfer := receivedOf(err)
-	f.metrics.FeedGivenUp(kindOf(from), received)
+// recordFailure counts the bytes that were received of an answer that failed. It logs an answer that was received in
+// part, at most one per failureLogInterval. If the same one fails again and again, the lines show how much is received
+// each time.
+func (f *Follower) recordFailure(source, table string, err error) {
+	received, transfer := partialTransfer(err)
+	f.metrics.FeedGivenUp(sourceKind(source), received)
 	now := clock.Now().UnixNano()
-	last := f.givenUpAt.Load()
-	if received == 0 || now-last < int64(givenUpEvery) || !f.givenUpAt.CompareAndSwap(last, now) {
+	lastLogged := f.failureLoggedAt.Load()
+	if received == 0 || now-lastLogged < int64(failureLogInterval) || !f.failureLoggedAt.CompareAndSwap(lastLogged, now) {
 		return
 	}
-	f.log.Warn().Str("Table", table).Str("From", from).Int64("Received", received).Dur("Transfer", transfer).
+	f.log.Warn().Str("Table", table).Str("From", source).Int64("Received", received).Dur("Transfer", transfer).
 		Err(err).Msg("answer given up")
 }
 
-// receivedOf returns how many bytes of an answer had come, and in which time where it is known.
-func receivedOf(err error) (int64, time.Duration) {
-	var cut *CutError
-	if errors.As(err, &cut) {
-		return cut.Received, cut.Transfer
+// partialTransfer returns how many bytes were received of an answer that failed, and in which time (zero if unknown).
+func partialTransfer(err error) (int64, time.Duration) {
+	var truncated *TruncatedError
+	if errors.As(err, &truncated) {
+		return truncated.Received, truncated.Transfer
 	}
-	var call *peer.CallError
-	if errors.As(err, &call) {
-		return call.Received, 0
+	var callErr *peer.CallError
+	if errors.As(err, &callErr) {
+		return callErr.Received, 0
 	}
 	return 0, 0
 }
 
-func kindOf(from string) string {
-	if from == fromStore {
+func sourceKind(source string) string {
+	if source == fromStore {
 		return fromStore
 	}
 	return fromNode
--- a/list/list.go
+++ b/list/list.go
@@ -1,5 +1,5 @@
-// Package list speaks to the platform's list of live and leaving hosts and endpoints. The list
-// lags; it is one witness among several.
+// Package list is a client of the platform's list of live and leaving hosts and endpoints. The list lags behind; it is
+// only one of several sources of the state of a host.
 package list
 
 import (
@@ -17,39 +17,40 @@
 )
 
 const (
-	// Path is the list's.
+	// Path is the path of the list.
 	Path = "/list"
-	// HostsPath takes a host's own entry.
+	// HostsPath is the path to which a host's own entry is sent.
 	HostsPath = "/list/hosts"
-	// callTimeout bounds an announcement, and the time in which nothing comes of the list.
+	// callTimeout bounds an announcement, and the time without a byte while the list is read.
 	callTimeout = 2 * time.Second
-	// mostList bounds the list's bytes, some 100 an entry, and readMost its time: what 10 Mbit/s take for that.
-	mostList = 16 << 20
-	readMost = 13 * time.Second
+	// maxListBytes bounds the size of the list, at some 100 bytes per entry, and maxReadTime the time to read it: what
+	// 10 Mbit/s take for that size.
+	maxListBytes = 16 << 20
+	maxReadTime  = 13 * time.Second
 )
 
-// Client reads the list and announces the node's own host.
+// Client reads the list and announces the host of this node.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
-// NewClient returns a client for the platform at an address, HOST:PORT.
+// NewClient returns a client for the platform at an address of the form HOST:PORT.
 func NewClient(address string) *Client {
 	return &Client{
-		base:   "http://" + address,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
+		baseURL: "http://" + address,
+		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
 	}
 }
 
-// Get returns the list as the platform gives it now.
+// Get returns the current list.
 func (c *Client) Get(ctx context.Context) (model.HostList, error) {
 	var hosts model.HostList
-	ctx, cancel := context.WithTimeout(ctx, readMost)
+	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
 	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+Path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+Path, nil)
 	if err != nil {
 		return hosts, errors.Wrap(err, "list: unable to make a request")
 	}
@@ -62,13 +63,13 @@
 	if res.StatusCode != http.StatusOK {
 		return hosts, errors.Errorf("list: unable to read: %s", res.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(silence.Reader(res.Body), mostList)).Decode(&hosts); err != nil {
+	if err := json.NewDecoder(io.LimitReader(silence.Reader(res.Body), maxListBytes)).Decode(&hosts); err != nil {
 		return hosts, errors.Wrap(err, "list: unable to decode")
 	}
 	return hosts, nil
 }
 
-// Announce tells the platform of the node's own host.
+// Announce sends the entry of the host of this node to the platform.
 func (c *Client) Announce(ctx context.Context, host model.Host) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -76,7 +77,7 @@
 	if err != nil {
 		return errors.Wrap(err, "list: unable to encode")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+HostsPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+HostsPath, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "list: unable to make a request")
 	}
