--- a/dispatch/listed_test.go
+++ b/dispatch/listed_test.go
@@ -13,17 +13,18 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Seen in review: an endpoint that the list left out once and named again, as after an outage of the list, was new to each
-// node, and each of those that share what it takes called it at once. Cause: when it was last called was forgotten with its
-// entry. Proved by: this test on the code before.
-func TestAnEndpointThatTheListLeavesOutOnceIsRemembered(t *testing.T) {
+// Guards against a burst of calls to an endpoint that the list drops and lists again, as after an outage of the list.
+// If the time of the last call were lost with the entry, all nodes that share a rate cap or cold limit of the endpoint
+// would call it at once.
+func TestRelistedEndpointKeepsLastCallTime(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
-		after model.Endpoint
+		relisted model.Endpoint
+		// known is true if the time of the last call is kept.
 		known bool
 	}{
-		"the same process": {model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}, true},
-		"another address":  {model.Endpoint{Name: "a", Pool: "p", Address: "a:2"}, false},
+		"same address":    {model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}, true},
+		"another address": {model.Endpoint{Name: "a", Pool: "p", Address: "a:2"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -39,12 +40,12 @@
 			listed := model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}
 			other := model.Endpoint{Name: "b", Pool: "other", Address: "b:1"}
 			d.SetEndpoints([]model.Endpoint{listed, other})
-			must.NoError(t, run(t, d))
+			must.NoError(t, runStage(t, d))
 			d.SetEndpoints([]model.Endpoint{other})
-			d.SetEndpoints([]model.Endpoint{tc.after, other})
+			d.SetEndpoints([]model.Endpoint{tc.relisted, other})
 			must.SliceLen(t, 1, d.Endpoints("p"))
 			calledAt = time.Time{}
-			must.NoError(t, run(t, d))
+			must.NoError(t, runStage(t, d))
 			must.EqOp(t, tc.known, !calledAt.IsZero())
 		})
 	}
--- a/endpoint/exchanger.go
+++ b/endpoint/exchanger.go
@@ -15,22 +15,24 @@
 )
 
 const (
-	// unstatedIdle is how long a connection is kept whose endpoint states no idle timeout.
-	unstatedIdle = 900 * time.Millisecond
-	// idleMargin is taken off a stated idle timeout: the endpoint's end of it may be on its way.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint states no idle timeout.
+	defaultIdleTimeout = 900 * time.Millisecond
+	// idleMargin is subtracted from a stated idle timeout, since the endpoint's close may still be in transit.
 	idleMargin = 500 * time.Millisecond
-	// userTimeout ends a connection whose written bytes nobody acknowledges: a partition.
-	userTimeout   = 2500 * time.Millisecond
+	// userTimeout is the TCP user timeout: a connection whose data is not acknowledged for that long, as in a network
+	// partition, is closed.
+	userTimeout = 2500 * time.Millisecond
+	// keepAliveIdle is the time before the first TCP keep-alive probe and between probes.
 	keepAliveIdle = time.Second
 )
 
 type (
-	// Exchanger keeps connections to endpoints, each of which carries one exchange at a time.
-	// It never sends anything twice. It is safe for concurrent use.
+	// Exchanger keeps a pool of connections to endpoints, each of which carries one exchange at a time. It never
+	// resends a request. It is safe for concurrent use.
 	Exchanger struct {
-		// Now is the clock by which connections age.
+		// Now returns the time, from which the age of idle connections is computed.
 		Now func() time.Time
-		// OnConnect is called for each connection opened.
+		// OnConnect is called after each connection is opened.
 		OnConnect func()
 
 		dialer net.Dialer
@@ -41,19 +43,19 @@
 	exchangeConn struct {
 		conn    net.Conn
 		raw     syscall.RawConn
-		head    *limitedHead
+		limiter *headerLimiter
 		reader  *bufio.Reader
 		address string
-		// mostIdle is how many idle connections there may be to the address.
-		mostIdle int
-		// used is true once it has carried an exchange.
+		// maxIdleConns is the maximum number of idle connections to the address.
+		maxIdleConns int
+		// used is true once the connection has been put back as idle.
 		used bool
-		// wrote is true once bytes of the current request may have left.
-		wrote     atomic.Bool
+		// maybeSent is true once bytes of the current request may have been sent.
+		maybeSent atomic.Bool
 		idleSince time.Time
-		// idleFor is how long it may stay idle.
-		idleFor time.Duration
-		once    sync.Once
+		// idleTimeout is how long the connection may stay idle.
+		idleTimeout time.Duration
+		closeOnce   sync.Once
 	}
 )
 
@@ -61,30 +63,30 @@
 func NewExchanger(now func() time.Time) *Exchanger {
 	x := &Exchanger{Now: now, OnConnect: func() {}, idle: map[string][]*exchangeConn{}}
 	x.dialer = net.Dialer{
-		Timeout:         exchangeDial,
-		Control:         BoundSilence(userTimeout),
+		Timeout:         dialTimeout,
+		Control:         TCPUserTimeout(userTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveIdle, Count: 2},
 	}
 	return x
 }
 
-// BoundSilence returns a control function for dialers that makes the system give a connection up
-// whose written bytes nobody acknowledges for a time.
-func BoundSilence(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+// TCPUserTimeout returns a control function for net.Dialer that sets the TCP user timeout: the system closes a
+// connection whose data is not acknowledged for that long.
+func TCPUserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit/time.Millisecond))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optionErr
 	}
 }
 
-// connection returns an idle connection that shows no sign of its end, or a new one.
-func (x *Exchanger) connection(ctx context.Context, e Exchange) (*exchangeConn, *Fault) {
+// getConn returns a usable idle connection, or a new one.
+func (x *Exchanger) getConn(ctx context.Context, e Exchange) (*exchangeConn, *Fault) {
 	now := x.Now()
 	for {
 		c := x.takeIdle(e.Address)
@@ -92,7 +94,7 @@
 			break
 		}
 		age := now.Sub(c.idleSince)
-		if age < c.idleFor && age <= e.FreshAfter && c.quiet() {
+		if age < c.idleTimeout && age <= e.MaxConnIdleTime && c.usable() {
 			return c, nil
 		}
 		c.close()
@@ -115,27 +117,27 @@
 		return nil, err
 	}
 	x.OnConnect()
-	c := &exchangeConn{conn: conn, head: &limitedHead{conn: conn}, address: address}
-	c.reader = bufio.NewReaderSize(c.head, exchangeBuffer)
+	c := &exchangeConn{conn: conn, limiter: &headerLimiter{conn: conn}, address: address}
+	c.reader = bufio.NewReaderSize(c.limiter, readBufferBytes)
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		c.raw, _ = tcp.SyscallConn()
 	}
 	return c, nil
 }
 
-// Connect opens a connection to an address, which the next exchange with it uses: its error tells whether anything
+// Connect opens a connection to an address and keeps it for the next exchange. The error shows whether a process
 // listens there.
 func (x *Exchanger) Connect(ctx context.Context, address string) error {
 	c, err := x.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	c.mostIdle = 1
-	x.keep(c, unstatedIdle)
+	c.maxIdleConns = 1
+	x.putIdle(c, defaultIdleTimeout)
 	return nil
 }
 
-// takeIdle returns the connection that was idle for the shortest time.
+// takeIdle removes and returns the connection that has been idle for the shortest time, or nil.
 func (x *Exchanger) takeIdle(address string) *exchangeConn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -153,18 +155,19 @@
 	return c
 }
 
-// keep puts a connection back for the next exchange.
-func (x *Exchanger) keep(c *exchangeConn, idle time.Duration) {
+// putIdle keeps a connection for the next exchange, for the given idle timeout. If that exceeds defaultIdleTimeout, the
+// endpoint has stated it and idleMargin is subtracted.
+func (x *Exchanger) putIdle(c *exchangeConn, timeout time.Duration) {
 	c.used = true
 	c.idleSince = x.Now()
-	c.idleFor = idle
-	if idle > unstatedIdle {
-		c.idleFor = idle - idleMargin
+	c.idleTimeout = timeout
+	if timeout > defaultIdleTimeout {
+		c.idleTimeout = timeout - idleMargin
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	conns := append(x.idle[c.address], c)
-	for len(conns) > c.mostIdle {
+	for len(conns) > c.maxIdleConns {
 		conns[0].close()
 		conns = conns[1:]
 	}
@@ -175,15 +178,15 @@
 	x.idle[c.address] = conns
 }
 
-// Sweep closes the connections that have been idle for too long.
-func (x *Exchanger) Sweep() {
+// CloseExpired closes the connections that have been idle for longer than their idle timeout.
+func (x *Exchanger) CloseExpired() {
 	now := x.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for address, conns := range x.idle {
 		kept := conns[:0:0]
 		for _, c := range conns {
-			if now.Sub(c.idleSince) < c.idleFor {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -207,22 +210,22 @@
 	delete(x.idle, address)
 }
 
-// quiet tells whether nothing can be read: neither the connection's end nor bytes that belong
-// to no request.
-func (c *exchangeConn) quiet() bool {
+// usable reports whether nothing can be read from an idle connection: neither its end nor bytes that belong to no
+// request.
+func (c *exchangeConn) usable() bool {
 	if c.reader.Buffered() > 0 || c.raw == nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, err := unix.Read(int(fd), one[:])
-		quiet = err == unix.EAGAIN
+		var buffer [1]byte
+		_, err := unix.Read(int(fd), buffer[:])
+		empty = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 func (c *exchangeConn) close() {
-	c.once.Do(func() { _ = c.conn.Close() })
+	c.closeOnce.Do(func() { _ = c.conn.Close() })
 }
--- a/follow/news.go
+++ b/follow/news.go
@@ -6,38 +6,40 @@
 	"time"
 )
 
-// news wakes those who wait for something new. It is safe for concurrent use.
-type news struct {
-	mu   sync.Mutex
-	told chan struct{}
+// broadcaster wakes goroutines that wait for a change of state. It is safe for concurrent use.
+type broadcaster struct {
+	mu sync.Mutex
+	// signal is closed and replaced by each Broadcast.
+	signal chan struct{}
 }
 
-func newNews() *news {
-	return &news{told: make(chan struct{})}
+func newBroadcaster() *broadcaster {
+	return &broadcaster{signal: make(chan struct{})}
 }
 
-// Tell wakes all who wait.
-func (n *news) Tell() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	close(n.told)
-	n.told = make(chan struct{})
+// Broadcast wakes all goroutines that wait.
+func (b *broadcaster) Broadcast() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	close(b.signal)
+	b.signal = make(chan struct{})
 }
 
-// next is closed at the next news.
-func (n *news) next() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.told
+// next returns a channel that is closed by the next Broadcast.
+func (b *broadcaster) next() <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.signal
 }
 
-// Await waits until something holds, looking at each news, for a time at most.
-func (n *news) Await(ctx context.Context, most time.Duration, holds func() bool) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// Await waits until the condition holds, checking it after each Broadcast. It returns early at the timeout or when ctx
+// ends.
+func (b *broadcaster) Await(ctx context.Context, timeout time.Duration, condition func() bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		next := n.next()
-		if holds() {
+		next := b.next()
+		if condition() {
 			return
 		}
 		select {
--- a/follow/read.go
+++ b/follow/read.go
@@ -10,28 +10,28 @@
 	"basilstall.example/basilstall/clock"
 )
 
-// read reads a table from the store for as long as this node is to.
-func (f *Follower) read(ctx context.Context, t *followed) {
-	retry := retryFirst
+// readLoop reads a table from the store, while this node is to read it, until ctx ends.
+func (f *Follower) readLoop(ctx context.Context, t *followedTable) {
+	retryPause := minRetryPause
 	for ctx.Err() == nil {
-		if !f.reads.Load() || t.Undated && !f.decided.Load() {
-			clock.Sleep(ctx, idlePause)
+		if !f.readsStore.Load() || t.IgnoreAge && !f.decided.Load() {
+			clock.Sleep(ctx, roleCheckInterval)
 			continue
 		}
-		if f.waitsForLead(ctx, t) {
+		if f.waitForFirstTable(ctx, t) {
 			continue
 		}
-		err := f.ask(ctx, t)
-		f.note(ctx, t, err)
-		pause := t.Pause
-		if err == nil && f.settles(ctx) {
+		err := f.fetch(ctx, t)
+		f.recordResult(ctx, t, err)
+		pause := t.PollInterval
+		if err == nil && f.decideRole(ctx) {
 			continue
 		}
 		if err != nil {
-			pause = jittered(retry)
-			retry = min(2*retry, f.longestRetry())
+			pause = jittered(retryPause)
+			retryPause = min(2*retryPause, f.retryPauseLimit())
 		} else {
-			retry = retryFirst
+			retryPause = minRetryPause
 		}
 		if pause > 0 {
 			clock.Sleep(ctx, pause)
@@ -39,114 +39,117 @@
 	}
 }
 
-// settles waits until all tables are known, and then decides whether this node goes on to read. It tells whether
-// it did so just now. After a common start each node reads each table once, and few ask again.
-func (f *Follower) settles(ctx context.Context) bool {
-	settled := false
-	f.news.Await(ctx, idlePause, f.knowsAll)
-	if f.knowsAll() {
-		f.settled.Do(func() {
+// decideRole waits until all tables are known, for roleCheckInterval at most, and then decides whether this node
+// continues to read the store. It reports whether this call made the decision, which is made only once. After a common
+// start, each node reads each table once and few continue to read.
+func (f *Follower) decideRole(ctx context.Context) bool {
+	decided := false
+	f.updates.Await(ctx, roleCheckInterval, f.allTablesKnown)
+	if f.allTablesKnown() {
+		f.decideOnce.Do(func() {
 			plan := f.plan()
-			f.setReads(plan.ReadStore, plan.Reason)
+			f.setReadsStore(plan.ReadStore, plan.Reason)
 			f.decided.Store(true)
-			settled = true
+			decided = true
 		})
 	}
-	return settled
+	return decided
 }
 
-// waitsForLead waits while the store answers neither for a table nor for the first one, and tells whether it did:
-// one question at a time finds out whether the store is back.
-func (f *Follower) waitsForLead(ctx context.Context, t *followed) bool {
-	lead := f.tables[0]
-	if t == lead || !t.down.Load() || !lead.down.Load() {
+// waitForFirstTable waits if the store answers neither for a table nor for the first table, and reports whether it
+// waited. Requests for one table are enough to find out whether the store is back.
+func (f *Follower) waitForFirstTable(ctx context.Context, t *followedTable) bool {
+	first := f.tables[0]
+	if t == first || !t.down.Load() || !first.down.Load() {
 		return false
 	}
-	f.news.Await(ctx, idlePause, func() bool { return !lead.down.Load() })
+	f.updates.Await(ctx, roleCheckInterval, func() bool { return !first.down.Load() })
 	return true
 }
 
-func (f *Follower) longestRetry() time.Duration {
-	if f.knowsAll() {
-		return retryMost
+func (f *Follower) retryPauseLimit() time.Duration {
+	if f.allTablesKnown() {
+		return maxRetryPause
 	}
-	return retryAlone
+	return maxInitialRetryPause
 }
 
 func jittered(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (1 - retryJitter + 2*retryJitter*rand.Float64()))
 }
 
-func (f *Follower) ask(ctx context.Context, t *followed) error {
-	began := clock.Now()
+func (f *Follower) fetch(ctx context.Context, t *followedTable) error {
+	startedAt := clock.Now()
 	t.mu.Lock()
 	after, known := t.replica.Version()
 	t.mu.Unlock()
 	if !known {
-		answer, err := f.store.Whole(ctx, t.Name)
+		answer, err := f.store.ReadAll(ctx, t.Name)
 		if err != nil {
 			return err
 		}
-		f.take(t, began, answer, true)
+		f.applyAnswer(t, startedAt, answer, true)
 		return nil
 	}
 	hold := t.Hold
 	if t.down.Load() {
-		// What is known is already old: an answer is wanted at once.
+		// The replica is old already: request an immediate answer.
 		hold = 0
 	}
-	answer, err := f.store.Changes(ctx, t.Name, after, hold)
-	// Changes may name a row many times, the table names it once: what has grown too long to tell is read whole.
+	answer, err := f.store.ReadChanges(ctx, t.Name, after, hold)
+	// The changes may contain a row many times, the whole table contains it once: if the changes are too large for an
+	// answer, the whole table is read.
 	if errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrTooLong) {
-		f.metrics.Event(wholeReason(err))
+		f.metrics.Event(fullReadEvent(err))
 		f.log.Info().Str("Table", t.Name).Uint64("After", after).Err(err).Msg("reading the whole table")
-		if answer, err = f.store.Whole(ctx, t.Name); err == nil {
-			f.take(t, began, answer, true)
+		if answer, err = f.store.ReadAll(ctx, t.Name); err == nil {
+			f.applyAnswer(t, startedAt, answer, true)
 		}
 		return err
 	}
 	if err != nil {
 		return err
 	}
-	f.take(t, began, answer, false)
+	f.applyAnswer(t, startedAt, answer, false)
 	return nil
 }
 
-// wholeReason names in metrics why a table is read whole.
-func wholeReason(err error) string {
+// fullReadEvent returns the metrics event for the reason why the whole table is read.
+func fullReadEvent(err error) string {
 	if errors.Is(err, ErrTooLong) {
 		return "StoreAnswerTooLong"
 	}
 	return "StoreHistoryGone"
 }
 
-// take takes in what the store answered to a question that began at a time.
-func (f *Follower) take(t *followed, began time.Time, answer Answer, whole bool) {
-	came := clock.Now()
+// applyAnswer applies the store's answer to a request that was sent at startedAt.
+func (f *Follower) applyAnswer(t *followedTable, startedAt time.Time, answer Answer, whole bool) {
+	receivedAt := clock.Now()
 	t.mu.Lock()
-	news := t.replica.Apply(began, answer.Rows, answer.Version, whole)
-	t.Apply(t.replica.ProvenAt(), news)
+	changes := t.replica.Apply(startedAt, answer.Rows, answer.Version, whole)
+	t.Apply(t.replica.ProvenAt(), changes)
 	t.mu.Unlock()
-	f.noteTaken(taken{
-		table: t.Name, from: fromStore, version: answer.Version, size: answer.Bytes,
-		elapsed: came.Sub(began), transfer: answer.Transfer, applied: clock.Now().Sub(came),
+	f.recordAnswer(answerStats{
+		table: t.Name, source: fromStore, version: answer.Version, size: answer.Bytes,
+		elapsed: receivedAt.Sub(startedAt), transfer: answer.Transfer, applied: clock.Now().Sub(receivedAt),
 	})
 }
 
-// note logs when the store stops and begins to answer.
-func (f *Follower) note(ctx context.Context, t *followed, err error) {
+// recordResult records whether the store answered for a table. It logs when the store stops answering and when it
+// answers again.
+func (f *Follower) recordResult(ctx context.Context, t *followedTable, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		f.metrics.Event("StoreFailed")
-		f.noteGivenUp(fromStore, t.Name, err)
+		f.recordFailure(fromStore, t.Name, err)
 	}
-	was := t.down.Swap(err != nil)
+	wasDown := t.down.Swap(err != nil)
 	if err == nil {
-		f.news.Tell()
+		f.updates.Broadcast()
 	}
-	if was == (err != nil) {
+	if wasDown == (err != nil) {
 		return
 	}
 	t.mu.Lock()
--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -15,7 +15,7 @@
 	q := kernel.NewFairQueue()
 	push := func(customer string, weight, n int) {
 		for range n {
-			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart})
+			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart})
 		}
 	}
 	push("burst", 1, 500)
@@ -28,27 +28,27 @@
 	must.EqOp(t, 20, counts["small"])
 	must.EqOp(t, 80, counts["large"])
 	must.EqOp(t, 20, counts["burst"])
-	// Work-conserving: alone, the burst gets everything.
+	// The queue is work-conserving: without other customers the burst gets all of the service.
 	for range 480 {
 		must.EqOp(t, "burst", q.Pop().Customer)
 	}
 	must.Nil(t, q.Pop())
 }
 
-func TestCostAheadCountsOnlyWhatIsServedBefore(t *testing.T) {
+func TestCostAheadCountsEarlierWaiters(t *testing.T) {
 	q := kernel.NewFairQueue()
 	push := func(customer string, weight, n, seconds int) {
 		for range n {
-			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
+			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart.Add(time.Duration(seconds) * time.Second)})
 		}
 	}
 	push("burst", 1, 500, 5)
 	push("other", 2, 1, 5)
 	costAhead := func(customer string, weight, seconds int) float64 {
-		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
+		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart.Add(time.Duration(seconds) * time.Second)})
 	}
-	must.EqOp(t, 501, costAhead("burst", 1, 9), must.Sprint("after all of its own and those of the other customer"))
-	must.EqOp(t, 1, costAhead("burst", 1, 3), must.Sprint("the earliest deadline: before all of its own"))
+	must.EqOp(t, 501, costAhead("burst", 1, 9), must.Sprint("after all waiters of both customers"))
+	must.EqOp(t, 1, costAhead("burst", 1, 3), must.Sprint("the earliest deadline goes before the other waiters of its customer"))
 	must.EqOp(t, 2, costAhead("silent", 1, 9), must.Sprint("a customer without waiters waits for one round"))
 	must.EqOp(t, 0.5, costAhead("silent", 4, 9)-0.25, must.Sprint("a larger weight waits for less"))
 }
@@ -56,66 +56,67 @@
 func TestFairQueueServesOneCustomerByEarliestDeadline(t *testing.T) {
 	q := kernel.NewFairQueue()
 	for _, s := range []int{3, 1, 2} {
-		q.Push(&kernel.Waiter{Customer: "c", Cost: 1, Deadline: ledgerStart.Add(time.Duration(s) * time.Second)})
+		q.Push(&kernel.Waiter{Customer: "c", Cost: 1, Deadline: testStart.Add(time.Duration(s) * time.Second)})
 	}
 	for _, s := range []int{1, 2, 3} {
-		must.EqOp(t, ledgerStart.Add(time.Duration(s)*time.Second), q.Pop().Deadline)
+		must.EqOp(t, testStart.Add(time.Duration(s)*time.Second), q.Pop().Deadline)
 	}
 }
 
-func TestFairQueueGivesSingleWaiterNoMoreThanItsShare(t *testing.T) {
+func TestFairQueueLimitsSingleWaiterToItsShare(t *testing.T) {
 	// "one" always has a single waiter and must not get more than half.
 	q := kernel.NewFairQueue()
 	for range 300 {
-		q.Push(&kernel.Waiter{Customer: "many", Cost: 1, Deadline: ledgerStart})
+		q.Push(&kernel.Waiter{Customer: "many", Cost: 1, Deadline: testStart})
 	}
-	one := 0
-	q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: ledgerStart})
+	served := 0
+	q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: testStart})
 	for range 200 {
 		if q.Pop().Customer == "one" {
-			one++
-			q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: ledgerStart})
+			served++
+			q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: testStart})
 		}
 	}
-	must.Between(t, 99, one, 101)
+	must.Between(t, 99, served, 101)
 }
 
-// TestFairQueueLosesNoWaiter: whatever is pushed, removed and popped, each waiter leaves once.
+// TestFairQueueLosesNoWaiter checks that each waiter leaves the queue exactly once, whatever is pushed, popped and
+// removed.
 func TestFairQueueLosesNoWaiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := kernel.NewFairQueue()
-		inside := map[*kernel.Waiter]bool{}
+		queued := map[*kernel.Waiter]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				w := &kernel.Waiter{
 					Customer: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "customer")),
 					Weight:   rapid.IntRange(0, 3).Draw(t, "weight"),
 					Cost:     float64(rapid.IntRange(1, 9).Draw(t, "cost")),
-					Deadline: ledgerStart.Add(time.Duration(rapid.IntRange(0, 99).Draw(t, "deadline"))),
+					Deadline: testStart.Add(time.Duration(rapid.IntRange(0, 99).Draw(t, "deadline"))),
 				}
 				q.Push(w)
-				inside[w] = true
+				queued[w] = true
 			},
 			"pop": func(t *rapid.T) {
 				w := q.Pop()
-				must.EqOp(t, len(inside) > 0, w != nil)
+				must.EqOp(t, len(queued) > 0, w != nil)
 				if w != nil {
-					must.True(t, inside[w])
-					delete(inside, w)
+					must.True(t, queued[w])
+					delete(queued, w)
 					must.False(t, q.Remove(w))
 				}
 			},
 			"remove": func(t *rapid.T) {
-				for w := range inside {
+				for w := range queued {
 					must.True(t, q.Remove(w))
-					delete(inside, w)
+					delete(queued, w)
 					break
 				}
 			},
 			"": func(t *rapid.T) {
-				must.EqOp(t, len(inside), q.Len())
+				must.EqOp(t, len(queued), q.Len())
 				cost := 0.0
-				for w := range inside {
+				for w := range queued {
 					cost += w.Cost
 				}
 				must.InDelta(t, cost, q.Cost(), 0.001)
@@ -125,8 +126,8 @@
 }
 
 func TestCanFinishRefusesWithRetryDelay(t *testing.T) {
-	stage := func(median time.Duration, queued, places float64) kernel.StageEstimate {
-		return kernel.StageEstimate{Median: median, QueuedCost: queued, MaxInFlight: places}
+	stage := func(median time.Duration, queued, maxInFlight float64) kernel.StageEstimate {
+		return kernel.StageEstimate{Median: median, QueuedCost: queued, MaxInFlight: maxInFlight}
 	}
 	cases := []struct {
 		name       string
@@ -142,7 +143,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ok, retryAfter := kernel.CanFinish(ledgerStart, ledgerStart.Add(c.left), c.stages)
+			ok, retryAfter := kernel.CanFinish(testStart, testStart.Add(c.left), c.stages)
 			must.EqOp(t, c.ok, ok)
 			must.EqOp(t, c.retryAfter, retryAfter)
 		})
@@ -156,15 +157,15 @@
 	congested := kernel.PoolLoad{Queued: 49, Slots: 48}
 	increased := l
 	for range 100 {
-		increased = increased.WithReply(ledgerStart, median, median, idle, int(increased.Value))
+		increased = increased.WithReply(testStart, median, median, idle, int(increased.Value))
 	}
 	must.InDelta(t, 20, increased.Value, 0.01)
-	must.EqOp(t, 10, l.WithReply(ledgerStart, median, median, idle, 1).Value, must.Sprint("a limit that is not in use does not grow"))
-	decreased := l.WithReply(ledgerStart, median, median, congested, 9)
+	must.EqOp(t, 10, l.WithReply(testStart, median, median, idle, 1).Value, must.Sprint("a limit that is not in use does not grow"))
+	decreased := l.WithReply(testStart, median, median, congested, 9)
 	must.EqOp(t, 8.5, decreased.Value)
-	must.EqOp(t, 8.5, decreased.WithReply(ledgerStart.Add(time.Millisecond), median, median, congested, 9).Value)
+	must.EqOp(t, 8.5, decreased.WithReply(testStart.Add(time.Millisecond), median, median, congested, 9).Value)
 	for i := range 200 {
-		decreased = decreased.WithDecrease(ledgerStart.Add(time.Duration(i)*time.Second), median)
+		decreased = decreased.WithDecrease(testStart.Add(time.Duration(i)*time.Second), median)
 	}
 	must.EqOp(t, 1, decreased.Value)
 	must.EqOp(t, 60, kernel.NewConcurrencyLimit(100, 1, 200).WithSlots(48).Value)
@@ -179,7 +180,7 @@
 			retries++
 		}
 	}
-	must.EqOp(t, 20, retries, must.Sprint("retries without successes end with the initial budget"))
+	must.EqOp(t, 20, retries, must.Sprint("without successes only the initial budget is available"))
 	for range 1000 {
 		b = b.WithSuccess()
 		var ok bool
@@ -190,20 +191,20 @@
 	must.Between(t, 119, retries, 121)
 }
 
-func TestRateShareKeepsFleetRateAndBecomesIdle(t *testing.T) {
-	var share kernel.RateBucket
+func TestRateBucketKeepsFleetRateAndRefills(t *testing.T) {
+	var bucket kernel.RateBucket
 	permitted := 0
-	now := ledgerStart
+	now := testStart
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		var ok bool
-		if share, ok, _ = share.Take(now, 90, 9); ok {
+		if bucket, ok, _ = bucket.Take(now, 90, 9); ok {
 			permitted++
 		}
 	}
 	must.Between(t, 100, permitted, 111)
-	must.False(t, share.Full(now))
-	must.True(t, share.Full(now.Add(2*time.Second)))
+	must.False(t, bucket.Full(now))
+	must.True(t, bucket.Full(now.Add(2*time.Second)))
 }
 
 func TestQuantilesFollowRecentValues(t *testing.T) {
--- a/kernel/batchsuspect_test.go
+++ b/kernel/batchsuspect_test.go
@@ -9,13 +9,14 @@
 	"basilstall.example/basilstall/model"
 )
 
-// A piece may crash the worker that begins to make it. Groups that shared its call must not share the next one
-// with it: they would crash together at each attempt, could not be told apart, and would all fail.
+// A piece may crash the worker that begins to make it. After a crash, groups that shared the call must not share
+// the next one: they would crash together at each attempt, the cause could not be told apart, and all of them would
+// fail.
 func TestSuspectGroupsShareNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(3)
 	for id := uint64(1); id <= 3; id++ {
-		group := pieceGroup(id, 2, 8000, now.Add(5*time.Second))
+		group := newPieceGroup(id, 2, 8000, now.Add(5*time.Second))
 		for i := range group.Pieces {
 			group.Pieces[i].Digest = model.Digest(group.Pieces[i].Request)
 		}
@@ -34,10 +35,10 @@
 		must.Len(t, 2, batch.Pieces)
 		must.Len(t, 1, batch.Digests())
 	}
-	// Groups added later join the last of them.
-	ok, _ = q.Add(now, pieceGroup(7, 2, 8000, now.Add(2*time.Second)))
+	// Groups added later share a call with the last suspect group.
+	ok, _ = q.Add(now, newPieceGroup(7, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
-	ok, _ = q.Add(now, pieceGroup(8, 2, 8000, now.Add(2*time.Second)))
+	ok, _ = q.Add(now, newPieceGroup(8, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
 	now = now.Add(time.Second)
 	batch, ok = q.Next(now)
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -10,13 +10,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-func inRegion(region, name, pool string) model.Endpoint {
-	e := in("domain of "+region, name, pool)
+// endpointInRegion returns an endpoint in the only failure domain of a region.
+func endpointInRegion(region, name, pool string) model.Endpoint {
+	e := endpointIn("domain of "+region, name, pool)
 	e.Region = region
 	return e
 }
 
-func TestBothRouteAndCustomerBindWhereARequestIsServed(t *testing.T) {
+// A request is served only in regions that both its route and its customer allow. No list allows all regions.
+func TestAllowedRegionsIntersectRouteAndCustomer(t *testing.T) {
 	for _, tc := range []struct {
 		route, customer, allowed []string
 	}{
@@ -37,10 +39,10 @@
 	}
 }
 
-func TestPiecesGoToTheOwnRegionWhereThatIsAllowed(t *testing.T) {
+func TestPieceRegionPrefersOwnRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
-		inRegion("north", "n", "workers"), inRegion("south", "s", "workers"), inRegion("west", "w", "workers"),
+		endpointInRegion("north", "n", "workers"), endpointInRegion("south", "s", "workers"), endpointInRegion("west", "w", "workers"),
 	}, nil, nil)
 	anywhere := kernel.AllowedRegionsFor(model.Route{}, model.KeyHolder{})
 	southOrWest := kernel.AllowedRegionsFor(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
@@ -50,21 +52,21 @@
 		regions   kernel.AllowedRegions
 		want      string
 	}{
-		{"own", nil, anywhere, "north"},
-		{"not allowed", nil, southOrWest, "south"},
-		{"evacuated", []string{"domain of north"}, anywhere, "south"},
+		{"own region", nil, anywhere, "north"},
+		{"own region not allowed", nil, southOrWest, "south"},
+		{"own region evacuated", []string{"domain of north"}, anywhere, "south"},
 		{"one allowed region evacuated", []string{"domain of south"}, southOrWest, "west"},
 		{"all allowed regions evacuated", []string{"domain of south", "domain of west"}, southOrWest, ""},
 	} {
-		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuated(now, tc.evacuated...)), "workers", tc.regions, "north")
+		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuationsOf(now, tc.evacuated...)), "workers", tc.regions, "north")
 		must.EqOp(t, tc.want, region, must.Sprint(tc.name))
 		must.EqOp(t, tc.want != "", ok, must.Sprint(tc.name))
 	}
 }
 
-func TestARequestWithoutAnEndpointInAllowedRegionsIsRefused(t *testing.T) {
+func TestAdmitPoolsRefusesWithoutAllowedRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
-	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{inRegion("north", "n", "plain")}, nil, nil)
+	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{endpointInRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
 	must.Nil(t, kernel.AdmitPools(registry, model.Forward{}, a))
 	a.Homes = kernel.AllowedRegionsFor(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// fallbackFirstEvent stands in for the time to a stream's first event while too few were
-	// seen: a long prompt read beside others.
-	fallbackFirstEvent = 300 * time.Millisecond
-	firstEventQuantile = 0.7
+	// defaultFirstEventTime is the assumed time to a stream's first event while too few have been measured. It is that
+	// of a long prompt that the engine reads together with others.
+	defaultFirstEventTime = 300 * time.Millisecond
+	firstEventQuantile    = 0.7
 )
 
 type (
-	// pool is what this node knows of one pool by its own requests.
+	// pool is what this node knows about a pool from its own requests.
 	pool struct {
 		name   string
 		mu     sync.Mutex
 		budget *kernel.FleetRetryBudget
-		// states is by the incarnations of endpoints.
+		// states is by incarnation of the endpoint.
 		states map[string]*endpointState
-		// firstEvent is the time until a stream's first event.
-		firstEvent kernel.Quantiles
+		// firstEventTimes are the times from an attempt to its stream's first event.
+		firstEventTimes kernel.Quantiles
 	}
 
 	endpointState struct {
 		inFlight int
-		// reading is how many prompt tokens of requests without a first event it has.
-		reading int
-		load    model.Load
-		loadAt  time.Time
-		health  kernel.Health
-		gate    gateState
+		// pendingPrefillTokens is the number of prompt tokens of this node's requests that have no first event yet.
+		pendingPrefillTokens int
+		// load is the endpoint's last report, received at loadAt.
+		load   model.Load
+		loadAt time.Time
+		health kernel.Health
+		gate   sendState
 	}
 
-	// choice is an endpoint chosen for one send, counted as in flight.
+	// choice is an endpoint chosen for one attempt, which already counts as in flight.
 	choice struct {
 		endpoint model.Endpoint
-		// needsPermit is true where only another node may let this one send.
+		// needsPermit is true if this node may send only with a permit of another node.
 		needsPermit bool
 	}
 )
@@ -52,7 +53,7 @@
 	defer r.mu.Unlock()
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
+		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.RetryLimits, r.startedAt), states: map[string]*endpointState{}}
 		r.pools[name] = p
 	}
 	return p
@@ -67,9 +68,9 @@
 	return s
 }
 
-// candidates returns the listed endpoints with what is known of them, but for those that this node may not send to now,
-// and forgets those that are gone.
-func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate gate) []kernel.Candidate {
+// candidates returns the listed endpoints that this node may send to now, with their state. It also drops the states of
+// endpoints that are no longer listed.
+func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate sendLimits) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(listed))
 	for _, e := range listed {
 		s := p.state(e.Incarnation())
@@ -88,8 +89,8 @@
 	return out
 }
 
-// pick chooses one of the listed endpoints for a unary request and counts it as in flight.
-func (p *pool) pick(now time.Time, listed []model.Endpoint, gate gate, domain string, excluded []string) (choice, bool) {
+// pick chooses one of the listed endpoints for a unary request and reserves it.
+func (p *pool) pick(now time.Time, listed []model.Endpoint, gate sendLimits, domain string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
@@ -97,48 +98,51 @@
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.take(now, gate, usable[i], 0), true
+	return p.reserve(now, gate, usable[i], 0), true
 }
 
-// pickEngine chooses one of the listed engines for a prompt and counts it as in flight.
-func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate gate, prompt model.Prompt, key string, excluded []string) (choice, bool) {
+// pickEngine chooses one of the listed engines for a prompt and reserves it.
+func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate sendLimits, prompt model.Prompt, key string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
-	choices := make([]kernel.EngineCandidate, 0, len(usable))
+	engines := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
-		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).reading})
+		engines = append(engines, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).pendingPrefillTokens})
 	}
-	i := kernel.PickEngine(now, choices, key)
+	i := kernel.PickEngine(now, engines, key)
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.take(now, gate, usable[i], prompt.TokensIn), true
+	return p.reserve(now, gate, usable[i], prompt.TokensIn), true
 }
 
-func (p *pool) take(now time.Time, gate gate, c kernel.Candidate, reading int) choice {
+// reserve counts a request, and the prompt tokens that its engine has to read, as in flight at an endpoint. If the
+// endpoint is ejected, the request is its probe.
+func (p *pool) reserve(now time.Time, gate sendLimits, c kernel.Candidate, prefillTokens int) choice {
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
 		s.gate.sentAt = now
 	}
 	s.inFlight++
-	s.reading += reading
+	s.pendingPrefillTokens += prefillTokens
 	if c.Health.Ejected() {
 		s.health = s.health.WithProbe()
 	}
 	return choice{endpoint: c.Endpoint, needsPermit: needsPermit}
 }
 
-// permitted notes that an endpoint is sent to with another node's permit.
-func (p *pool) permitted(now time.Time, incarnation string) {
+// recordPermittedSend records that a request is sent to an endpoint with another node's permit.
+func (p *pool) recordPermittedSend(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).gate.sentAt = now
 }
 
-// permit has it decided whether another node may send to an endpoint in this one's place.
-func (p *pool) permit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
+// grantPermit calls decide for whether another node may send to an endpoint in place of this node. A granted permit
+// counts as a send of this node.
+func (p *pool) grantPermit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
@@ -149,8 +153,9 @@
 	return granted, wait
 }
 
-// sentAt returns when something was last sent to an endpoint.
-func (p *pool) sentAt(incarnation string) time.Time {
+// lastSentAt returns when this node last sent a request to an endpoint, or let another node do so by a permit; zero if
+// never.
+func (p *pool) lastSentAt(incarnation string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.states[incarnation]; s != nil {
@@ -159,51 +164,52 @@
 	return time.Time{}
 }
 
-// readPrompt notes that an engine has read a prompt.
-func (p *pool) readPrompt(incarnation string, tokens int, took time.Duration) {
+// recordFirstEvent records that an engine has sent the first event of a stream, and so has read the prompt.
+func (p *pool) recordFirstEvent(incarnation string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).reading -= tokens
-	p.firstEvent.Observe(took)
+	p.state(incarnation).pendingPrefillTokens -= tokens
+	p.firstEventTimes.Observe(took)
 }
 
-// dropPrompt notes that a prompt will not be read.
-func (p *pool) dropPrompt(incarnation string, tokens int) {
+// dropPendingPrefill records that an engine will not read a prompt.
+func (p *pool) dropPendingPrefill(incarnation string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).reading -= tokens
+	p.state(incarnation).pendingPrefillTokens -= tokens
 }
 
-// leave counts a request as no longer in flight.
-func (p *pool) leave(incarnation string) {
+// release counts a request as no longer in flight at an endpoint.
+func (p *pool) release(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).inFlight--
 }
 
-func (p *pool) succeeded(incarnation string) {
+func (p *pool) recordSuccess(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithSuccess()
 }
 
-func (p *pool) failed(now time.Time, incarnation string) {
+func (p *pool) recordFailure(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithFailure(now)
 }
 
-// unreachable notes that an endpoint could not be connected to.
-func (p *pool) unreachable(now time.Time, incarnation string) {
+// recordUnreachable records that no connection to an endpoint could be opened.
+func (p *pool) recordUnreachable(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithUnreachable(now)
 }
 
-func (p *pool) reported(now time.Time, incarnation string, load *model.Load) {
+// recordLoad records the load that an endpoint has reported; nil if it has not.
+func (p *pool) recordLoad(now time.Time, incarnation string, load *model.Load) {
 	if load == nil {
 		return
 	}
@@ -214,20 +220,23 @@
 	s.loadAt = now
 }
 
-func (p *pool) request(now time.Time) {
+// recordRequest counts a request towards the retry budget.
+func (p *pool) recordRequest(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.Request(now)
 }
 
-func (p *pool) takeRepeat(now time.Time, nodes int) bool {
+// takeRetry takes a retry from the budget that all nodes share; nodes is their number, or 0 if unknown. It reports
+// whether the retry is allowed.
+func (p *pool) takeRetry(now time.Time, nodes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.TakeRetry(now, nodes)
 }
 
-func (p *pool) expectFirstEvent() time.Duration {
+func (p *pool) estimateFirstEventTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.firstEvent.Quantile(firstEventQuantile, fallbackFirstEvent)
+	return p.firstEventTimes.Quantile(firstEventQuantile, defaultFirstEventTime)
 }
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -9,10 +9,10 @@
 	"github.com/go-faster/errors"
 )
 
-var errWithdrawn = errors.New("relay: the endpoint takes no more work")
+var errWithdrawn = errors.New("relay: the endpoint may no longer get the request")
 
-// noteFault notes what a failed send shows of the request and its endpoint.
-func (j *job) noteFault(p *pool, e model.Endpoint, fault *endpoint.Fault) {
+// recordFault records and logs what a failed attempt shows about the request and its endpoint.
+func (j *job) recordFault(p *pool, e model.Endpoint, fault *endpoint.Fault) {
 	if fault.Verdict != model.NotRun {
 		j.mayHaveRun = true
 	}
@@ -20,18 +20,18 @@
 		return
 	}
 	if fault.Kind == endpoint.Refused {
-		p.unreachable(j.relay.now(), e.Incarnation())
+		p.recordUnreachable(j.relay.now(), e.Incarnation())
 	} else {
-		p.failed(j.relay.now(), e.Incarnation())
+		p.recordFailure(j.relay.now(), e.Incarnation())
 	}
-	j.relay.logAttempt(j.forward, e, j.asked, fault.RetryReason(), fault)
+	j.relay.logFailedAttempt(j.forward, e, j.attempts, fault.RetryReason(), fault)
 	if fault.Verdict != model.NotRun && fault.Kind == endpoint.Cut {
-		j.relay.brokeOff(e, j.forward.Digest)
+		j.relay.recordDisconnect(e, j.forward.Digest)
 	}
 }
 
-// again decides on one more send after a result that is not the answer, and counts it.
-func (j *job) again(ctx context.Context, p *pool, res unaryResult) bool {
+// allowRetry reports whether the request may be sent to another endpoint after a failed attempt, and counts the retry.
+func (j *job) allowRetry(ctx context.Context, p *pool, res unaryResult) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -44,69 +44,70 @@
 		fault := asFault(res.err)
 		reason = fault.RetryReason()
 		if fault.Verdict == model.NotRun {
-			// Nothing was sent: it does not count as asked.
-			j.asked--
+			// Nothing was sent: this is not an attempt.
+			j.attempts--
 		}
 	} else if res.reply.NotRun {
 		reason = model.RetryNotRun
 		if res.reply.Misdirected {
-			j.asked--
+			j.attempts--
 		}
 	}
 	if j.mayHaveRun && j.admission.Route.Kind == model.Unsafe {
 		return false
 	}
-	if j.asked >= j.admission.Route.MaxAttempts || !j.takeRepeat(p, res.err) {
+	if j.attempts >= j.admission.Route.MaxAttempts || !j.takeRetry(p, res.err) {
 		return false
 	}
 	j.relay.metrics.Retried(reason, p.name)
 	return true
 }
 
-// takeRepeat takes one more send out of the budget, after one that ended with an error or none. A send that was withdrawn
-// never arrived anywhere, so the next one is no repeat.
-func (j *job) takeRepeat(p *pool, err error) bool {
+// takeRetry takes a retry from the pool's budget, after an attempt that ended with err, or nil. A withdrawn attempt was
+// never sent, so the next one is not a retry.
+func (j *job) takeRetry(p *pool, err error) bool {
 	if err != nil && asFault(err).Kind == endpoint.Withdrawn {
 		return true
 	}
-	return p.takeRepeat(j.relay.now(), j.relay.live())
+	return p.takeRetry(j.relay.now(), j.relay.fleetSize())
 }
 
-// hedge sends a safe request to one more endpoint beside one that may be running it.
-func (j *job) hedge(ctx context.Context, p *pool, results chan<- unaryResult) bool {
-	if j.admission.Route.Kind != model.Safe || !j.relay.options.Policy.Uses(kernel.HedgedReads) || j.asked >= j.admission.Route.MaxAttempts {
+// startHedge sends a safe request to one more endpoint while another one may be running it.
+func (j *job) startHedge(ctx context.Context, p *pool, results chan<- unaryResult) bool {
+	if j.admission.Route.Kind != model.Safe || !j.relay.options.Policy.Uses(kernel.HedgedReads) || j.attempts >= j.admission.Route.MaxAttempts {
 		return false
 	}
-	if !j.takeRepeat(p, nil) || !j.launch(ctx, p, results) {
+	if !j.takeRetry(p, nil) || !j.startAttempt(ctx, p, results) {
 		return false
 	}
 	j.relay.metrics.Retried(model.RetryHedge, p.name)
 	return true
 }
 
-// send prepares one send. Before the first, the request's admission is looked at once more.
-func (j *job) send(e model.Endpoint, again bool) Send {
+// newSend returns the Send for one attempt; retry is true if it is not the first. The Send's BeforeSend checks once
+// more that the request is admitted and that the endpoint may get it.
+func (j *job) newSend(e model.Endpoint, retry bool) Send {
 	send := Send{
-		Endpoint: e,
-		Forward:  j.forward,
-		Customer: j.admission.Customer,
-		Until:    j.admission.Deadline,
-		Fresh:    j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
+		Endpoint:        e,
+		Forward:         j.forward,
+		Customer:        j.admission.Customer,
+		Until:           j.admission.Deadline,
+		FreshConnection: j.admission.Route.Kind == model.Unsafe || (j.admission.Route.Kind == model.Stream && !j.admission.Route.Resumable),
 	}
-	pickedAt, permitUntil := j.relay.now(), j.permitUntil
+	chosenAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
-		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
+		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
 		expired := !permitUntil.IsZero() && j.relay.now().After(permitUntil)
-		if refusal == nil && (expired || !j.relay.Registry().TakesWork(e) || j.relay.rateCaps.View(e.Incarnation()).StatedAfter(pickedAt)) {
+		if refusal == nil && (expired || !j.relay.Registry().TakesWork(e) || j.relay.rateCaps.View(e.Incarnation()).StatedAfter(chosenAt)) {
 			return &endpoint.Fault{Kind: endpoint.Withdrawn, Verdict: model.NotRun, Err: errWithdrawn}
 		}
 		if refusal == nil {
 			return nil
 		}
-		if again {
+		if retry {
 			return refusal.WithVerdict(model.MayHaveRun)
 		}
 		return refusal
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -9,41 +9,42 @@
 )
 
 type (
-	// stageRun is the results of a request's stages and what becomes of them.
+	// stageRun is the state of a request's stages and of their results.
 	stageRun struct {
 		relay *Relay
 		plan  kernel.StagePlan
-		// inputs are what the engine needs; domain is where the prompt's prefix is cached.
+		// inputs are the handles of the results that the engine needs.
 		inputs []string
-		domain string
+		// prefixDomain is the failure domain of the engine that is likely to have the prompt's prefix cached.
+		prefixDomain string
 
-		stages []model.StageNode
-		homes  kernel.AllowedRegions
-		// results has an entry for each stage that is done. It, started and released belong to the
-		// goroutine that serves the request.
+		stages  []model.StageNode
+		regions kernel.AllowedRegions
+		// results has an entry for each stage that is done. Only the goroutine that serves the request uses results,
+		// started and inputsReleased.
 		results map[int][]kernel.ResultRef
 		started map[int]bool
-		// released is true once the engine's inputs were given up.
-		released bool
+		// inputsReleased is true once the engine's inputs have been freed.
+		inputsReleased bool
 
 		mu sync.Mutex
-		// held lists, by stage, the results that are still held.
+		// held has, by stage, the results that have not been freed.
 		held map[int][]kernel.ResultRef
 	}
 
-	// stageDone is how one stage ended.
-	stageDone struct {
-		stage int
-		made  []kernel.ResultRef
-		// inputsFreed is true where the batcher freed what the stage was made from.
+	// stageResult is the result of one stage.
+	stageResult struct {
+		stage   int
+		results []kernel.ResultRef
+		// inputsFreed is true if the batcher has freed the inputs of the stage.
 		inputsFreed bool
 		refusal     *model.Refusal
-		time        StageTime
+		time        StageTiming
 	}
 )
 
-// runStages carries out all stages of a request. A stage starts when all that it follows are
-// done; the first failure ends them all. The results must be released.
+// runStages runs all stages of a request. A stage starts once all stages that it depends on are done; the first failure
+// cancels all others. The caller must release the stageRun, also after a refusal.
 func (j *job) runStages(ctx context.Context, p *pool) (*stageRun, *model.Refusal) {
 	run, refusal := j.planStages(ctx, p)
 	if refusal != nil || len(run.plan.FinalStages) == 0 {
@@ -51,85 +52,86 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan stageDone, len(run.stages))
-	running := j.startStages(ctx, run, done)
+	finished := make(chan stageResult, len(run.stages))
+	running := j.startStages(ctx, run, finished)
 	for running > 0 {
-		d := <-done
+		result := <-finished
 		running--
-		j.stages = append(j.stages, d.time)
-		run.hold(d.stage, d.made)
-		if d.inputsFreed {
-			run.forgetInputs(d.stage)
+		j.stageTimes = append(j.stageTimes, result.time)
+		run.holdResults(result.stage, result.results)
+		if result.inputsFreed {
+			run.forgetInputs(result.stage)
 		}
-		if d.refusal != nil {
+		if result.refusal != nil {
 			cancel()
-			go run.drainAfter(done, running)
-			return run, d.refusal
+			go run.drain(finished, running)
+			return run, result.refusal
 		}
-		run.results[d.stage] = d.made
+		run.results[result.stage] = result.results
 		run.releaseConsumed()
-		running += j.startStages(ctx, run, done)
+		running += j.startStages(ctx, run, finished)
 	}
 	run.collectInputs()
 	return run, nil
 }
 
-// planStages plans a request's stages, and refuses it where they can't be done in time.
+// planStages plans a request's stages. It refuses the request if they can't be done in time.
 func (j *job) planStages(ctx context.Context, p *pool) (*stageRun, *model.Refusal) {
 	r := j.relay
 	run := &stageRun{
-		relay:   r,
-		stages:  j.admission.Route.Stages,
-		homes:   j.admission.Homes,
-		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
-		results: map[int][]kernel.ResultRef{},
-		started: map[int]bool{},
-		held:    map[int][]kernel.ResultRef{},
-	}
-	firstEvent := p.expectFirstEvent()
-	run.plan = kernel.PlanStages(j.forward, j.admission, r.hub.traitsOf(run.stages), firstEvent)
+		relay:        r,
+		stages:       j.admission.Route.Stages,
+		regions:      j.admission.Homes,
+		prefixDomain: kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
+		results:      map[int][]kernel.ResultRef{},
+		started:      map[int]bool{},
+		held:         map[int][]kernel.ResultRef{},
+	}
+	firstEvent := p.estimateFirstEventTime()
+	run.plan = kernel.PlanStages(j.forward, j.admission, r.batchers.poolTraits(run.stages), firstEvent)
 	if len(run.plan.FinalStages) == 0 {
 		return run, nil
 	}
 	groups := map[int]batchRequest{}
 	for i := range run.stages {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			groups[i] = j.group(run, i)
+			groups[i] = j.newPieceGroup(run, i)
 		}
 	}
-	estimates := r.estimates(ctx, run.stages, groups)
-	for i, o := range estimates {
+	estimates := r.estimateWaits(ctx, run.stages, groups)
+	for i, estimate := range estimates {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: o.Wait, RoomTaken: o.RoomTaken})
+			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: estimate.Wait, RoomTaken: estimate.RoomTaken})
 		}
 	}
-	if queued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
-		j.forward = j.forward.WithWaited(r.waitedBefore(ctx, j.forward, j.admission))
+	if anyQueued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
+		j.forward = j.forward.WithWaited(r.previousWait(ctx, j.forward, j.admission))
 	}
 	run.plan = kernel.PlanStages(j.forward, j.admission, estimates, firstEvent)
 	return run, kernel.AdmitStages(r.now(), j.forward, j.admission, run.plan, estimates)
 }
 
-// queue names the queue of a stage's pieces: that of a region that the request may be served in.
-func (s *stageRun) queue(stage int) string {
+// queueName returns the name of the queue of a stage's pieces: the pool's queue in a region that may serve the request.
+func (s *stageRun) queueName(stage int) string {
 	options := s.relay.options
 	pool := s.stages[stage].Pool
-	region, _ := kernel.PieceRegion(s.relay.Registry(), pool, s.homes, options.Regions[options.Domain])
-	return s.relay.hub.queue(pool, region)
+	region, _ := kernel.PieceRegion(s.relay.Registry(), pool, s.regions, options.Regions[options.Domain])
+	return s.relay.batchers.queueName(pool, region)
 }
 
-// queued tells whether any of several pools has a queue: only then does it matter who is late.
-func queued(estimates []kernel.PoolEstimate) bool {
-	for _, o := range estimates {
-		if o.Queued() {
+// anyQueued reports whether one of the pools has a queue. Without a queue, how long a request has waited before makes
+// no difference.
+func anyQueued(estimates []kernel.PoolEstimate) bool {
+	for _, estimate := range estimates {
+		if estimate.Queued() {
 			return true
 		}
 	}
 	return false
 }
 
-// startStages starts the stages that are ready, and returns how many.
-func (j *job) startStages(ctx context.Context, run *stageRun, done chan<- stageDone) int {
+// startStages starts the stages that are ready and returns their number. Each sends its result to finished.
+func (j *job) startStages(ctx context.Context, run *stageRun, finished chan<- stageResult) int {
 	running := 0
 	for i := range run.stages {
 		if run.started[i] || !run.ready(i) {
@@ -141,30 +143,30 @@
 			continue
 		}
 		running++
-		group := j.group(run, i)
+		group := j.newPieceGroup(run, i)
 		go func() {
-			defer j.relay.guard(func() {
-				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
+			defer j.relay.recoverPanic(func() {
+				finished <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
-			done <- j.runStage(ctx, i, group)
+			finished <- j.runStage(ctx, i, group)
 		}()
 	}
 	return running
 }
 
-// collectInputs lists the results that the engine needs.
+// collectInputs sets inputs to the results of the final stages.
 func (s *stageRun) collectInputs() {
-	var last []kernel.ResultRef
+	var refs []kernel.ResultRef
 	for _, i := range s.plan.FinalStages {
-		last = append(last, s.results[i]...)
+		refs = append(refs, s.results[i]...)
 	}
-	for _, m := range last {
-		s.inputs = append(s.inputs, m.Handle)
+	for _, ref := range refs {
+		s.inputs = append(s.inputs, ref.Handle)
 	}
 }
 
-// stale tells whether one of the engine's inputs went with an incarnation of its worker.
-func (s *stageRun) stale() bool {
+// inputsStale reports whether one of the engine's inputs was lost because the worker that held it has restarted.
+func (s *stageRun) inputsStale() bool {
 	for _, i := range s.plan.FinalStages {
 		if kernel.AnyStale(s.results[i], s.relay.Registry().Superseded) {
 			return true
@@ -173,7 +175,7 @@
 	return false
 }
 
-// ready tells whether all stages that one follows are done.
+// ready reports whether all stages that a stage depends on are done.
 func (s *stageRun) ready(stage int) bool {
 	for _, before := range s.stages[stage].After {
 		if _, ok := s.results[before]; !ok {
@@ -183,17 +185,17 @@
 	return true
 }
 
-// group prepares the pieces of a stage.
-func (j *job) group(run *stageRun, stage int) batchRequest {
+// newPieceGroup returns the pieces of a stage.
+func (j *job) newPieceGroup(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	g := batchRequest{
-		pool:    run.queue(stage),
-		domain:  run.domain,
-		bytes:   node.ResultBytes,
-		askedAt: j.relay.now(),
-		due:     run.plan.Due[stage],
-		until:   run.plan.Until[stage],
-		rank:    j.admission.Rank,
+		pool:        run.queueName(stage),
+		domain:      run.prefixDomain,
+		resultBytes: node.ResultBytes,
+		askedAt:     j.relay.now(),
+		due:         run.plan.Due[stage],
+		until:       run.plan.Until[stage],
+		rank:        j.admission.Rank,
 	}
 	var inputBytes int64
 	piece := model.Piece{Request: j.forward.ID, Digest: j.forward.Digest, Stage: stage, Deadline: run.plan.Until[stage]}
@@ -205,20 +207,20 @@
 		inputs = append(inputs, run.results[before]...)
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
 	}
-	piece.Inputs = handlesOf(inputs)
+	piece.Inputs = resultHandles(inputs)
 	g.inputs = inputs
-	g.freeInputs = run.soleConsumer(stage) && j.crowding(run, stage)
+	g.freeInputs = run.isSoleConsumer(stage) && j.inputRoomScarce(run, stage)
 	if domain := kernel.MostCommonDomain(inputs); domain != "" {
 		g.domain = domain
 	}
 	pieces := kernel.PieceCount(j.forward, stage)
-	// Each piece fetches all inputs; without inputs, the results are what is moved later.
-	moved := inputBytes * int64(pieces)
+	// Each piece fetches all inputs. Without inputs, only the results are transferred, later.
+	transferBytes := inputBytes * int64(pieces)
 	if len(inputs) == 0 {
-		moved = node.ResultBytes * int64(pieces)
+		transferBytes = node.ResultBytes * int64(pieces)
 	}
-	full := j.relay.hub.lastEstimate(run.queue(stage)).FullCall()
-	g.localityWait = kernel.LocalityWait(moved, full, g.due.Sub(j.relay.now())-full)
+	fullCall := j.relay.batchers.lastEstimate(run.queueName(stage)).FullCall()
+	g.localityWait = kernel.LocalityWait(transferBytes, fullCall, g.due.Sub(j.relay.now())-fullCall)
 	for n := range pieces {
 		piece.Number = n
 		g.pieces = append(g.pieces, piece)
@@ -226,12 +228,13 @@
 	return g
 }
 
-func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageDone {
-	began := j.relay.now()
-	done := j.relay.batch(ctx, group)
-	done.stage = stage
-	done.time.Stage = stage
-	done.time.Pool = group.pool
-	done.time.Elapsed = j.relay.now().Sub(began)
-	return done
+// runStage has the pieces of a stage made and waits for their results.
+func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageResult {
+	startedAt := j.relay.now()
+	result := j.relay.runGroup(ctx, group)
+	result.stage = stage
+	result.time.Stage = stage
+	result.time.Pool = group.pool
+	result.time.Elapsed = j.relay.now().Sub(startedAt)
+	return result
 }
--- a/table/store.go
+++ b/table/store.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// callTimeout bounds a transaction, beside the time that its bytes take, and the time in which nothing comes of a
-	// read: a silent connection must not hold up what needs the table, but large documents may take long over a slow
-	// link.
+	// callTimeout bounds a transaction, in addition to the time that sending its bytes takes, and the time without a
+	// byte during a read. A silent connection must not block the users of the table, but a large document may take long
+	// over a slow link.
 	callTimeout = 2 * time.Second
-	// slowestLink is what the slowest links of hosts carry, 10 Mbit/s, in bytes a second.
-	slowestLink = 1_250_000
-	// maxRowsBytes bounds a read's bytes, and readMost its time: what 10 Mbit/s take for that.
+	// minLinkBytesPerSecond is the bandwidth of the slowest links of hosts, 10 Mbit/s.
+	minLinkBytesPerSecond = 1_250_000
+	// maxRowsBytes bounds the size of a read, and maxReadTime its duration: the time that 10 Mbit/s take for that size.
 	maxRowsBytes = 64 << 20
-	readMost     = 54 * time.Second
+	maxReadTime  = 54 * time.Second
 )
 
-// Store reads and writes the project's rows. It is safe for concurrent use.
+// Store reads and writes the rows of the table service. It is safe for concurrent use.
 type Store struct {
 	// Dial opens a connection to the platform.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	base   string
-	client *http.Client
-	reads  atomic.Uint64
-	writes atomic.Uint64
+	baseURL    string
+	client     *http.Client
+	readCount  atomic.Uint64
+	writeCount atomic.Uint64
 }
 
-// NewStore returns a store for the platform at an address, HOST:PORT.
+// NewStore returns a Store for the platform at an address of the form HOST:PORT.
 func NewStore(address string) *Store {
-	s := &Store{Dial: (&net.Dialer{}).DialContext, base: "http://" + address}
+	s := &Store{Dial: (&net.Dialer{}).DialContext, baseURL: "http://" + address}
 	s.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return s.Dial(ctx, network, address)
@@ -52,11 +52,11 @@
 	return s
 }
 
-// Reads returns how many reads were sent.
-func (s *Store) Reads() uint64 { return s.reads.Load() }
+// Reads returns the number of reads that were sent.
+func (s *Store) Reads() uint64 { return s.readCount.Load() }
 
-// Writes returns how many transactions were sent.
-func (s *Store) Writes() uint64 { return s.writes.Load() }
+// Writes returns the number of transactions that were sent.
+func (s *Store) Writes() uint64 { return s.writeCount.Load() }
 
 // Close closes idle connections.
 func (s *Store) Close() { s.client.CloseIdleConnections() }
@@ -73,13 +73,13 @@
 	return rows[0], nil
 }
 
-// List returns the rows whose keys begin with a prefix, in order of their keys.
+// List returns the rows whose keys begin with a prefix, in the order of their keys.
 func (s *Store) List(ctx context.Context, prefix string) ([]Row, error) {
 	return s.read(ctx, "prefix", prefix)
 }
 
-// Commit carries a transaction out. A *Conflict or ErrUnavailable says that nothing was
-// written; ErrUnknown leaves that open.
+// Commit commits a transaction and returns its version. A *Conflict or ErrUnavailable means that nothing was written;
+// after ErrUnknown, the transaction may have taken effect.
 func (s *Store) Commit(ctx context.Context, tx Transaction) (uint64, error) {
 	body, err := json.Marshal(tx)
 	if err != nil {
@@ -89,13 +89,13 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx, cancel := context.WithTimeout(httptrace.WithClientTrace(ctx, trace), commitTimeout(len(body)))
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.base+TransactionsPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.baseURL+TransactionsPath, bytes.NewReader(body))
 	if err != nil {
 		return 0, errors.Wrap(err, "table: unable to make a request")
 	}
 	// Without GetBody net/http cannot send the transaction a second time by itself.
 	req.GetBody = nil
-	s.writes.Add(1)
+	s.writeCount.Add(1)
 	res, err := s.client.Do(req)
 	if err != nil {
 		s.client.CloseIdleConnections()
@@ -105,23 +105,23 @@
 		return 0, errors.Wrap(ErrUnknown, err.Error())
 	}
 	defer res.Body.Close()
-	return readCommit(res)
+	return decodeCommitReply(res)
 }
 
-// commitTimeout returns how long a transaction of so many bytes may take. Unlike a read's bytes, those that are sent
-// can't be heard arriving: the system takes them at once.
+// commitTimeout returns the timeout of a transaction of the given size in bytes. It depends on the size because the
+// progress of sending cannot be observed, unlike that of a read: the operating system accepts the bytes at once.
 func commitTimeout(size int) time.Duration {
-	return callTimeout + time.Duration(size)*time.Second/slowestLink
+	return callTimeout + time.Duration(size)*time.Second/minLinkBytesPerSecond
 }
 
-func readCommit(res *http.Response) (uint64, error) {
+func decodeCommitReply(res *http.Response) (uint64, error) {
 	switch res.StatusCode {
 	case http.StatusOK:
-		var done Committed
-		if err := json.NewDecoder(res.Body).Decode(&done); err != nil {
+		var committed Committed
+		if err := json.NewDecoder(res.Body).Decode(&committed); err != nil {
 			return 0, errors.Wrap(ErrUnknown, err.Error())
 		}
-		return done.Version, nil
+		return committed.Version, nil
 	case http.StatusConflict:
 		conflict := &Conflict{}
 		if err := json.NewDecoder(res.Body).Decode(conflict); err != nil {
@@ -135,16 +135,17 @@
 	}
 }
 
-func (s *Store) read(ctx context.Context, name, value string) ([]Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, readMost)
+// read returns the rows that a query parameter, "key" or "prefix", selects.
+func (s *Store) read(ctx context.Context, parameter, value string) ([]Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
 	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.base+RowsPath+"?"+url.Values{name: {value}}.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.baseURL+RowsPath+"?"+url.Values{parameter: {value}}.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "table: unable to make a request")
 	}
-	s.reads.Add(1)
+	s.readCount.Add(1)
 	res, err := s.client.Do(req)
 	if err != nil {
 		s.client.CloseIdleConnections()
