--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -216,7 +216,7 @@
 	if o.err == nil {
 		a.reached = true
 		a.noteLoad(o.target, &o.reply.Load)
-		carry, err := a.job.Plugin.Accept(a.job.Work, o.reply)
+		carry, err := a.job.Plugin.ParseReply(a.job.Work, o.reply)
 		if err == nil {
 			a.pool.succeeded(now, o.target, o.elapsed, &o.reply.Load)
 			a.carry = carry
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -198,8 +198,8 @@
 	if late || finish.After(group.Until) {
 		return false, ClampRetryAfter(max(wait, q.callTime(q.traits.Batch)))
 	}
-	if group.AskedAt.IsZero() {
-		group.AskedAt = now
+	if group.FirstSentAt.IsZero() {
+		group.FirstSentAt = now
 	}
 	q.groups[group.ID] = &waitingGroup{
 		PieceGroup:   group,
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -90,7 +90,7 @@
 	}
 	delete(s.held, s.now)
 	for _, batch := range s.overdue[s.now] {
-		s.queue.Overdue(s.now, batch)
+		s.queue.RequeueOverdue(s.now, batch)
 	}
 	delete(s.overdue, s.now)
 	for _, batch := range s.running[s.now] {
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -22,7 +22,7 @@
 func (q *BatchQueue) estimate(now time.Time, group PieceGroup) time.Duration {
 	workers := q.activeWorkers()
 	if workers == 0 {
-		return lapsedGrace
+		return relistGracePeriod
 	}
 	total, free := q.roomTotals(now)
 	ahead, aheadBytes := q.workAhead(now, group, free)
@@ -111,12 +111,12 @@
 	if !w.rateCap.Stated {
 		return all
 	}
-	return min(all, float64(full)/float64(CapBatcherPause(w.rateCap)))
+	return min(all, float64(full)/float64(CapBatcherInterval(w.rateCap)))
 }
 
 // atRateCap reports whether the rate cap of a worker allows no call now.
 func (w *worker) atRateCap(now time.Time) bool {
-	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherPause(w.rateCap)
+	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherInterval(w.rateCap)
 }
 
 func (q *BatchQueue) freeWorkers(now time.Time) int {
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -119,7 +119,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			k := kernel.Coordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
+			k := kernel.ClaimsCoordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
 			now := ledgerStart.Add(c.after)
 			must.EqOp(t, c.want, k.Decide(now, c.row, c.alive, ledgerStart))
 		})
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// lapsedGrace is how long after the store answers again an entry that lapsed during the outage is kept, for its
+	// relistGracePeriod is how long after the store answers again an entry that lapsed during the outage is kept, for its
 	// endpoint to be listed again: the platform promises about two seconds.
-	lapsedGrace = 2200 * time.Millisecond
+	relistGracePeriod = 2200 * time.Millisecond
 	// outageThreshold is how long the list may go without being proven current before entries count as lapsed
 	// during an outage. An entry outlives three heartbeat intervals of more than a second, and the list is proven
 	// current every second, or every two where an answer is lost.
@@ -29,10 +29,10 @@
 		// byPool holds the endpoints of each pool in the order of their names, with the states that follow from
 		// entries and evacuations.
 		byPool map[string][]model.Endpoint
-		// provenAt is when the list was last proven current; returnedAt is when that first happened after the last
+		// provenAt is when the list was last proven current; storeRecoveredAt is when that first happened after the last
 		// outage of the store.
-		provenAt   time.Time
-		returnedAt time.Time
+		provenAt         time.Time
+		storeRecoveredAt time.Time
 	}
 
 	registryEntry struct {
@@ -52,10 +52,10 @@
 // overwritten by a value that names no endpoint. An older entry of a process that has started again since is ignored.
 func (r Registry) WithChanges(now, provenAt time.Time, listed []model.Endpoint, removed, unreadable []string) Registry {
 	if !r.provenAt.IsZero() && provenAt.Sub(r.provenAt) > outageThreshold {
-		r.returnedAt = now
+		r.storeRecoveredAt = now
 	}
 	r.provenAt = provenAt
-	grace := !r.returnedAt.IsZero() && now.Sub(r.returnedAt) < lapsedGrace
+	grace := !r.storeRecoveredAt.IsZero() && now.Sub(r.storeRecoveredAt) < relistGracePeriod
 	if len(listed)+len(removed)+len(unreadable) == 0 && (grace || !r.anyMissing()) {
 		// Most answers contain no change, and copying a large list takes much processor time on a small host.
 		return r
@@ -115,7 +115,7 @@
 	r.byPool = map[string][]model.Endpoint{}
 	for _, entry := range r.entries {
 		e := entry.endpoint
-		if e.State == model.Live && r.evacuations.Holds(e.FailureDomain) {
+		if e.State == model.Live && r.evacuations.Contains(e.FailureDomain) {
 			e.State = model.Evacuated
 		}
 		if cold := r.evacuations.coldUntil(e.FailureDomain); cold.After(e.ColdUntil) {
@@ -138,7 +138,7 @@
 // TakesWork reports whether new work may still be sent to an endpoint that was chosen earlier.
 func (r Registry) TakesWork(e model.Endpoint) bool {
 	entry, listed := r.entries[e.Name]
-	return listed && entry.endpoint.Incarnation() == e.Incarnation() && entry.endpoint.State != model.Leaving && !r.evacuations.Holds(e.FailureDomain)
+	return listed && entry.endpoint.Incarnation() == e.Incarnation() && entry.endpoint.State != model.Leaving && !r.evacuations.Contains(e.FailureDomain)
 }
 
 // Find returns an endpoint by its name.
--- a/node/claims.go
+++ b/node/claims.go
@@ -135,9 +135,9 @@
 	}
 }
 
-func (n *Node) coordinator() kernel.Coordinator {
+func (n *Node) coordinator() kernel.ClaimsCoordinator {
 	fleet := n.Settings().Fleet
-	return kernel.Coordinator{
+	return kernel.ClaimsCoordinator{
 		Self:          n.member,
 		FirmHorizon:   min(fleet.FirmHorizon, fleet.Horizon),
 		Horizon:       fleet.Horizon,
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -244,7 +244,7 @@
 func (g *batcher) overdue(batch kernel.PieceBatch) {
 	r := g.relay
 	g.mu.Lock()
-	again := g.g.Overdue(r.now(), batch)
+	again := g.g.RequeueOverdue(r.now(), batch)
 	g.mu.Unlock()
 	r.metrics.Event("PieceCallOverdue")
 	r.log.Info().Str("Pool", g.name).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -39,7 +39,7 @@
 	must.Nil(t, outcome.Refusal)
 	must.True(t, outcome.Whole)
 	must.SliceLen(t, 1, sent)
-	must.False(t, b.relay.Registry().Evacuations().Holds(sent[0]))
+	must.False(t, b.relay.Registry().Evacuations().Contains(sent[0]))
 	b.relay.SetEvacuations(kernel.EvacuationChange{Restored: b.relay.Registry().Evacuations().Domains()})
 	must.Nil(t, b.serve("/get/two").Refusal)
 }
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -35,7 +35,7 @@
 func (r *Relay) gate(pool string) gate {
 	table := r.View().Table
 	traits, _ := table.Pool(pool)
-	return gate{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.Cold.FractionalShare(table.Share(pool), traits.ColdRate), announced: r.announced, caps: r.rateCaps}
+	return gate{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.Cold.FractionalShare(table.CapacityShare(pool), traits.ColdRate), announced: r.announced, caps: r.rateCaps}
 }
 
 // admits tells whether an endpoint may get a request from this node now, and whether only with another node's permit.
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		for _, region := range h.regions {
-			h.setPool(h.queue(name, region), region, pool, table.Share(name))
+			h.setPool(h.queue(name, region), region, pool, table.CapacityShare(name))
 		}
 	}
 }
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -217,7 +217,7 @@
 func (p *pool) request(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.Request(now)
+	p.budget.CountRequest(now)
 }
 
 func (p *pool) takeRepeat(now time.Time, nodes int) bool {
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -35,7 +35,7 @@
 // capPart returns which part of an endpoint's cap requests may use, and pieces as well.
 func (r *Relay) capPart(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
-	return r.View().Table.Share(e.Pool)
+	return r.View().Table.CapacityShare(e.Pool)
 }
 
 func (r *Relay) askCapPermit(ctx context.Context, node, pool, incarnation string) (granted bool, wait time.Duration, err error) {
@@ -67,7 +67,7 @@
 
 // refusesCapped returns the refusal of a request whose pool has only endpoints at their rate caps.
 func (r *Relay) refusesCapped(a kernel.Admission) *model.Refusal {
-	endpoints := a.Homes.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
+	endpoints := a.Regions.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
 	return r.rateCaps.AdmitPool(r.now(), a.Pool, endpoints, r.pool(a.Pool).sentAt)
 }
 
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -95,7 +95,7 @@
 	}
 	pickedAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
-		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
+		refusal := kernel.RecheckAdmission(j.relay.now(), j.relay.View(), j.relay.options.KeyTrust, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -80,8 +80,8 @@
 	run := &stageRun{
 		relay:   r,
 		stages:  j.admission.Route.Stages,
-		homes:   j.admission.Homes,
-		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
+		homes:   j.admission.Regions,
+		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Regions.AllowedEndpoints(r.Registry().Endpoints(p.name))),
 		results: map[int][]kernel.ResultRef{},
 		started: map[int]bool{},
 		held:    map[int][]kernel.ResultRef{},
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -218,7 +218,7 @@
 
 // atHome returns the endpoints of the request's pool in the regions where it may be served.
 func (j *job) atHome() []model.Endpoint {
-	return j.admission.Homes.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
+	return j.admission.Regions.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
 }
 
 // noEndpoint refuses a request that no endpoint may get now.
