--- a/kernel/routes.go
+++ b/kernel/routes.go
@@ -30,7 +30,7 @@
 	hostRoutes struct {
 		byPrefix map[string]model.Route
 		// longest is the length of the longest prefix in bytes.
-		longest int
+		maxPrefixLength int
 	}
 
 	// RoutingView is the newest known routing and the time at which it was last proven to be the newest.
@@ -68,13 +68,13 @@
 	if _, taken := h.byPrefix[r.Prefix]; !taken {
 		h.byPrefix[r.Prefix] = r
 	}
-	h.longest = max(h.longest, len(r.Prefix))
+	h.maxPrefixLength = max(h.maxPrefixLength, len(r.Prefix))
 	return h
 }
 
 // match returns the route with the longest prefix of a path.
 func (h hostRoutes) match(path string) (model.Route, bool) {
-	path = path[:min(len(path), h.longest)]
+	path = path[:min(len(path), h.maxPrefixLength)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r, ok := h.byPrefix[path[:end+1]]; ok {
 			return r, true
