--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -23,7 +23,7 @@
 	Customer string
 	// Authenticated is true if the request was admitted by its API key.
 	Authenticated bool
-	// Homes are the regions in which the request may be served.
+	// Regions are those in which the request may be served.
 	Regions AllowedRegions
 	// Version is that of the routing table.
 	Version uint64
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -35,16 +35,22 @@
 
 type (
 	// BatchQueue collects the pieces of one pool from all nodes and combines them into calls as the pool's
-	// endpoints become free. An endpoint works on one call at a time, and a call takes about the same time
-	// whatever it holds, so pieces wait in the queue, where others can join their call, and never at an endpoint.
+	// endpoints become free. The node that holds the queue is the pool's batcher. A call takes about the same time
+	// whatever it holds, so pieces wait in the queue, where others can join their call, and never at an endpoint:
+	// an endpoint gets no more calls at a time than it has slots. A full call is one with a full batch of pieces.
 	//
-	// Room is the memory that an endpoint has for results, in bytes. A piece is started only if there is room for
-	// its result.
+	// A piece is one unit of a stage's work. The pieces of one stage of one request form a group, as they are
+	// needed together; a call may hold pieces of several groups. A group that waits for too long after it can no
+	// longer be on time starves and is ended.
 	//
-	// A BatchQueue is mutable.
+	// A worker is an endpoint of the pool, identified by its incarnation: a process that started again is another
+	// worker. Room is the memory that a worker has for results, in bytes. A result occupies room until it is freed
+	// or expires, and a piece is started only if there is room for its result.
+	//
+	// A BatchQueue changes in place and is guarded by its owner.
 	BatchQueue struct {
 		traits model.PieceTraits
-		// workers holds the pool's endpoints by incarnation.
+		// workers holds the listed endpoints of the pool by incarnation.
 		workers map[string]*worker
 		// unlistedCalledAt holds the time of the last call to each incarnation that is no longer listed.
 		unlistedCalledAt map[string]time.Time
@@ -58,7 +64,7 @@
 		// lastStart is when the last call was started.
 		lastStart time.Time
 		// sharedUntil is until when calls of another batcher may be running on the workers, foreignUntil until
-		// when results of another batcher may occupy room there.
+		// when foreign results, those of another batcher, may occupy room there.
 		sharedUntil  time.Time
 		foreignUntil time.Time
 		policy       Policy
@@ -79,14 +85,14 @@
 		// usedRoom is the room taken by known results and by running calls, in bytes.
 		usedRoom    int64
 		pausedUntil time.Time
-		// foreignBytes is the room that results unknown to this queue occupied at foreignAt; they are gone at
-		// foreignUntil.
+		// foreignBytes is the room that foreign results, which this queue does not know, occupied at foreignAt;
+		// they are gone at foreignUntil.
 		foreignBytes int64
 		foreignAt    time.Time
 		foreignUntil time.Time
 		health       Health
-		// slowdown is the moving average of the duration of calls relative to the stated one; probedAt is when a
-		// single piece was last sent to find out whether the worker is still slow.
+		// slowdown is the moving average of the duration of calls relative to the one that the traits state;
+		// probedAt is when a single piece was last sent to find out whether the worker is still slow.
 		slowdown float64
 		probedAt time.Time
 		// rateCap limits the calls a second that the worker accepts from all batchers together.
@@ -98,14 +104,16 @@
 
 	waitingGroup struct {
 		PieceGroup
-		addedAt  time.Time
-		waiting  []model.Piece
-		results  []ResultRef
+		addedAt time.Time
+		waiting []model.Piece
+		results []ResultRef
+		// attempts counts the calls for each piece, by its number.
 		attempts map[int]int
 		// runningCalls counts the running calls for each piece, by its number; an overdue call may have a second
 		// one in parallel.
 		runningCalls map[int]int
-		waited       time.Duration
+		// waited is how long the last piece to be started waited for its call.
+		waited time.Duration
 		// fetchedAt is when the running calls have fetched their inputs.
 		fetchedAt   time.Time
 		inputsFreed bool
@@ -187,7 +195,8 @@
 	}
 }
 
-// Add adds a group to the queue. It returns false and when to retry if the group cannot be made in time.
+// Add adds a group to the queue. It returns false and when to retry if the group's results would be useless, or if they
+// would be late and the backlog exceeds maxLateBacklog.
 func (q *BatchQueue) Add(now time.Time, group PieceGroup) (accepted bool, retryAfter time.Duration) {
 	if len(q.workers) > 0 && q.countActiveWorkers() == 0 {
 		return false, ClampRetryAfter(evacuatedRetry)
--- a/kernel/batchend.go
+++ b/kernel/batchend.go
@@ -47,8 +47,8 @@
 	return q.requeuePieces(now, batch, nil, model.PieceFailed, false)
 }
 
-// Done records the results of a call. It returns the groups that ended, and the results that no group needs any
-// more.
+// Done records the results of a call, one for each of its pieces in the same order. It returns the groups that
+// ended, and the results that no group needs any more.
 func (q *BatchQueue) Done(now time.Time, batch PieceBatch, results []model.PieceResult) (ended []GroupOutcome, unwanted []ResultRef) {
 	w := q.finishCall(batch, results)
 	if w != nil {
@@ -110,8 +110,8 @@
 }
 
 // requeuePieces requeues the pieces of a call that were not made, or ends their groups. If failed is nil, all
-// pieces failed with the fault sharedFault. If counts is false, the call does not count as an attempt.
-func (q *BatchQueue) requeuePieces(now time.Time, batch PieceBatch, failed map[int]model.PieceFault, sharedFault model.PieceFault, counts bool) []GroupOutcome {
+// pieces failed with the fault sharedFault. If isAttempt is false, the call does not count as an attempt.
+func (q *BatchQueue) requeuePieces(now time.Time, batch PieceBatch, failed map[int]model.PieceFault, sharedFault model.PieceFault, isAttempt bool) []GroupOutcome {
 	var ended []GroupOutcome
 	for i, p := range batch.Pieces {
 		fault := sharedFault
@@ -125,7 +125,7 @@
 		if g == nil || g.madeOrPending(p.Number) {
 			continue
 		}
-		if !counts || (fault == model.PieceNoRoom && q.policy.Uses(LearnRoomFromRefusals)) {
+		if !isAttempt || (fault == model.PieceNoRoom && q.policy.Uses(LearnRoomFromRefusals)) {
 			g.attempts[p.Number]--
 		}
 		final := fault == model.PieceInputGone || fault == model.PieceLate || g.inputsFreed
--- a/kernel/batchers.go
+++ b/kernel/batchers.go
@@ -10,7 +10,7 @@
 // with four times the capacity of another is chosen 4,096 times as often.
 const capacityExponent = 6
 
-// Peer is a node that can be selected as a batcher.
+// Peer is a node as rendezvous hashing ranks it: to batch for a pool, to read the store, or to share a limit.
 type Peer struct {
 	Name   string
 	Domain string
@@ -52,7 +52,7 @@
 	return -math.Pow(capacity, capacityExponent) / math.Log(u)
 }
 
-// The answers to a node that batches for a pool or is about to.
+// The decisions on another node that batches for the same pool or is about to.
 const (
 	// KeepPool means that this node continues to batch, and the other one stops or does not begin.
 	KeepPool TakeOverDecision = iota
@@ -63,10 +63,10 @@
 )
 
 type (
-	// TakeOverDecision is a batcher's answer to the claim of another node.
+	// TakeOverDecision is a batcher's reply to another node that batches for the same pool or is about to.
 	TakeOverDecision int
 
-	// BatcherCandidate is a node's claim to batch for a pool.
+	// BatcherCandidate is a node that batches for a pool or is about to.
 	BatcherCandidate struct {
 		Peer
 		// Batching is true if the node already batches for the pool, Leaving if it is about to leave.
@@ -75,9 +75,9 @@
 	}
 )
 
-// DecideTakeOver decides which of two nodes batches for a pool that own batches for at present. The present batcher
-// continues unless it is leaving or the other node has more capacity, as a change costs calls that are not full.
-// If both nodes batch, the first by NodesByHash continues alone. A leaving node gets no pool from one that stays.
+// DecideTakeOver returns the decision of own, which batches for a pool, on another node. The present batcher keeps the
+// pool unless it is leaving or the other node has more capacity, as a change costs calls that are not full. If both
+// nodes batch already, the first by NodesByHash continues alone. A leaving node gets no pool from one that stays.
 func DecideTakeOver(pool string, own, other BatcherCandidate) TakeOverDecision {
 	keep := other.Capacity <= own.Capacity
 	if other.Batching {
--- a/kernel/batchhandover.go
+++ b/kernel/batchhandover.go
@@ -6,7 +6,7 @@
 
 // HandOver ends the groups of which no piece has been started; their senders then send them to the pool's next
 // batcher. Groups with started pieces are completed here. The next batcher learns how much room is taken in the
-// same way as after the loss of a batcher.
+// same way as after the loss of a batcher (see TakeOver and SetFreeRoom).
 func (q *BatchQueue) HandOver() []GroupOutcome {
 	var moved []GroupOutcome
 	for id, g := range q.groups {
--- a/kernel/batchorder.go
+++ b/kernel/batchorder.go
@@ -17,7 +17,7 @@
 )
 
 // sortedGroups returns the groups with waiting pieces by effective due time: first those that can still be on
-// time, then the late ones.
+// time, then the late ones. It also decides whether rank affects the order at present.
 func (q *BatchQueue) sortedGroups(now time.Time) []*waitingGroup {
 	var out []*waitingGroup
 	for _, g := range q.groups {
--- a/kernel/batchroom.go
+++ b/kernel/batchroom.go
@@ -52,6 +52,7 @@
 	w.setForeignRoom(now, now.Add(refusedRoomDecay), taken)
 }
 
+// setForeignRoom records how much room foreign results occupy now, and when all of them have expired.
 func (w *worker) setForeignRoom(now, until time.Time, bytes int64) {
 	w.foreignBytes = max(0, bytes)
 	w.foreignAt = now
--- a/kernel/batchstarved.go
+++ b/kernel/batchstarved.go
@@ -6,13 +6,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-// maxStarvedCalls is the time, in full calls, that a group may wait after it can no longer be on time. In this
-// time each worker has taken work from the queue once, and it was work that could still be on time, or the worker
-// had no room.
+// maxStarvedCalls is the time, in full calls, that a group may wait after it can no longer be on time; if it waits
+// longer, it starves. In this time each worker has taken work from the queue once, and it was work that could still
+// be on time, or the worker had no room for the group's results.
 const maxStarvedCalls = 1
 
-// endStarved ends the late groups that have waited for too long. They would otherwise wait until their results
-// are useless, and so would their callers, who can retry once the queue has drained.
+// endStarved ends the groups that starve. They would otherwise wait until their results are useless, and so would
+// their callers, who can retry once the queue has drained.
 func (q *BatchQueue) endStarved(now time.Time) []GroupOutcome {
 	if !q.policy.Uses(EndStarvedGroups) {
 		return nil
@@ -33,7 +33,7 @@
 }
 
 // lateSince returns the time from which on a waiting group could not be on time. It is not before FirstSentAt, as a
-// request may have been late when it was sent.
+// group may have been late when it was first sent.
 func (q *BatchQueue) lateSince(g *waitingGroup) time.Time {
 	late := g.Due.Add(-q.callTime(1))
 	if g.FirstSentAt.After(late) {
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -22,6 +22,7 @@
 func (q *BatchQueue) estimateWait(now time.Time, group PieceGroup) time.Duration {
 	workers := q.countActiveWorkers()
 	if workers == 0 {
+		// By then, endpoints that lapsed during an outage of the store are listed again.
 		return relistGracePeriod
 	}
 	total, free := q.roomTotals(now)
--- a/kernel/budget.go
+++ b/kernel/budget.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// progressTimeoutFactor is the ratio of a progress timeout to the 99th percentile.
+	// progressTimeoutFactor is the ratio of a progress timeout to the 99th percentile of the pool's service times.
 	progressTimeoutFactor = 3
 	minProgressTimeout    = 100 * time.Millisecond
-	// defaultServiceTime is the service time assumed for a pool that has not answered yet.
+	// defaultServiceTime is assumed for a pool that has not answered yet.
 	defaultServiceTime = 20 * time.Millisecond
 	// The Retry-After time that callers get lies between these two.
 	minRetryAfter = 50 * time.Millisecond
--- a/kernel/claims.go
+++ b/kernel/claims.go
@@ -31,10 +31,10 @@
 	}
 
 	// Claims is the row of the shared table that assigns keys to members. Each key that a member may run has one
-	// owner, which only a Transfer changes: below Firm, because a new era never begins below the Firm that was
-	// written before; from Firm up to Horizon, because a member runs such keys only up to the time that all members
-	// of the newest era have granted, and a new era begins at or above what at least one of them has granted (see
-	// Grants).
+	// owner, which only a Transfer changes. For keys issued below Firm this holds because a new era never begins below
+	// the Firm that was written before. For keys from Firm up to Horizon it holds because a member runs them only up to
+	// the time that all members of the newest era have granted, and a new era begins at or above what at least one of
+	// them has granted (see Grants).
 	Claims struct {
 		// Number grows by one with each write of the row.
 		Number uint64
--- a/kernel/cold.go
+++ b/kernel/cold.go
@@ -12,11 +12,11 @@
 	// maxColdSenders is how many nodes may send to one cold endpoint. A few nodes with several sends each keep the
 	// total closer to the bound than many nodes with less than one each.
 	maxColdSenders = 3
-	// maxColdSenderSets is how many different sets of senders may be in use at the same time: that of the nodes that have
-	// learned of a membership change, and that of the nodes that have not.
+	// maxColdSenderSets is how many different sets of senders may be in use at the same time: that of the nodes that
+	// have learned of a membership change, and that of the nodes that have not.
 	maxColdSenderSets = 2
-	// coldWindow is the span of time in which sends may be spread and still arrive within one second: opening a
-	// connection may delay a send by 0.7 s.
+	// coldWindow is the span within which sends may arrive in the same second: opening a connection may delay the
+	// earlier ones by 0.7 s.
 	coldWindow = 1800 * time.Millisecond
 	// coldRoleTTL is how long a node relies on its last decision whether it may send to a cold endpoint: about as long
 	// as membership changes take to spread.
@@ -29,7 +29,8 @@
 
 type (
 	// ColdLimits bounds the requests that all nodes together send to a cold endpoint: in any second at most Excess
-	// times the rate that its pool states, plus Slack.
+	// times the rate that its pool states for cold endpoints, plus Slack. An endpoint is cold for some time after it
+	// started or was restored from an evacuation; it cannot take its full load then.
 	ColdLimits struct {
 		Excess float64
 		Slack  float64
@@ -60,17 +61,17 @@
 	if rate <= 0 {
 		return ColdShare{}
 	}
-	perView := max(1, max(rate, rate*l.Excess+l.Slack)/maxColdSenderSets)
-	senders := min(maxColdSenders, int(perView))
-	sendsPerSender := math.Floor(perView / float64(senders))
+	perSet := max(1, max(rate, rate*l.Excess+l.Slack)/maxColdSenderSets)
+	senders := min(maxColdSenders, int(perSet))
+	sendsPerSender := math.Floor(perSet / float64(senders))
 	return ColdShare{Senders: senders, MinInterval: time.Duration(float64(coldWindow)/sendsPerSender) + time.Millisecond}
 }
 
-// FractionalShare returns what each sender may send where the senders together may use only a part, from 0 to 1, of the
-// bound of a cold endpoint.
-func (l ColdLimits) FractionalShare(part, rate float64) ColdShare {
-	l.Slack *= part
-	return l.Share(rate * part)
+// FractionalShare returns what each sender may send where the senders together may use only a fraction, from 0 to 1, of
+// the bound of a cold endpoint.
+func (l ColdLimits) FractionalShare(fraction, rate float64) ColdShare {
+	l.Slack *= fraction
+	return l.Share(rate * fraction)
 }
 
 // ForSingleSender returns the share of a node that is the only sender to the endpoints of a pool.
@@ -128,13 +129,13 @@
 	return r.decidedAt.IsZero() || now.Sub(r.decidedAt) >= coldRoleTTL
 }
 
-// With returns the role after a new decision of a node that started at startedAt.
-func (r ColdRole) With(now, startedAt time.Time, sends bool) ColdRole {
-	next := ColdRole{sender: sends, senderSince: r.senderSince, decidedAt: now}
+// With returns the role after a new decision, at a node that started at startedAt, whether it is a sender.
+func (r ColdRole) With(now, startedAt time.Time, isSender bool) ColdRole {
+	next := ColdRole{sender: isSender, senderSince: r.senderSince, decidedAt: now}
 	switch {
 	case r.decidedAt.IsZero():
 		next.senderSince = startedAt
-	case sends && !r.sender:
+	case isSender && !r.sender:
 		next.senderSince = now
 	}
 	return next
--- a/kernel/committer.go
+++ b/kernel/committer.go
@@ -6,8 +6,9 @@
 // writes per second that the table takes.
 const committerCount = 4
 
-// CommitterOf returns the member that inserts a durable key, false if no member is alive. It only spreads the load:
-// any member may insert any key, since the table decides between concurrent inserts.
+// CommitterOf returns the member that inserts a durable key (see Key.Mode) into the table. It returns false if no
+// member is alive. It only spreads the load: any member may insert any key, since the table decides between concurrent
+// inserts.
 func CommitterOf(key Key, alive []Member) (Member, bool) {
 	if len(alive) == 0 {
 		return Member{}, false
--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ClaimsAction is what a node should do with the claims row.
+// ClaimsAction is what a node should do with the row of Claims.
 type ClaimsAction int
 
-// The actions on the claims row.
+// The actions on the row of Claims.
 const (
 	// KeepClaims leaves the row as it is.
 	KeepClaims ClaimsAction = iota
@@ -21,7 +21,7 @@
 )
 
 const (
-	// initialFirmHorizon bounds the firm horizon of the first era, which has few members and is therefore kept
+	// initialFirmHorizon is the maximum time to Firm in the first era, which has few members and is therefore kept
 	// short. It is also the least key time below Firm in a new era, so that its members can run keys at once.
 	initialFirmHorizon = 2 * time.Second
 	// rankDelay is how much longer each node waits than the node ranked before it, so that one of those before it
@@ -29,8 +29,8 @@
 	rankDelay = 700 * time.Millisecond
 )
 
-// Coordinator decides when a node writes the claims row. Any node may write at any time without harm; the nodes are
-// ranked only to keep the writes of the fleet few.
+// ClaimsCoordinator decides when a node writes the row of Claims. Any node may write at any time without harm; the
+// nodes are ranked only to keep the writes of the fleet few.
 type ClaimsCoordinator struct {
 	Self Member
 	// FirmHorizon is how far ahead of the present the owners of keys are final.
--- a/kernel/evacuation.go
+++ b/kernel/evacuation.go
@@ -20,9 +20,9 @@
 // Evacuations is the set of failure domains that operators have evacuated: their endpoints get no work. It is
 // immutable.
 type Evacuations struct {
-	// since holds by domain when this node learned of the evacuation that is in force.
+	// evacuatedAt holds, by domain, when this node learned of the evacuation that is in force.
 	evacuatedAt map[string]time.Time
-	// ended holds by domain when this node learned of the end of its last evacuation.
+	// restoredAt holds, by domain, when this node learned of the end of the last evacuation.
 	restoredAt map[string]time.Time
 }
 
@@ -33,9 +33,9 @@
 	Restored  []string
 }
 
-// With returns the evacuations after a change that this node learned of at now, and the domains whose state differs
-// from before.
-func (e Evacuations) With(now time.Time, change EvacuationChange) (after Evacuations, news EvacuationChange) {
+// With returns the evacuations after a change that this node learned of at now, and the part of the change that differs
+// from the state before.
+func (e Evacuations) With(now time.Time, change EvacuationChange) (after Evacuations, effective EvacuationChange) {
 	after = Evacuations{evacuatedAt: maps.Clone(e.evacuatedAt), restoredAt: maps.Clone(e.restoredAt)}
 	if after.evacuatedAt == nil {
 		after.evacuatedAt, after.restoredAt = map[string]time.Time{}, map[string]time.Time{}
@@ -43,23 +43,23 @@
 	for _, domain := range change.Evacuated {
 		if !e.Contains(domain) {
 			after.evacuatedAt[domain] = now
-			news.Evacuated = append(news.Evacuated, domain)
+			effective.Evacuated = append(effective.Evacuated, domain)
 		}
 	}
 	for _, domain := range change.Restored {
 		if e.Contains(domain) {
 			delete(after.evacuatedAt, domain)
 			after.restoredAt[domain] = now
-			news.Restored = append(news.Restored, domain)
+			effective.Restored = append(effective.Restored, domain)
 		}
 	}
-	return after, news
+	return after, effective
 }
 
-// Holds reports whether a failure domain is evacuated.
+// Contains reports whether a failure domain is evacuated.
 func (e Evacuations) Contains(domain string) bool {
-	_, held := e.evacuatedAt[domain]
-	return held
+	_, evacuated := e.evacuatedAt[domain]
+	return evacuated
 }
 
 // Domains returns the evacuated failure domains in alphabetical order.
--- a/kernel/homes.go
+++ b/kernel/homes.go
@@ -9,7 +9,8 @@
 
 // AllowedRegions are the regions that a request may be served in. The zero value allows any region. It is immutable.
 type AllowedRegions struct {
-	// stated is true if only the listed regions are allowed. The list may be empty.
+	// restricted is true if only the listed regions are allowed. The list is empty if a route and a customer have no
+	// allowed region in common.
 	restricted bool
 	regions    []string
 }
@@ -20,6 +21,7 @@
 	return AllowedRegions{}.intersect(route.Homes).intersect(customer.Homes)
 }
 
+// intersect returns the regions that are also in a list. An empty list allows any region.
 func (r AllowedRegions) intersect(regions []string) AllowedRegions {
 	if len(regions) == 0 {
 		return r
--- a/kernel/membership.go
+++ b/kernel/membership.go
@@ -39,7 +39,7 @@
 	// member, a suspicion of a member, or the notice that an endpoint is leaving.
 	GossipUpdate struct {
 		Member Member
-		// Beat orders the updates on one incarnation. Only the member itself raises it.
+		// Beat is a counter that orders the updates on one incarnation. Only the member itself raises it.
 		Beat          uint64
 		State         MemberState
 		FailureDomain string
--- a/kernel/permits.go
+++ b/kernel/permits.go
@@ -10,7 +10,7 @@
 	// PermitLifetime is how long after it was requested a permit may be used: short enough that the request arrives at
 	// about the same time as a send of the node that granted the permit.
 	PermitLifetime = 300 * time.Millisecond
-	// permitRetryDelay is how long a node is not asked again that did not answer, or that does not share the cap.
+	// permitRetryDelay is how long a node that did not answer, or that does not share the cap, is not asked again.
 	permitRetryDelay = time.Second
 	// maxPermitWait is the maximum time until a node's turn. Together with the order of turns it bounds the permit
 	// requests that one node receives.
@@ -18,18 +18,19 @@
 )
 
 type (
-	// Permits is what a node knows of the other nodes that share the rate cap of an endpoint and may grant it a permit
-	// to send one request in their place. It is immutable.
+	// PermitRequester selects the node to ask for a permit to send one request to an endpoint with a rate cap. A permit
+	// is granted by a node that shares the cap, which then skips a send of its own. It is immutable.
 	PermitRequester struct {
-		// sharers are the nodes that share the cap, ordered by rendezvous hash.
+		// sharers are the other nodes that share the cap, ordered by rendezvous hash.
 		sharers []string
-		// skippedUntil holds by node until when it is not asked again.
+		// skippedUntil holds, by sharer, the time until which it is not asked again.
 		skippedUntil map[string]time.Time
 	}
 
-	// PermitIssuer counts, at a node that shares the rate cap of an endpoint, the permit requests denied since the node
-	// last sent or granted a permit. It is immutable.
+	// PermitIssuer decides on permit requests at a node that shares the rate cap of an endpoint. It is immutable.
 	PermitIssuer struct {
+		// sentAt is when the node last sent to the endpoint or granted a permit, denied the number of permit requests
+		// that it has denied since.
 		sentAt time.Time
 		denied int
 	}
@@ -67,7 +68,7 @@
 	return out
 }
 
-// Choose returns a sharer that may be asked now. The draw is uniform between 0 and 1.
+// Choose returns a random sharer of those that may be asked now. The draw is uniform between 0 and 1.
 func (p PermitRequester) Choose(now time.Time, draw float64) (sharer string, ok bool) {
 	open := slices.DeleteFunc(slices.Clone(p.sharers), func(name string) bool { return now.Before(p.skippedUntil[name]) })
 	if len(open) == 0 {
@@ -76,7 +77,7 @@
 	return open[min(int(draw*float64(len(open))), len(open)-1)], true
 }
 
-// Next returns when the first sharer may be asked again; false where no sharer is known.
+// NextRequestAt returns when the first sharer may be asked again. It returns false if no sharer is known.
 func (p PermitRequester) NextRequestAt() (at time.Time, ok bool) {
 	for i, name := range p.sharers {
 		if until := p.skippedUntil[name]; i == 0 || until.Before(at) {
@@ -86,9 +87,9 @@
 	return at, len(p.sharers) > 0
 }
 
-// Permit decides whether a node lets another node send a request to the endpoint in its place. sentAt is when the node
-// last sent a request there or granted a permit. A denied node is told when its turn comes, after all nodes denied
-// before it, so that few requests for permits are in vain.
+// Decide decides whether a node lets another node send a request to the endpoint in its place. sentAt is when the node
+// last sent a request there or granted a permit. If the permit is denied, wait is the time until the other node's turn,
+// after all nodes denied before it, so that few requests for permits are in vain.
 func (i PermitIssuer) Decide(now time.Time, v CapView, sentAt time.Time, rank int) (next PermitIssuer, granted bool, wait time.Duration) {
 	switch {
 	case !v.Cap.Stated:
--- a/kernel/plugin.go
+++ b/kernel/plugin.go
@@ -20,7 +20,8 @@
 	StageContext struct {
 		Request model.Request
 		Stage   model.Stage
-		Carry   model.Carry
+		// Carry is the output of the preceding stage, zero for the first stage.
+		Carry model.Carry
 	}
 
 	// Plugin implements one kind of stage. It does no I/O: it prepares the call and interprets the reply. Package
@@ -33,7 +34,7 @@
 		Streams bool
 		// Prepare returns the call without its identity and deadline, which the dispatcher sets.
 		Prepare func(StageContext) model.StageCall
-		// Accept turns a complete reply into the input of the next stage.
+		// ParseReply turns a complete reply into the input of the next stage.
 		ParseReply func(StageContext, model.StageReply) (model.Carry, error)
 		// Check returns the reason why a stage's settings are invalid, or "" if they are valid.
 		Check func(model.Stage) string
--- a/kernel/ratecap.go
+++ b/kernel/ratecap.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxCapSharers is how many nodes may send to an endpoint that states a rate cap. Their first sends fall within the
-	// burst that the platform allows beyond the rate, with one request to spare for a node that does not know of them
-	// yet.
+	// maxCapSharers is how many nodes share the rate cap of an endpoint; the others send to it only with a permit or
+	// as a probe. The first sends of the sharers fall within the burst that the platform allows beyond the rate, with
+	// one request to spare for a node that does not know of them yet.
 	maxCapSharers = 4
 	// maxCapInterval is the maximum time between two sends of one node: an endpoint that takes almost nothing is still
 	// probed in case its cap has changed.
@@ -32,7 +32,8 @@
 )
 
 type (
-	// CapView is a node's view of the rate cap of an endpoint. It is immutable.
+	// CapView is a node's view of the rate cap of an endpoint: the rate that the endpoint accepts from all nodes
+	// together, which it states in its answers. It is immutable.
 	CapView struct {
 		// Cap is the cap that the endpoint is assumed to state.
 		Cap model.RateCap
@@ -51,18 +52,18 @@
 		SentAt time.Time
 		// Rank is how many nodes rank before this one by rendezvous hash of the endpoint.
 		Rank int
-		// Asks is true where the node may request a permit from other nodes.
+		// MayRequestPermit is true where the node may ask other nodes for permits (see PermitRequester).
 		MayRequestPermit bool
-		// NextPermitRequestAt is when one of those nodes is next due to be asked.
+		// NextPermitRequestAt is when the node may next ask one of them.
 		NextPermitRequestAt time.Time
 	}
 )
 
-// WithAnswer returns the view after the endpoint answered a request that was sent at asked. Answers may arrive out of
+// WithAnswer returns the view after the endpoint answered a request that was sent at sentAt. Answers may arrive out of
 // order: one that states no cap ends a cap only if its request was sent after the last message that states one arrived,
 // and of two caps whose order is unknown the stricter one holds.
-func (v CapView) WithAnswer(asked, now time.Time, stated model.RateCap) CapView {
-	overlaps := asked.Before(v.statedAt)
+func (v CapView) WithAnswer(sentAt, now time.Time, stated model.RateCap) CapView {
+	overlaps := sentAt.Before(v.statedAt)
 	switch {
 	case stated.Stated && overlaps:
 		stated = stated.Stricter(v.Cap)
@@ -90,9 +91,9 @@
 	return v.with(now, stated)
 }
 
-// WithFraction returns the view of a sender that may use only a part of the cap, from 0 to 1.
-func (v CapView) WithFraction(part float64) CapView {
-	v.Cap = v.Cap.WithPart(part)
+// WithFraction returns the view of a sender that may use only a fraction of the cap, from 0 to 1.
+func (v CapView) WithFraction(fraction float64) CapView {
+	v.Cap = v.Cap.WithPart(fraction)
 	return v
 }
 
@@ -136,17 +137,18 @@
 	}
 }
 
-// pause returns the minimum time between two sends of one of the nodes that share the cap.
+// sendInterval returns the minimum time between two sends of one of the nodes that share the cap.
 func (v CapView) sendInterval() time.Duration {
 	return intervalAtRate(v.Cap.PerSecond / maxCapSharers)
 }
 
-// CapBatcherInterval returns the minimum time between two calls of the batcher that is the only sender to a worker with a
-// rate cap.
+// CapBatcherInterval returns the minimum time between two calls of one batcher to a worker, of whose rate cap batchers
+// may use the stated rate.
 func CapBatcherInterval(stated model.RateCap) time.Duration {
 	return intervalAtRate(stated.PerSecond * capBatcherShare)
 }
 
+// intervalAtRate returns the time between two sends at a rate, at most maxCapInterval.
 func intervalAtRate(perSecond float64) time.Duration {
 	if perSecond*maxCapInterval.Seconds() <= 1 {
 		return maxCapInterval
@@ -155,7 +157,7 @@
 }
 
 // AdmitCapped refuses a request that only endpoints with rate caps could serve if this node may not send to any of them
-// now and cannot request a permit either. The Retry-After time is when this node may next send or ask for a permit;
+// now and cannot ask for a permit either. The Retry-After time is when this node may next send or ask for a permit;
 // where neither is known, it is when the endpoints together take one more request, from any node.
 func AdmitCapped(now time.Time, pool string, endpoints []CappedEndpoint) *model.Refusal {
 	perSecond, retry := 0.0, time.Duration(0)
--- a/kernel/ratecapnews.go
+++ b/kernel/ratecapnews.go
@@ -11,32 +11,36 @@
 	// between these two. The node at rank 0 writes at once.
 	minCapPublishDelay = 500 * time.Millisecond
 	maxCapPublishDelay = 4 * time.Second
-	// minCapWriteInterval is the minimum time between two writes of one node for one endpoint: a cap may come and go with
-	// each answer, and the writes of all nodes together are bounded.
+	// minCapWriteInterval is the minimum time between two writes of one node for one endpoint. It bounds the writes of
+	// all nodes together, as a cap may come and go with each answer.
 	minCapWriteInterval = 2 * time.Second
-	// minCapRateWriteInterval is the minimum time between two writes that change only the rate: nodes that send learn of it from
-	// the answers of the endpoint.
+	// minCapRateWriteInterval is the minimum time between two writes that change only the rate: nodes that send to the
+	// endpoint learn of the new rate from its answers.
 	minCapRateWriteInterval = 10 * time.Second
-	// minCapWriteBackoff is the delay after the first failed write. It doubles with each further failure, up to a maximum.
+	// minCapWriteBackoff is the delay after the first failed write. It doubles with each further failure, up to
+	// maxCapWriteBackoff.
 	minCapWriteBackoff = time.Second
 	maxCapWriteBackoff = 15 * time.Second
 	// capUnlistedTTL is how long an endpoint may be missing from the list before its cap is dropped.
 	capUnlistedTTL = 10 * time.Second
 )
 
-// CapPublisher holds what one node publishes of the rate cap of an endpoint, through a table that all nodes follow. It
-// changes in place.
+// CapPublisher decides when one node writes its view of the rate cap of an endpoint into a table that all nodes follow.
+// It changes in place.
 type CapPublisher struct {
 	// View is the node's own view of the cap.
 	View CapView
-	// Published is what the table states.
+	// Published is the cap that the table states.
 	Published model.RateCap
 
+	// publishedAt is when Published last changed, lastWriteAt when this node last wrote.
 	publishedAt time.Time
-	// lastWriteAt is when this node last wrote.
-	lastWriteAt   time.Time
-	publishDueAt  time.Time
-	writeBackoff  time.Duration
+	lastWriteAt time.Time
+	// publishDueAt is when this node writes its view unless the table states the same by then; zero if it does.
+	publishDueAt time.Time
+	// writeBackoff is the delay after the last failed write; zero if none failed since the table stated the view.
+	writeBackoff time.Duration
+	// unlistedSince is when the endpoint was first missing from the list; zero while it is listed.
 	unlistedSince time.Time
 }
 
@@ -58,7 +62,8 @@
 	}
 }
 
-// ShouldPublish reports whether the node has to write its view into the table now. The draw is uniform between 0 and 1.
+// ShouldPublish reports whether the node has to write its view into the table now. Of the nodes that share the cap, the
+// one at rank 0 writes at once; only it writes a mere change of the rate. The draw is uniform between 0 and 1.
 func (p *CapPublisher) ShouldPublish(now time.Time, rank int, draw float64) bool {
 	if p.View.Cap == p.Published {
 		p.publishDueAt, p.writeBackoff = time.Time{}, 0
--- a/kernel/ratelimit.go
+++ b/kernel/ratelimit.go
@@ -9,7 +9,7 @@
 	// maxHoldersAsked is the maximum number of nodes asked for one request, of those that hold the customer's rate.
 	// Each costs a round trip, and one node may have used up its part while others have not.
 	maxHoldersAsked = 3
-	// burstSeconds is the burst that a customer may use at once, in seconds of its rate.
+	// burstSeconds is the burst of a customer, as the time in which its rate admits as many requests.
 	burstSeconds = 1.0
 )
 
--- a/kernel/reading.go
+++ b/kernel/reading.go
@@ -11,7 +11,8 @@
 	maxReaders = 2
 	// skipDuration is how long a node that knows no more than this one is skipped.
 	skipDuration = time.Second
-	// fresherNodeTTL is how long a node that was found to know more counts as a source: several of its questions.
+	// fresherNodeTTL is how long a node that was found to know more counts as a source: the time in which it sends
+	// several requests to this node.
 	fresherNodeTTL = 1500 * time.Millisecond
 )
 
@@ -21,7 +22,8 @@
 	// store, and each further one does while the store does not answer those before it. All other nodes ask the
 	// readers of their failure domain and, where these know nothing newer, those of other failure domains. An
 	// unavailable store thus gets few calls, however many nodes there are. A store that answers some nodes but none
-	// of the designated readers is found by probes of the other nodes, on average one per round and failure domain.
+	// of the designated readers is found by probes of the other nodes, on average one in each failure domain for each
+	// time that all of them have asked the readers in vain.
 	// The methods change it in place and must not be called concurrently.
 	SourceSelector struct {
 		self, domain string
@@ -50,7 +52,7 @@
 		LongPoll bool
 	}
 
-	// SourceAnswer is the outcome of a question to another node.
+	// SourceAnswer is the outcome of a request to another node for its contents of the store.
 	SourceAnswer struct {
 		// Failed is true if no answer arrived, TimedOut if it did not arrive completely in time.
 		Failed   bool
@@ -107,7 +109,7 @@
 	return p
 }
 
-// RecordAnswer records the outcome of a question to a node and reports whether its answer suffices. A recent answer
+// RecordAnswer records the outcome of a request to a node and reports whether its answer suffices. A recent answer
 // suffices even if the store does not answer that node, unless both nodes are designated readers: then this one has to
 // read the store in its place.
 func (r *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
@@ -133,7 +135,7 @@
 
 // ShouldProbeStore reports whether a node that got no sufficient answer from any source asks the store once by itself.
 // The draw is uniform in [0, 1): on average one node of a failure domain, of those that are not designated readers,
-// probes the store in each round.
+// probes the store each time that all of them have asked in vain.
 func (r *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
 	domainNodes := 0
 	for _, n := range nodes {
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// relistGracePeriod is how long after the store answers again an entry that lapsed during the outage is kept, for its
-	// endpoint to be listed again: the platform promises about two seconds.
+	// relistGracePeriod is how long after the store answers again an entry that lapsed during the outage is kept, so
+	// that its endpoint can be listed again: the platform promises that within about two seconds.
 	relistGracePeriod = 2200 * time.Millisecond
 	// outageThreshold is how long the list may go without being proven current before entries count as lapsed
 	// during an outage. An entry outlives three heartbeat intervals of more than a second, and the list is proven
@@ -21,7 +21,8 @@
 
 type (
 	// Registry is a node's view of the endpoints: the entries of the store's list, with those that lapsed while the
-	// store did not answer and may be listed again. It is immutable.
+	// store did not answer and may be listed again. An entry lapses, and leaves the list, if its endpoint has not
+	// renewed it for some heartbeat intervals. A Registry is immutable.
 	Registry struct {
 		entries map[string]registryEntry
 		// evacuations are the failure domains that get no work.
@@ -29,8 +30,8 @@
 		// byPool holds the endpoints of each pool in the order of their names, with the states that follow from
 		// entries and evacuations.
 		byPool map[string][]model.Endpoint
-		// provenAt is when the list was last proven current; storeRecoveredAt is when that first happened after the last
-		// outage of the store.
+		// provenAt is when the list was last proven current; storeRecoveredAt is when that first happened after the
+		// last outage of the store.
 		provenAt         time.Time
 		storeRecoveredAt time.Time
 	}
--- a/kernel/routes.go
+++ b/kernel/routes.go
@@ -29,7 +29,7 @@
 	// the host has.
 	hostRoutes struct {
 		byPrefix map[string]model.Route
-		// longest is the length of the longest prefix in bytes.
+		// maxPrefixLength is the length of the longest prefix in bytes.
 		maxPrefixLength int
 	}
 
@@ -107,8 +107,8 @@
 	return t.routing.Pools
 }
 
-// Share returns the share of the capacity of a pool's endpoints that requests may use, and pieces as well: 1, or
-// mixedShare if the pool gets both.
+// CapacityShare returns the share of the capacity of a pool's endpoints that requests may use, and pieces as well: 1,
+// or mixedShare if the pool gets both.
 func (t *RouteTable) CapacityShare(pool string) float64 {
 	if t == nil || !t.mixed[pool] {
 		return 1
@@ -129,7 +129,7 @@
 	return t.byHost[host].match(path)
 }
 
-// Holder returns the customer that holds an API key.
+// CustomerByKey returns the customer that holds an API key.
 func (t *RouteTable) CustomerByKey(key string) (model.KeyHolder, bool) {
 	if key == "" {
 		return model.KeyHolder{}, false
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -12,10 +12,11 @@
 const settleTime = 8 * time.Second
 
 type (
-	// SettledNodes is the set of nodes that divide a fleet-wide limit between them without asking each other. The other
-	// nodes rank a node that joins as soon as they learn of it, but the node itself has no rank until they have had
-	// time to do so; a node that leaves keeps its rank for the same time. Unreachable nodes keep their ranks: otherwise
-	// each side of a network partition would use the whole limit. It is immutable.
+	// SettledNodes is the set of nodes that divide a fleet-wide limit between them by rank, without asking each other.
+	// The other nodes rank a node that joins as soon as they learn of it, but the node itself has no rank until
+	// settleTime has passed, so that they have learned of it; a node that leaves keeps its rank for the same time.
+	// Unreachable nodes keep their ranks: otherwise each side of a network partition would use the whole limit. It is
+	// immutable.
 	SettledNodes struct {
 		// known holds the announced nodes, and those that left within settleTime.
 		known map[string]settledNode
@@ -42,7 +43,7 @@
 		out.known[n.Name] = node
 	}
 	for name, node := range s.known {
-		if _, still := out.known[name]; still {
+		if _, announcedNow := out.known[name]; announcedNow {
 			continue
 		}
 		if node.leftAt.IsZero() {
@@ -55,7 +56,7 @@
 	return out
 }
 
-// equals reports whether the announced nodes are exactly the known ones, and none of those has left.
+// equals reports whether the announced nodes are exactly the known ones, none of which has left.
 func (s SettledNodes) equals(announced []Peer) bool {
 	if len(announced) != len(s.known) {
 		return false
@@ -77,17 +78,17 @@
 		return math.MaxInt
 	}
 	own := rendezvousScore(subject, self)
-	before := 0
+	rank := 0
 	for name, other := range s.known {
 		gone := !other.leftAt.IsZero() && now.Sub(other.leftAt) >= settleTime
 		if name != self && !gone && rendezvousScore(subject, name) > own {
-			before++
+			rank++
 		}
 	}
-	return before
+	return rank
 }
 
-// First returns at most count nodes, the highest ranked by rendezvous hash of the subject.
+// TopRanked returns at most count nodes, the highest ranked by rendezvous hash of the subject.
 func (s SettledNodes) TopRanked(now time.Time, subject string, count int) []string {
 	names := make([]string, 0, len(s.known))
 	for name, node := range s.known {
@@ -98,8 +99,8 @@
 	return topRankedByHash(subject, names, count)
 }
 
-// topRankedByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in order of
-// rank.
+// topRankedByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in
+// order of rank.
 func topRankedByHash(subject string, nodes []string, count int) []string {
 	type scored struct {
 		name  string
--- a/kernel/sharedbudget.go
+++ b/kernel/sharedbudget.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// budgetBuckets is the number of steps that the window of a budget is divided into.
+	// budgetBuckets is the number of buckets, equal spans of time, that the window of a budget is divided into.
 	budgetBuckets = 10
-	// usableBudgetShare is the fraction of the fleet's budget that nodes use. Their windows are not aligned, and their view
-	// of the membership is delayed. The rest is for nodes that restarted within the window and lost their counts.
+	// usableBudgetShare is the share of the fleet's budget that nodes use, since their windows are not aligned and their
+	// view of the membership is delayed. The rest is for nodes that restarted within the window and lost their counts.
 	usableBudgetShare = 0.8
 )
 
@@ -29,8 +29,9 @@
 		buckets   [budgetBuckets]budgetBucket
 	}
 
+	// budgetBucket counts the requests and repeated sends within one bucket of the window.
 	budgetBucket struct {
-		// number counts steps since the Unix epoch.
+		// number counts buckets since the Unix epoch.
 		number   int64
 		requests int
 		retries  int
@@ -38,11 +39,11 @@
 )
 
 // NewFleetRetryBudget returns the unspent budget of a node that started at startedAt.
-func NewFleetRetryBudget(terms FleetRetryLimits, startedAt time.Time) *FleetRetryBudget {
-	return &FleetRetryBudget{limits: terms, startedAt: startedAt}
+func NewFleetRetryBudget(limits FleetRetryLimits, startedAt time.Time) *FleetRetryBudget {
+	return &FleetRetryBudget{limits: limits, startedAt: startedAt}
 }
 
-// Request counts a request for the pool.
+// CountRequest counts a request for the pool.
 func (b *FleetRetryBudget) CountRequest(now time.Time) {
 	b.bucketAt(now).requests++
 }
@@ -50,14 +51,16 @@
 // TakeRetry takes one repeated send out of the budget and reports whether the budget allows it. The slack is divided
 // evenly between the nodes; a node that knows of no nodes gets none of it.
 func (b *FleetRetryBudget) TakeRetry(now time.Time, nodes int) bool {
-	requests, repeats := b.sums(now)
-	if float64(repeats+1) > usableBudgetShare*b.limits.Ratio*float64(requests)+b.slack(now, nodes) {
+	requests, retries := b.sums(now)
+	if float64(retries+1) > usableBudgetShare*b.limits.Ratio*float64(requests)+b.slack(now, nodes) {
 		return false
 	}
 	b.bucketAt(now).retries++
 	return true
 }
 
+// slack returns this node's part of the slack. A node that started within the window takes it from the reserve for
+// nodes that lost their counts.
 func (b *FleetRetryBudget) slack(now time.Time, nodes int) float64 {
 	if nodes == 0 {
 		return 0
@@ -69,21 +72,23 @@
 	return share * b.limits.Slack / float64(nodes)
 }
 
-func (b *FleetRetryBudget) sums(now time.Time) (requests, repeats int) {
+// sums returns the requests and repeated sends within the window.
+func (b *FleetRetryBudget) sums(now time.Time) (requests, retries int) {
 	newest := b.bucketNumber(now)
 	for _, s := range b.buckets {
 		if s.number > newest-budgetBuckets {
 			requests += s.requests
-			repeats += s.retries
+			retries += s.retries
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
 
 func (b *FleetRetryBudget) bucketNumber(now time.Time) int64 {
 	return now.UnixNano() / int64(b.limits.Window/budgetBuckets)
 }
 
+// bucketAt returns the bucket of a time, emptied if it was last used for an earlier time.
 func (b *FleetRetryBudget) bucketAt(now time.Time) *budgetBucket {
 	number := b.bucketNumber(now)
 	s := &b.buckets[number%budgetBuckets]
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -97,6 +97,7 @@
 	return f.Pieces[stage]
 }
 
+// stageTime returns how long a stage is expected to take: the wait for a call and the call.
 func stageTime(e PoolEstimate) time.Duration {
 	pieces := time.Duration(max(1, int(typicalBatchShare*float64(e.Traits.Batch))))
 	if e.Wait > minQueueWait {
