--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -75,7 +75,7 @@
 
 // Next returns the row to write for an action. A new era starts at from, which is above all that the members were
 // granted; other actions ignore from.
-func (c ClaimsCoordinator) Next(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
+func (c ClaimsCoordinator) NextRow(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
 	now = now.Truncate(time.Millisecond)
 	firm, horizon := now.Add(c.FirmHorizon), now.Add(c.Horizon)
 	switch action {
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -39,7 +39,7 @@
 	registryEntry struct {
 		endpoint model.Endpoint
 		// missing is true for an entry that lapsed during an outage of the store and may be listed again.
-		missing bool
+		lapsed bool
 	}
 )
 
@@ -57,7 +57,7 @@
 	}
 	r.provenAt = provenAt
 	grace := !r.storeRecoveredAt.IsZero() && now.Sub(r.storeRecoveredAt) < relistGracePeriod
-	if len(listed)+len(removed)+len(unreadable) == 0 && (grace || !r.anyMissing()) {
+	if len(listed)+len(removed)+len(unreadable) == 0 && (grace || !r.anyLapsed()) {
 		// Most answers contain no change, and copying a large list takes much processor time on a small host.
 		return r
 	}
@@ -65,7 +65,7 @@
 	for _, name := range removed {
 		e, known := entries[name]
 		if known && grace && e.endpoint.State != model.Leaving {
-			e.missing = true
+			e.lapsed = true
 			entries[name] = e
 		} else {
 			delete(entries, name)
@@ -85,15 +85,15 @@
 		entries[e.Name] = registryEntry{endpoint: e}
 	}
 	if !grace {
-		maps.DeleteFunc(entries, func(_ string, e registryEntry) bool { return e.missing })
+		maps.DeleteFunc(entries, func(_ string, e registryEntry) bool { return e.lapsed })
 	}
 	r.entries = entries
 	return r.indexed()
 }
 
-func (r Registry) anyMissing() bool {
+func (r Registry) anyLapsed() bool {
 	for _, e := range r.entries {
-		if e.missing {
+		if e.lapsed {
 			return true
 		}
 	}
@@ -186,7 +186,7 @@
 			out = append(out, RegistryChange{Endpoint: e.endpoint, Before: old.endpoint, Message: "endpoint started again"})
 		case old.endpoint.State != e.endpoint.State:
 			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint changed its state"})
-		case e.missing && !old.missing:
+		case e.lapsed && !old.lapsed:
 			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint lapsed while the store was away"})
 		}
 	}
--- a/node/claims.go
+++ b/node/claims.go
@@ -157,7 +157,7 @@
 	if action == kernel.StartEra {
 		from = n.sealEra(row)
 	}
-	next := coordinator.Next(now, row, alive, action, from, uuid.NewString())
+	next := coordinator.NextRow(now, row, alive, action, from, uuid.NewString())
 	next = next.WithoutBefore(now.Add(-n.Settings().Fleet.Retention))
 	written, err := n.store.SwapClaims(n.ctx, version, row, next)
 	n.cancelEra(err)
