--- a/kernel/cold.go
+++ b/kernel/cold.go
@@ -88,13 +88,13 @@
 // nodes yet does not send.
 func (s ColdShare) IsSender(self string, endpoint model.Endpoint, nodes []Peer) bool {
 	own := rendezvousScore(endpoint.Incarnation(), self)
-	before := 0
+	rank := 0
 	for _, n := range nodes {
 		if n.Name != self && rendezvousScore(endpoint.Incarnation(), n.Name) > own {
-			before++
+			rank++
 		}
 	}
-	return len(nodes) > 0 && s.IsSenderAtRank(before)
+	return len(nodes) > 0 && s.IsSenderAtRank(rank)
 }
 
 // IsSenderAtRank reports whether the node at a rank, counted from 0, may send to the endpoint.
--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -73,7 +73,7 @@
 	return KeepClaims
 }
 
-// Next returns the row to write for an action. A new era starts at from, which is above all that the members were
+// NextRow returns the row to write for an action. A new era starts at from, which is above all that the members were
 // granted; other actions ignore from.
 func (c ClaimsCoordinator) NextRow(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
 	now = now.Truncate(time.Millisecond)
--- a/kernel/lease.go
+++ b/kernel/lease.go
@@ -39,53 +39,53 @@
 )
 
 // WithRead returns the view after the row was read.
-func (w LeaseView) WithRead(now time.Time, lease Lease, version uint64) LeaseView {
-	if version == w.Version && !w.FirstSeen.IsZero() {
-		return w
+func (v LeaseView) WithRead(now time.Time, lease Lease, version uint64) LeaseView {
+	if version == v.Version && !v.FirstSeen.IsZero() {
+		return v
 	}
-	if lease.Number != w.Lease.Number || lease.Holder != w.Lease.Holder {
-		w.HeldUntil = time.Time{}
+	if lease.Number != v.Lease.Number || lease.Holder != v.Lease.Holder {
+		v.HeldUntil = time.Time{}
 	}
-	w.Lease = lease
-	w.Version = version
-	w.FirstSeen = now
-	return w
+	v.Lease = lease
+	v.Version = version
+	v.FirstSeen = now
+	return v
 }
 
 // WithWrite returns the view after a write by this node took effect. The lease counts from when the write was sent,
 // not from when the reply arrived.
-func (w LeaseView) WithWrite(now, sent time.Time, lease Lease, version uint64) LeaseView {
-	w.Lease = lease
-	w.Version = version
-	w.FirstSeen = now
-	w.HeldUntil = sent.Add(LeaseDuration)
-	return w
+func (v LeaseView) WithWrite(now, sent time.Time, lease Lease, version uint64) LeaseView {
+	v.Lease = lease
+	v.Version = version
+	v.FirstSeen = now
+	v.HeldUntil = sent.Add(LeaseDuration)
+	return v
 }
 
 // MayOrder reports whether this node may send an order now. It must be called just before each order.
-func (w LeaseView) MayOrder(now time.Time) bool {
-	return !w.HeldUntil.IsZero() && now.Before(w.HeldUntil.Add(-leaseMargin))
+func (v LeaseView) MayOrder(now time.Time) bool {
+	return !v.HeldUntil.IsZero() && now.Before(v.HeldUntil.Add(-leaseMargin))
 }
 
 // ShouldRenew reports whether the holder should write the row again to renew the lease: once a third of LeaseDuration
 // has passed.
-func (w LeaseView) ShouldRenew(now time.Time) bool {
-	return w.MayOrder(now) && now.After(w.HeldUntil.Add(-LeaseDuration*2/3))
+func (v LeaseView) ShouldRenew(now time.Time) bool {
+	return v.MayOrder(now) && now.After(v.HeldUntil.Add(-LeaseDuration*2/3))
 }
 
 // MayAcquire reports whether the candidate with the given rank may take over the lease: the row has not changed for
 // LeaseDuration plus OrderTimeout, so that no order of the previous holder is in flight any more, even if the engines
 // ignore fencing numbers. Each further rank waits another LeaseDuration. A pool that never had a lease needs only the
 // wait of the rank.
-func (w LeaseView) MayAcquire(now time.Time, rank int) bool {
-	if w.FirstSeen.IsZero() || w.MayOrder(now) {
+func (v LeaseView) MayAcquire(now time.Time, rank int) bool {
+	if v.FirstSeen.IsZero() || v.MayOrder(now) {
 		return false
 	}
 	wait := time.Duration(rank) * LeaseDuration
-	if w.Lease.Number > 0 {
+	if v.Lease.Number > 0 {
 		wait += LeaseDuration + OrderTimeout
 	}
-	return now.Sub(w.FirstSeen) >= wait
+	return now.Sub(v.FirstSeen) >= wait
 }
 
 // LeaseRank returns the rank of a member among the candidates for the lease of a pool. It returns false for all other
--- a/kernel/quarantine.go
+++ b/kernel/quarantine.go
@@ -232,7 +232,7 @@
 	q.trustedUntil[digest] = now.Add(trustDuration)
 }
 
-// has reports whether a crash is recorded already: several nodes report the same one.
+// hasCrash reports whether a crash is recorded already: several nodes report the same one.
 func (s *suspect) hasCrash(crash Crash) bool {
 	return slices.ContainsFunc(s.crashes, func(known Crash) bool {
 		return known.Incarnation == crash.Incarnation && crash.At.Sub(known.At).Abs() < CrashDedupWindow
--- a/kernel/quarantinejudge.go
+++ b/kernel/quarantinejudge.go
@@ -106,7 +106,7 @@
 	return h
 }
 
-// shared reports whether at each crash of a request another suspect was running that may be the cause.
+// allCrashesShared reports whether at each crash of a request another suspect was running that may be the cause.
 func (q *Quarantine) allCrashesShared(digest model.Digest, s *suspect) bool {
 	for _, crash := range s.crashes {
 		if !q.hasOtherSuspect(digest, crash) {
--- a/kernel/ratelimit.go
+++ b/kernel/ratelimit.go
@@ -45,7 +45,8 @@
 	// Tokens never exceeds the burst.
 	Tokens float64
 	// Rate is the node's part of the rate, in requests a second.
-	Rate      float64
+	Rate float64
+	// UpdatedAt is when Tokens was computed; zero for a new bucket, which is full.
 	UpdatedAt time.Time
 }
 
--- a/kernel/reading.go
+++ b/kernel/reading.go
@@ -72,26 +72,26 @@
 
 // Plan returns where to get the contents of the store from. nodes are the reachable nodes, this one among them;
 // storeLost tells that this node reads the store and gets no answer.
-func (r *SourceSelector) Plan(now time.Time, nodes []Peer, storeLost bool) SourcePlan {
-	r.readers = designatedReaders(r.domain, nodes)
-	rank := slices.Index(r.readers, r.self)
+func (s *SourceSelector) Plan(now time.Time, nodes []Peer, storeLost bool) SourcePlan {
+	s.readers = designatedReaders(s.domain, nodes)
+	rank := slices.Index(s.readers, s.self)
 	if storeLost {
-		r.substitute = false
+		s.substitute = false
 	}
-	others := slices.DeleteFunc(slices.Clone(r.readers), func(name string) bool { return name == r.self })
-	available := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return r.isSkipped(now, name) })
+	others := slices.DeleteFunc(slices.Clone(s.readers), func(name string) bool { return name == s.self })
+	available := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return s.isSkipped(now, name) })
 	switch {
-	case rank >= 0 && !slices.ContainsFunc(r.readers[:rank], func(name string) bool { return !r.isSkipped(now, name) }):
+	case rank >= 0 && !slices.ContainsFunc(s.readers[:rank], func(name string) bool { return !s.isSkipped(now, name) }):
 		plan := SourcePlan{ReadStore: true, Reason: "this node reads for its failure domain"}
 		if storeLost {
-			plan.Source = firstOf(r.fresherNodes(now), available)
-			return r.withFallback(now, plan, nodes, others)
+			plan.Source = firstOf(s.fresherNodes(now), available)
+			return s.withFallback(now, plan, nodes, others)
 		}
 		return plan
-	case r.substitute:
+	case s.substitute:
 		return SourcePlan{ReadStore: true, Reason: "the store does not answer the readers", Source: firstOf(available)}
 	default:
-		plan := r.withFallback(now, SourcePlan{Source: firstOf(available)}, nodes, others)
+		plan := s.withFallback(now, SourcePlan{Source: firstOf(available)}, nodes, others)
 		plan.Reason = plan.Source + " reads for this node"
 		return plan
 	}
@@ -99,9 +99,9 @@
 
 // withFallback returns the plan with a source: where it has none, a reader of another failure domain, or else the
 // first of others with a long poll.
-func (r *SourceSelector) withFallback(now time.Time, p SourcePlan, nodes []Peer, others []string) SourcePlan {
+func (s *SourceSelector) withFallback(now time.Time, p SourcePlan, nodes []Peer, others []string) SourcePlan {
 	if p.Source == "" {
-		p.Source = firstOf(r.remoteReaders(now, nodes))
+		p.Source = firstOf(s.remoteReaders(now, nodes))
 	}
 	if p.Source == "" && len(others) > 0 {
 		p.Source, p.LongPoll = others[0], true
@@ -112,34 +112,34 @@
 // RecordAnswer records the outcome of a request to a node and reports whether its answer suffices. A recent answer
 // suffices even if the store does not answer that node, unless both nodes are designated readers: then this one has to
 // read the store in its place.
-func (r *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
+func (s *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
 	if a.Failed {
 		return false
 	}
-	takesOver := a.StoreLost && slices.Contains(r.readers, r.self) && slices.Contains(r.readers, source)
-	if a.TimedOut || a.Age > r.maxAge || takesOver {
-		r.skippedUntil[source] = now.Add(skipDuration)
+	takesOver := a.StoreLost && slices.Contains(s.readers, s.self) && slices.Contains(s.readers, source)
+	if a.TimedOut || a.Age > s.maxAge || takesOver {
+		s.skippedUntil[source] = now.Add(skipDuration)
 		return false
 	}
 	if !a.StoreLost {
-		r.substitute = false
+		s.substitute = false
 	}
 	return true
 }
 
 // RecordFresherNode records that a node that asked this one has data that was proven current more recently. It is a
 // source while the store does not answer this node.
-func (r *SourceSelector) RecordFresherNode(now time.Time, node string) {
-	r.fresherNode, r.fresherNodeUntil = node, now.Add(fresherNodeTTL)
+func (s *SourceSelector) RecordFresherNode(now time.Time, node string) {
+	s.fresherNode, s.fresherNodeUntil = node, now.Add(fresherNodeTTL)
 }
 
 // ShouldProbeStore reports whether a node that got no sufficient answer from any source asks the store once by itself.
 // The draw is uniform in [0, 1): on average one node of a failure domain, of those that are not designated readers,
 // probes the store each time that all of them have asked in vain.
-func (r *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
+func (s *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
 	domainNodes := 0
 	for _, n := range nodes {
-		if n.Domain == r.domain {
+		if n.Domain == s.domain {
 			domainNodes++
 		}
 	}
@@ -147,43 +147,43 @@
 }
 
 // RecordProbe records whether the store answered the probe.
-func (r *SourceSelector) RecordProbe(answered bool) {
-	r.substitute = answered
+func (s *SourceSelector) RecordProbe(answered bool) {
+	s.substitute = answered
 }
 
-func (r *SourceSelector) isSkipped(now time.Time, name string) bool {
-	until, known := r.skippedUntil[name]
+func (s *SourceSelector) isSkipped(now time.Time, name string) bool {
+	until, known := s.skippedUntil[name]
 	if known && !now.Before(until) {
-		delete(r.skippedUntil, name)
+		delete(s.skippedUntil, name)
 		return false
 	}
 	return known
 }
 
-func (r *SourceSelector) fresherNodes(now time.Time) []string {
-	if r.fresherNode == "" || now.After(r.fresherNodeUntil) || r.isSkipped(now, r.fresherNode) {
+func (s *SourceSelector) fresherNodes(now time.Time) []string {
+	if s.fresherNode == "" || now.After(s.fresherNodeUntil) || s.isSkipped(now, s.fresherNode) {
 		return nil
 	}
-	return []string{r.fresherNode}
+	return []string{s.fresherNode}
 }
 
 // remoteReaders returns the designated readers of other failure domains that are not skipped.
-func (r *SourceSelector) remoteReaders(now time.Time, nodes []Peer) []string {
+func (s *SourceSelector) remoteReaders(now time.Time, nodes []Peer) []string {
 	byDomain := map[string][]Peer{}
 	for _, n := range nodes {
-		if n.Domain != r.domain {
+		if n.Domain != s.domain {
 			byDomain[n.Domain] = append(byDomain[n.Domain], n)
 		}
 	}
 	var remote []Peer
 	for domain, peers := range byDomain {
 		for _, name := range designatedReaders(domain, peers) {
-			if !r.isSkipped(now, name) {
+			if !s.isSkipped(now, name) {
 				remote = append(remote, Peer{Name: name})
 			}
 		}
 	}
-	return NodesByHash("reader beyond "+r.domain, remote)
+	return NodesByHash("reader beyond "+s.domain, remote)
 }
 
 // designatedReaders returns the nodes of a failure domain that are to read the store, in the order of their hashes.
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -38,7 +38,7 @@
 
 	registryEntry struct {
 		endpoint model.Endpoint
-		// missing is true for an entry that lapsed during an outage of the store and may be listed again.
+		// lapsed is true for an entry that lapsed during an outage of the store and may be listed again.
 		lapsed bool
 	}
 )
--- a/kernel/replica.go
+++ b/kernel/replica.go
@@ -50,47 +50,47 @@
 }
 
 // Version returns the version of the store up to which the table is known, and whether it was ever read.
-func (m *Replica) Version() (version uint64, known bool) {
-	return m.version, m.known
+func (r *Replica) Version() (version uint64, known bool) {
+	return r.version, r.known
 }
 
 // ProvenAt returns the start of the newest store call whose answer proved the replica current.
-func (m *Replica) ProvenAt() time.Time {
-	return m.provenAt
+func (r *Replica) ProvenAt() time.Time {
+	return r.provenAt
 }
 
-// Apply applies the store's answer to a call that began at a time. It returns the rows that changed, including the
+// Apply applies the store's answer to a call that began at startedAt. It returns the rows that changed, including the
 // removed ones, each key once.
-func (m *Replica) Apply(began time.Time, rows []Row, version uint64, whole bool) []Row {
-	if m.known && version < m.version {
+func (r *Replica) Apply(startedAt time.Time, rows []Row, version uint64, whole bool) []Row {
+	if r.known && version < r.version {
 		return nil
 	}
 	if whole {
-		rows = append(rows, m.missing(rows, version)...)
-		m.known = true
+		rows = append(rows, r.missing(rows, version)...)
+		r.known = true
 		// Which rows were removed before is not known, and other replicas may still hold them.
-		m.forgottenVersion = version
-		m.removed = nil
+		r.forgottenVersion = version
+		r.removed = nil
 	}
 	var changes []Row
-	for _, r := range newestOfEach(rows) {
-		if old, held := m.rows[r.Key]; held && old.Version >= r.Version {
+	for _, row := range newestOfEach(rows) {
+		if old, held := r.rows[row.Key]; held && old.Version >= row.Version {
 			continue
 		}
-		if !r.Removed {
-			m.rows[r.Key] = r
-			changes = append(changes, r)
+		if !row.Removed {
+			r.rows[row.Key] = row
+			changes = append(changes, row)
 			continue
 		}
-		m.rememberRemoval(r)
-		if _, held := m.rows[r.Key]; held {
-			delete(m.rows, r.Key)
-			changes = append(changes, r)
+		r.rememberRemoval(row)
+		if _, held := r.rows[row.Key]; held {
+			delete(r.rows, row.Key)
+			changes = append(changes, row)
 		}
 	}
-	m.version = max(m.version, version)
-	if began.After(m.provenAt) {
-		m.provenAt = began
+	r.version = max(r.version, version)
+	if startedAt.After(r.provenAt) {
+		r.provenAt = startedAt
 	}
 	return changes
 }
@@ -100,27 +100,27 @@
 func newestOfEach(rows []Row) []Row {
 	at := make(map[string]int, len(rows))
 	out := make([]Row, 0, len(rows))
-	for _, r := range rows {
-		i, seen := at[r.Key]
+	for _, row := range rows {
+		i, seen := at[row.Key]
 		switch {
 		case !seen:
-			at[r.Key] = len(out)
-			out = append(out, r)
-		case r.Version > out[i].Version:
-			out[i] = r
+			at[row.Key] = len(out)
+			out = append(out, row)
+		case row.Version > out[i].Version:
+			out[i] = row
 		}
 	}
 	return out
 }
 
 // missing returns the removals of the held rows that a whole table no longer contains.
-func (m *Replica) missing(rows []Row, version uint64) []Row {
+func (r *Replica) missing(rows []Row, version uint64) []Row {
 	listed := make(map[string]bool, len(rows))
-	for _, r := range rows {
-		listed[r.Key] = true
+	for _, row := range rows {
+		listed[row.Key] = true
 	}
 	var out []Row
-	for key := range m.rows {
+	for key := range r.rows {
 		if !listed[key] {
 			out = append(out, Row{Key: key, Version: version, Removed: true})
 		}
@@ -128,38 +128,38 @@
 	return out
 }
 
-func (m *Replica) rememberRemoval(r Row) {
-	m.removed = append(m.removed, r)
-	if len(m.removed) > maxRememberedRemovals {
-		m.forgottenVersion = m.removed[0].Version
-		m.removed = m.removed[1:]
+func (r *Replica) rememberRemoval(row Row) {
+	r.removed = append(r.removed, row)
+	if len(r.removed) > maxRememberedRemovals {
+		r.forgottenVersion = r.removed[0].Version
+		r.removed = r.removed[1:]
 	}
 }
 
 // Since returns the changes after a version, or false if the table was not read yet.
-func (m *Replica) Since(now time.Time, after uint64) (Delta, bool) {
-	if !m.known {
+func (r *Replica) Since(now time.Time, after uint64) (Delta, bool) {
+	if !r.known {
 		return Delta{}, false
 	}
-	d := Delta{Version: m.version, Age: now.Sub(m.provenAt), Whole: after == 0 || after < m.forgottenVersion}
-	for _, r := range m.rows {
-		if d.Whole || r.Version > after {
-			d.Rows = append(d.Rows, r)
+	d := Delta{Version: r.version, Age: now.Sub(r.provenAt), Whole: after == 0 || after < r.forgottenVersion}
+	for _, row := range r.rows {
+		if d.Whole || row.Version > after {
+			d.Rows = append(d.Rows, row)
 		}
 	}
 	if !d.Whole {
-		for _, r := range m.removed {
-			if r.Version > after {
-				d.Rows = append(d.Rows, r)
+		for _, row := range r.removed {
+			if row.Version > after {
+				d.Rows = append(d.Rows, row)
 			}
 		}
 	}
 	return d, true
 }
 
-// ApplyDelta applies another node's answer to a question that was asked at a time. The table is proven current as of
-// the time of the question less the delta's age. The time of the answer does not count, since it may have been
-// in transit for long.
-func (m *Replica) ApplyDelta(asked time.Time, d Delta) []Row {
-	return m.Apply(asked.Add(-d.Age), d.Rows, d.Version, d.Whole)
+// ApplyDelta applies another node's answer to a request that was sent at sentAt. The table is proven current as of the
+// time of the request less the delta's age. The time of the answer does not count, since it may have been in transit for
+// long.
+func (r *Replica) ApplyDelta(sentAt time.Time, d Delta) []Row {
+	return r.Apply(sentAt.Add(-d.Age), d.Rows, d.Version, d.Whole)
 }
--- a/kernel/returning.go
+++ b/kernel/returning.go
@@ -48,7 +48,7 @@
 	return b.String()
 }
 
-// Add records that a request was refused after its caller had waited for a time.
+// Add records that a request was refused after its caller had waited for the given time.
 func (r *RefusedRequests) Add(now time.Time, identity string, waited time.Duration) {
 	if len(r.firstAttemptAt) >= maxRefusedRequests {
 		r.evict(now)
--- a/kernel/routes.go
+++ b/kernel/routes.go
@@ -159,14 +159,14 @@
 	return route.Split[len(route.Split)-1].Pool
 }
 
-// With returns the view after a store call that began at a time. The table is the one that the call returned, or nil if
-// it returned nothing newer. A version is never replaced by an older one.
-func (v RoutingView) With(began time.Time, table *RouteTable) RoutingView {
+// With returns the view after a store call that began at startedAt. The table is the one that the call returned, or nil
+// if it returned nothing newer. A version is never replaced by an older one.
+func (v RoutingView) With(startedAt time.Time, table *RouteTable) RoutingView {
 	if table != nil && table.Version() > v.Table.Version() {
 		v.Table = table
 	}
-	if v.Table != nil && began.After(v.ProvenAt) {
-		v.ProvenAt = began
+	if v.Table != nil && startedAt.After(v.ProvenAt) {
+		v.ProvenAt = startedAt
 	}
 	return v
 }
