--- a/kernel/answered.go
+++ b/kernel/answered.go
@@ -23,7 +23,7 @@
 	a.young[digest] = now
 }
 
-// answeredAfter reports whether a request was answered after a time.
+// answeredAfter reports whether a request was answered after t.
 func (a *answeredRequests) answeredAfter(t time.Time, digest model.Digest) bool {
 	return a.young[digest].After(t) || a.old[digest].After(t)
 }
--- a/kernel/batchcall.go
+++ b/kernel/batchcall.go
@@ -84,6 +84,7 @@
 	return batch
 }
 
+// start records a call to a worker as running, and returns it with its ID and times.
 func (q *BatchQueue) start(now time.Time, w *worker, batch PieceBatch) PieceBatch {
 	q.lastBatchID++
 	batch.ID = q.lastBatchID
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -107,6 +107,7 @@
 	return max(minConcurrency, calls)
 }
 
+// concurrency returns how many full calls, of the duration full, the worker runs at a time.
 func (w *worker) concurrency(full time.Duration, slots int) float64 {
 	all := float64(max(1, slots))
 	if !w.rateCap.Stated {
@@ -120,6 +121,7 @@
 	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherInterval(w.rateCap)
 }
 
+// countFreeWorkers returns the number of workers with a free slot whose rate caps allow a call now.
 func (q *BatchQueue) countFreeWorkers(now time.Time) int {
 	n := 0
 	for _, w := range q.workers {
@@ -130,6 +132,7 @@
 	return n
 }
 
+// callTime returns how long a call with a number of pieces takes according to the traits of the pool.
 func (q *BatchQueue) callTime(pieces int) time.Duration {
 	return q.traits.CallTime + time.Duration(min(pieces, q.traits.Batch))*q.traits.PieceTime
 }
--- a/kernel/grants.go
+++ b/kernel/grants.go
@@ -19,8 +19,8 @@
 	era uint64
 	// granted is the end of the key time that this member has granted.
 	granted time.Time
-	// sealedRow and writingRow are the numbers of the rows against which another node and this one are writing an
-	// era. This member grants nothing until it knows a newer row.
+	// sealedRow and writingRow are the numbers of the rows to which another node and this one are adding an era.
+	// This member grants nothing until it knows a newer row.
 	sealedRow  uint64
 	writingRow uint64
 	// received is the end of the key time that each other member has granted, by member ID.
@@ -57,14 +57,14 @@
 	g.received[member] = later(g.received[member], until)
 }
 
-// Seal stops the grants of this member until it knows a row newer than number, because another node writes an era
-// against that row. It returns the earliest key time at which that era may start.
+// Seal stops the grants of this member until it knows a row newer than number, because another node adds an era to the
+// row with that number. It returns the earliest key time at which that era may start.
 func (g *Grants) Seal(row Claims, number uint64) time.Time {
 	g.sealedRow = max(g.sealedRow, number)
 	return g.lowestEraStart(row)
 }
 
-// BeginEra does the same as Seal for an era that this member itself writes.
+// BeginEra does the same as Seal for an era that this member itself adds.
 func (g *Grants) BeginEra(row Claims) time.Time {
 	g.writingRow = row.Number
 	return g.lowestEraStart(row)
@@ -75,6 +75,7 @@
 	g.writingRow = 0
 }
 
+// lowestEraStart returns the earliest key time at which an era that is added to the row may start.
 func (g *Grants) lowestEraStart(row Claims) time.Time {
 	if g.era != row.NewestEra().Number {
 		return row.Firm
--- a/kernel/idle.go
+++ b/kernel/idle.go
@@ -9,7 +9,7 @@
 )
 
 // MaxIdleConnections returns how many idle connections each of several nodes may keep to an endpoint that accepts a
-// limited number of connections from all of them together. 0 connections stands for no limit. A node that knows of no
+// limited number of connections from all of them together. 0 connections means no limit. A node that knows of no
 // nodes yet, not even itself, keeps none.
 func MaxIdleConnections(connections, nodes int) int {
 	if connections <= 0 {
--- a/kernel/key.go
+++ b/kernel/key.go
@@ -80,6 +80,8 @@
 	return h.Sum64()
 }
 
+// rendezvousScore returns the score of a member for a subject in rendezvous hashing. The member with the highest score
+// ranks first.
 func rendezvousScore(subject, member string) uint64 {
 	// The two hashes are mixed afterwards, because hashes of a plain concatenation are correlated for similar names.
 	mixed := xxhash.Sum64String(subject) ^ (xxhash.Sum64String(member) * 0x9e3779b97f4a7c15)
--- a/kernel/membershipnews.go
+++ b/kernel/membershipnews.go
@@ -37,6 +37,8 @@
 	m.enqueue(m.selfUpdate())
 }
 
+// recordSuspicion records that a node suspects a member, and declares the member dead once enough nodes do. It reports
+// whether the suspicion was new.
 func (m *Membership) recordSuspicion(now time.Time, update GossipUpdate) bool {
 	info := m.members[update.Member.Node]
 	if info == nil || info.State == MemberDead || info.Member.ID() != update.Member.ID() || update.Beat < info.Beat {
--- a/kernel/membershipring.go
+++ b/kernel/membershipring.go
@@ -39,6 +39,7 @@
 	return []int{shortest << (m.farIndex % steps)}
 }
 
+// nextDead returns the dead member whose turn it is. It returns false if there is none.
 func (m *Membership) nextDead() (MemberInfo, bool) {
 	var dead []MemberInfo
 	for _, info := range m.members {
--- a/kernel/orders.go
+++ b/kernel/orders.go
@@ -100,6 +100,7 @@
 	return o.evictIdle(now, plan, engines)
 }
 
+// addOrder adds an order to the plan unless it is in flight.
 func (o *OrderPlanner) addOrder(now time.Time, plan []Order, order Order) []Order {
 	if until, isInFlight := o.inFlight[order]; isInFlight && now.Before(until) {
 		return plan
@@ -189,6 +190,7 @@
 	return engine, evict
 }
 
+// adapterCount returns the number of adapters that an engine has loaded or is loading.
 func adapterCount(e EngineView, loads map[string][]string) int {
 	return len(e.Adapters) + len(loads[e.Name])
 }
--- a/kernel/permits.go
+++ b/kernel/permits.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// WithDenial returns a copy after a sharer denied a permit and named a wait. A wait of 0 stands for a sharer that did
-// not answer.
+// WithDenial returns a copy after a sharer denied a permit and said how long to wait. A wait of 0 means that the sharer
+// did not answer.
 func (p PermitRequester) WithDenial(now time.Time, sharer string, wait time.Duration) PermitRequester {
 	if wait <= 0 {
 		wait = permitRetryDelay
--- a/kernel/placement.go
+++ b/kernel/placement.go
@@ -102,6 +102,7 @@
 	return best
 }
 
+// loadTokens returns the load of an engine in tokens of prefill.
 func (e EngineCandidate) loadTokens(now time.Time) float64 {
 	return float64(e.PendingPrefillTokens) + decodeLoadTokens*estimatedLoad(now, e.Candidate, e.Endpoint.FailureDomain)
 }
--- a/kernel/quarantine.go
+++ b/kernel/quarantine.go
@@ -78,7 +78,7 @@
 		Since time.Duration
 	}
 
-	// Quarantine is a node's record of the requests that crashed endpoints. One node, the coordinator of a pool,
+	// Quarantine is a node's record of the requests that crashed endpoints. One node for each pool, its coordinator,
 	// receives the reports on all crashes in the pool and decides which requests are held back; all nodes then hold
 	// them back. It changes in place.
 	Quarantine struct {
--- a/kernel/reading.go
+++ b/kernel/reading.go
@@ -160,6 +160,7 @@
 	return known
 }
 
+// fresherNodes returns the fresher node if it is still a source.
 func (s *SourceSelector) fresherNodes(now time.Time) []string {
 	if s.fresherNode == "" || now.After(s.fresherNodeUntil) || s.isSkipped(now, s.fresherNode) {
 		return nil
--- a/kernel/replica.go
+++ b/kernel/replica.go
@@ -157,9 +157,8 @@
 	return d, true
 }
 
-// ApplyDelta applies another node's answer to a request that was sent at sentAt. The table is proven current as of the
-// time of the request less the delta's age. The time of the answer does not count, since it may have been in transit for
-// long.
+// ApplyDelta applies another node's answer to a request that was sent at sentAt. The table is proven current as of
+// sentAt less the delta's age. The time of the answer does not count, since it may have been in transit for long.
 func (r *Replica) ApplyDelta(sentAt time.Time, d Delta) []Row {
 	return r.Apply(sentAt.Add(-d.Age), d.Rows, d.Version, d.Whole)
 }
