--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -107,7 +107,7 @@
 		addedAt time.Time
 		waiting []model.Piece
 		results []ResultRef
-		// attempts counts the calls for each piece, by its number.
+		// attempts counts the attempts at each piece, by its number; a call that was refused is none.
 		attempts map[int]int
 		// runningCalls counts the running calls for each piece, by its number; an overdue call may have a second
 		// one in parallel.
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -23,6 +23,7 @@
 	}
 
 	settledNode struct {
+		// joinedAt is when this node learned of the node.
 		joinedAt time.Time
 		// leftAt is zero while the node is announced.
 		leftAt time.Time
