--- a/kernel/ratecap.go
+++ b/kernel/ratecap.go
@@ -142,8 +142,8 @@
 	return intervalAtRate(v.Cap.PerSecond / maxCapSharers)
 }
 
-// CapBatcherInterval returns the minimum time between two calls of one batcher to a worker, of whose rate cap batchers
-// may use the stated rate.
+// CapBatcherInterval returns the minimum time between two calls of one batcher to a worker with a rate cap. The cap is
+// the part that batchers may use, of which each takes capBatcherShare.
 func CapBatcherInterval(stated model.RateCap) time.Duration {
 	return intervalAtRate(stated.PerSecond * capBatcherShare)
 }
