--- a/kernel/batchers_test.go
+++ b/kernel/batchers_test.go
@@ -31,7 +31,7 @@
 	must.LessEq(t, 3, small)
 }
 
-func TestTheLossOfABatcherMovesOnlyItsPools(t *testing.T) {
+func TestLostBatcherMovesOnlyItsPools(t *testing.T) {
 	nodes := []kernel.Peer{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	counts := map[string]float64{}
 	for k := range 2000 {
--- a/node/claims.go
+++ b/node/claims.go
@@ -159,7 +159,7 @@
 	}
 	next := coordinator.NextRow(now, row, alive, action, from, uuid.NewString())
 	next = next.WithoutBefore(now.Add(-n.Settings().Fleet.Retention))
-	written, err := n.store.SwapClaims(n.ctx, version, row, next)
+	written, err := n.store.CompareAndSwapClaims(n.ctx, version, row, next)
 	n.cancelEra(err)
 	var conflict *table.Conflict
 	if errors.As(err, &conflict) {
--- a/node/drain.go
+++ b/node/drain.go
@@ -181,7 +181,7 @@
 			return true
 		}
 		next := row.WithTransfer(n.member.ID(), heir, uuid.NewString())
-		written, err := n.store.SwapClaims(ctx, version, row, next)
+		written, err := n.store.CompareAndSwapClaims(ctx, version, row, next)
 		if err == nil {
 			n.claims.set(time.Now(), next, written)
 			return true
--- a/node/node.go
+++ b/node/node.go
@@ -120,15 +120,15 @@
 	settings := kernel.NewSettings()
 	n.settings.Store(&settings)
 	n.dispatcher.OnLeaving = n.noteLeaving
-	n.dispatcher.OnAdapter = n.noteAdapter
-	n.dispatcher.OnBrokeOff = n.brokeOff
-	n.dispatcher.MayCall = n.mayCall
+	n.dispatcher.OnAdapterDemand = n.noteAdapter
+	n.dispatcher.OnDisconnect = n.brokeOff
+	n.dispatcher.CheckRequest = n.mayCall
 	n.dispatcher.OnCall = n.rateCaps.RecordSend
-	n.dispatcher.OnAnswered = n.rateCaps.RecordAnswer
-	n.dispatcher.MayAsk = n.mayAskPermit
-	n.dispatcher.AskPermit = n.rateCaps.RequestPermit
+	n.dispatcher.OnAnswer = n.rateCaps.RecordAnswer
+	n.dispatcher.MayRequestPermit = n.mayAskPermit
+	n.dispatcher.RequestPermit = n.rateCaps.RequestPermit
 	n.dispatcher.Admits = n.admits
-	n.dispatcher.Refuses = n.refuses
+	n.dispatcher.AdmitPool = n.refuses
 	if err := n.listen(); err != nil {
 		n.Close()
 		return nil, err
--- a/node/orders.go
+++ b/node/orders.go
@@ -150,7 +150,7 @@
 		return
 	}
 	sent := time.Now()
-	version, err := n.store.SwapLease(ctx, name, watch.Version, next)
+	version, err := n.store.CompareAndSwapLease(ctx, name, watch.Version, next)
 	n.noteTable(err)
 	if err != nil {
 		return
