--- a/kernel/reading.go
+++ b/kernel/reading.go
@@ -11,7 +11,8 @@
 	maxReaders = 2
 	// skipDuration is how long a node that knows no more than this one is skipped.
 	skipDuration = time.Second
-	// fresherNodeTTL is how long a node that was found to know more counts as a source: several of its questions.
+	// fresherNodeTTL is how long a node that was found to know more counts as a source: the time in which it sends
+	// several requests to this node.
 	fresherNodeTTL = 1500 * time.Millisecond
 )
 
@@ -21,7 +22,8 @@
 	// store, and each further one does while the store does not answer those before it. All other nodes ask the
 	// readers of their failure domain and, where these know nothing newer, those of other failure domains. An
 	// unavailable store thus gets few calls, however many nodes there are. A store that answers some nodes but none
-	// of the designated readers is found by probes of the other nodes, on average one per round and failure domain.
+	// of the designated readers is found by probes of the other nodes, on average one in each failure domain for each
+	// time that all of them have asked the readers in vain.
 	// The methods change it in place and must not be called concurrently.
 	SourceSelector struct {
 		self, domain string
@@ -50,7 +52,7 @@
 		LongPoll bool
 	}
 
-	// SourceAnswer is the outcome of a question to another node.
+	// SourceAnswer is the outcome of a request to another node for its contents of the store.
 	SourceAnswer struct {
 		// Failed is true if no answer arrived, TimedOut if it did not arrive completely in time.
 		Failed   bool
@@ -70,26 +72,26 @@
 
 // Plan returns where to get the contents of the store from. nodes are the reachable nodes, this one among them;
 // storeLost tells that this node reads the store and gets no answer.
-func (r *SourceSelector) Plan(now time.Time, nodes []Peer, storeLost bool) SourcePlan {
-	r.readers = designatedReaders(r.domain, nodes)
-	rank := slices.Index(r.readers, r.self)
+func (s *SourceSelector) Plan(now time.Time, nodes []Peer, storeLost bool) SourcePlan {
+	s.readers = designatedReaders(s.domain, nodes)
+	rank := slices.Index(s.readers, s.self)
 	if storeLost {
-		r.substitute = false
+		s.substitute = false
 	}
-	others := slices.DeleteFunc(slices.Clone(r.readers), func(name string) bool { return name == r.self })
-	available := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return r.isSkipped(now, name) })
+	others := slices.DeleteFunc(slices.Clone(s.readers), func(name string) bool { return name == s.self })
+	available := slices.DeleteFunc(slices.Clone(others), func(name string) bool { return s.isSkipped(now, name) })
 	switch {
-	case rank >= 0 && !slices.ContainsFunc(r.readers[:rank], func(name string) bool { return !r.isSkipped(now, name) }):
+	case rank >= 0 && !slices.ContainsFunc(s.readers[:rank], func(name string) bool { return !s.isSkipped(now, name) }):
 		plan := SourcePlan{ReadStore: true, Reason: "this node reads for its failure domain"}
 		if storeLost {
-			plan.Source = firstOf(r.fresherNodes(now), available)
-			return r.withFallback(now, plan, nodes, others)
+			plan.Source = firstOf(s.fresherNodes(now), available)
+			return s.withFallback(now, plan, nodes, others)
 		}
 		return plan
-	case r.substitute:
+	case s.substitute:
 		return SourcePlan{ReadStore: true, Reason: "the store does not answer the readers", Source: firstOf(available)}
 	default:
-		plan := r.withFallback(now, SourcePlan{Source: firstOf(available)}, nodes, others)
+		plan := s.withFallback(now, SourcePlan{Source: firstOf(available)}, nodes, others)
 		plan.Reason = plan.Source + " reads for this node"
 		return plan
 	}
@@ -97,9 +99,9 @@
 
 // withFallback returns the plan with a source: where it has none, a reader of another failure domain, or else the
 // first of others with a long poll.
-func (r *SourceSelector) withFallback(now time.Time, p SourcePlan, nodes []Peer, others []string) SourcePlan {
+func (s *SourceSelector) withFallback(now time.Time, p SourcePlan, nodes []Peer, others []string) SourcePlan {
 	if p.Source == "" {
-		p.Source = firstOf(r.remoteReaders(now, nodes))
+		p.Source = firstOf(s.remoteReaders(now, nodes))
 	}
 	if p.Source == "" && len(others) > 0 {
 		p.Source, p.LongPoll = others[0], true
@@ -107,37 +109,37 @@
 	return p
 }
 
-// RecordAnswer records the outcome of a question to a node and reports whether its answer suffices. A recent answer
+// RecordAnswer records the outcome of a request to a node and reports whether its answer suffices. A recent answer
 // suffices even if the store does not answer that node, unless both nodes are designated readers: then this one has to
 // read the store in its place.
-func (r *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
+func (s *SourceSelector) RecordAnswer(now time.Time, source string, a SourceAnswer) bool {
 	if a.Failed {
 		return false
 	}
-	takesOver := a.StoreLost && slices.Contains(r.readers, r.self) && slices.Contains(r.readers, source)
-	if a.TimedOut || a.Age > r.maxAge || takesOver {
-		r.skippedUntil[source] = now.Add(skipDuration)
+	takesOver := a.StoreLost && slices.Contains(s.readers, s.self) && slices.Contains(s.readers, source)
+	if a.TimedOut || a.Age > s.maxAge || takesOver {
+		s.skippedUntil[source] = now.Add(skipDuration)
 		return false
 	}
 	if !a.StoreLost {
-		r.substitute = false
+		s.substitute = false
 	}
 	return true
 }
 
 // RecordFresherNode records that a node that asked this one has data that was proven current more recently. It is a
 // source while the store does not answer this node.
-func (r *SourceSelector) RecordFresherNode(now time.Time, node string) {
-	r.fresherNode, r.fresherNodeUntil = node, now.Add(fresherNodeTTL)
+func (s *SourceSelector) RecordFresherNode(now time.Time, node string) {
+	s.fresherNode, s.fresherNodeUntil = node, now.Add(fresherNodeTTL)
 }
 
 // ShouldProbeStore reports whether a node that got no sufficient answer from any source asks the store once by itself.
 // The draw is uniform in [0, 1): on average one node of a failure domain, of those that are not designated readers,
-// probes the store in each round.
-func (r *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
+// probes the store each time that all of them have asked in vain.
+func (s *SourceSelector) ShouldProbeStore(nodes []Peer, draw float64) bool {
 	domainNodes := 0
 	for _, n := range nodes {
-		if n.Domain == r.domain {
+		if n.Domain == s.domain {
 			domainNodes++
 		}
 	}
@@ -145,43 +147,44 @@
 }
 
 // RecordProbe records whether the store answered the probe.
-func (r *SourceSelector) RecordProbe(answered bool) {
-	r.substitute = answered
+func (s *SourceSelector) RecordProbe(answered bool) {
+	s.substitute = answered
 }
 
-func (r *SourceSelector) isSkipped(now time.Time, name string) bool {
-	until, known := r.skippedUntil[name]
+func (s *SourceSelector) isSkipped(now time.Time, name string) bool {
+	until, known := s.skippedUntil[name]
 	if known && !now.Before(until) {
-		delete(r.skippedUntil, name)
+		delete(s.skippedUntil, name)
 		return false
 	}
 	return known
 }
 
-func (r *SourceSelector) fresherNodes(now time.Time) []string {
-	if r.fresherNode == "" || now.After(r.fresherNodeUntil) || r.isSkipped(now, r.fresherNode) {
+// fresherNodes returns the fresher node if it is still a source.
+func (s *SourceSelector) fresherNodes(now time.Time) []string {
+	if s.fresherNode == "" || now.After(s.fresherNodeUntil) || s.isSkipped(now, s.fresherNode) {
 		return nil
 	}
-	return []string{r.fresherNode}
+	return []string{s.fresherNode}
 }
 
 // remoteReaders returns the designated readers of other failure domains that are not skipped.
-func (r *SourceSelector) remoteReaders(now time.Time, nodes []Peer) []string {
+func (s *SourceSelector) remoteReaders(now time.Time, nodes []Peer) []string {
 	byDomain := map[string][]Peer{}
 	for _, n := range nodes {
-		if n.Domain != r.domain {
+		if n.Domain != s.domain {
 			byDomain[n.Domain] = append(byDomain[n.Domain], n)
 		}
 	}
 	var remote []Peer
 	for domain, peers := range byDomain {
 		for _, name := range designatedReaders(domain, peers) {
-			if !r.isSkipped(now, name) {
+			if !s.isSkipped(now, name) {
 				remote = append(remote, Peer{Name: name})
 			}
 		}
 	}
-	return NodesByHash("reader beyond "+r.domain, remote)
+	return NodesByHash("reader beyond "+s.domain, remote)
 }
 
 // designatedReaders returns the nodes of a failure domain that are to read the store, in the order of their hashes.
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -12,16 +12,18 @@
 const settleTime = 8 * time.Second
 
 type (
-	// SettledNodes is the set of nodes that divide a fleet-wide limit between them without asking each other. The other
-	// nodes rank a node that joins as soon as they learn of it, but the node itself has no rank until they have had
-	// time to do so; a node that leaves keeps its rank for the same time. Unreachable nodes keep their ranks: otherwise
-	// each side of a network partition would use the whole limit. It is immutable.
+	// SettledNodes is the set of nodes that divide a fleet-wide limit between them by rank, without asking each other.
+	// The other nodes rank a node that joins as soon as they learn of it, but the node itself has no rank until
+	// settleTime has passed, so that they have learned of it; a node that leaves keeps its rank for the same time.
+	// Unreachable nodes keep their ranks: otherwise each side of a network partition would use the whole limit. It is
+	// immutable.
 	SettledNodes struct {
 		// known holds the announced nodes, and those that left within settleTime.
 		known map[string]settledNode
 	}
 
 	settledNode struct {
+		// joinedAt is when this node learned of the node.
 		joinedAt time.Time
 		// leftAt is zero while the node is announced.
 		leftAt time.Time
@@ -30,7 +32,7 @@
 
 // With returns the nodes after a new list of the announced ones.
 func (s SettledNodes) With(now time.Time, announced []Peer) SettledNodes {
-	if s.holdsJust(announced) {
+	if s.equals(announced) {
 		return s
 	}
 	out := SettledNodes{known: make(map[string]settledNode, len(announced))}
@@ -42,7 +44,7 @@
 		out.known[n.Name] = node
 	}
 	for name, node := range s.known {
-		if _, still := out.known[name]; still {
+		if _, announcedNow := out.known[name]; announcedNow {
 			continue
 		}
 		if node.leftAt.IsZero() {
@@ -55,8 +57,8 @@
 	return out
 }
 
-// holdsJust reports whether the announced nodes are exactly the known ones, and none of those has left.
-func (s SettledNodes) holdsJust(announced []Peer) bool {
+// equals reports whether the announced nodes are exactly the known ones, none of which has left.
+func (s SettledNodes) equals(announced []Peer) bool {
 	if len(announced) != len(s.known) {
 		return false
 	}
@@ -77,30 +79,30 @@
 		return math.MaxInt
 	}
 	own := rendezvousScore(subject, self)
-	before := 0
+	rank := 0
 	for name, other := range s.known {
 		gone := !other.leftAt.IsZero() && now.Sub(other.leftAt) >= settleTime
 		if name != self && !gone && rendezvousScore(subject, name) > own {
-			before++
+			rank++
 		}
 	}
-	return before
+	return rank
 }
 
-// First returns at most count nodes, the highest ranked by rendezvous hash of the subject.
-func (s SettledNodes) First(now time.Time, subject string, count int) []string {
+// TopRanked returns at most count nodes, the highest ranked by rendezvous hash of the subject.
+func (s SettledNodes) TopRanked(now time.Time, subject string, count int) []string {
 	names := make([]string, 0, len(s.known))
 	for name, node := range s.known {
 		if node.leftAt.IsZero() || now.Sub(node.leftAt) < settleTime {
 			names = append(names, name)
 		}
 	}
-	return firstByHash(subject, names, count)
+	return topRankedByHash(subject, names, count)
 }
 
-// firstByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in order of
-// rank.
-func firstByHash(subject string, nodes []string, count int) []string {
+// topRankedByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in
+// order of rank.
+func topRankedByHash(subject string, nodes []string, count int) []string {
 	type scored struct {
 		name  string
 		score uint64
--- a/node/claims.go
+++ b/node/claims.go
@@ -135,9 +135,9 @@
 	}
 }
 
-func (n *Node) coordinator() kernel.Coordinator {
+func (n *Node) coordinator() kernel.ClaimsCoordinator {
 	fleet := n.Settings().Fleet
-	return kernel.Coordinator{
+	return kernel.ClaimsCoordinator{
 		Self:          n.member,
 		FirmHorizon:   min(fleet.FirmHorizon, fleet.Horizon),
 		Horizon:       fleet.Horizon,
@@ -157,7 +157,7 @@
 	if action == kernel.StartEra {
 		from = n.sealEra(row)
 	}
-	next := coordinator.Next(now, row, alive, action, from, uuid.NewString())
+	next := coordinator.NextRow(now, row, alive, action, from, uuid.NewString())
 	next = next.WithoutBefore(now.Add(-n.Settings().Fleet.Retention))
 	written, err := n.store.CompareAndSwapClaims(n.ctx, version, row, next)
 	n.cancelEra(err)
