--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -86,7 +86,7 @@
 	began := time.Now()
 	var sent sync.WaitGroup
 	for i := range 9 {
-		n := f.start(fmt.Sprint("joined-", i))
+		n := f.startNode(fmt.Sprint("joined-", i))
 		f.nodes = append(f.nodes, n)
 		sent.Go(func() {
 			for time.Since(began) < capSettled {
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -18,7 +18,7 @@
 // setFleet changes the fleet's document through the first node, and waits until all nodes have it in force.
 func (f *fleet) setFleet(base uint64, yaml string) uint64 {
 	f.t.Helper()
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: base, Operation: uuid.NewString(), Author: "test", YAML: yaml}
 	result, err := client.Set(f.t.Context(), "fleet", change)
 	must.NoError(f.t, err)
@@ -77,7 +77,7 @@
 	for _, n := range f.nodes {
 		must.EqOp(t, domain, evacuatedAt(n))
 	}
-	f.nodes = append(f.nodes, f.start("late"))
+	f.nodes = append(f.nodes, f.startNode("late"))
 	f.await("the new node serves", func() bool { ready, _ := f.nodes[2].Ready(); return ready })
 	sendAll()
 	must.EqOp(t, before, f.runsAt(domain))
--- a/node/node.go
+++ b/node/node.go
@@ -47,13 +47,13 @@
 	records    *records
 	rates      *rates
 	fleet      *fleet
-	claims     *claimsCoordinator
+	claims     *claimsState
 	// keys arbitrates the keys that this node owns; durable remembers those that the table
 	// named this process for.
-	keys      *keyOwner
-	durable   *keyOwner
+	keys      *keyLedger
+	durable   *keyLedger
 	committer *committer
-	orderer   *orderer
+	orderer   *orderController
 	// quarantine holds back the requests that end the endpoints that work on them, rateCaps keeps what endpoints get
 	// within what they take; notices is what the table says of both.
 	quarantine *quarantine.Coordinator
@@ -105,24 +105,24 @@
 		dispatcher: dispatch.NewDispatcher(options.FailureDomain, options.Plain, metrics),
 		records:    newRecords(),
 		rates:      newRates(),
-		keys:       newKeyOwner(),
-		durable:    newKeyOwner(),
+		keys:       newKeyLedger(),
+		durable:    newKeyLedger(),
 		committer:  newCommitter(store),
-		orderer:    newOrderer(),
+		orderer:    newOrderController(),
 		notices:    newNotices(),
 		cold:       newColdDuties(now),
 	}
-	n.claims = newClaimsCoordinator(n.member)
-	n.fleet = &fleet{m: kernel.NewMembership(now, n.member, options.FailureDomain)}
+	n.claims = newClaimsState(n.member)
+	n.fleet = &fleet{membership: kernel.NewMembership(now, n.member, options.FailureDomain)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.quarantine = n.newQuarantine()
+	n.quarantine = n.newQuarantineCoordinator()
 	n.rateCaps = n.newRateCaps()
 	settings := kernel.NewSettings()
 	n.settings.Store(&settings)
-	n.dispatcher.OnLeaving = n.noteLeaving
-	n.dispatcher.OnAdapter = n.noteAdapter
-	n.dispatcher.OnBrokeOff = n.brokeOff
-	n.dispatcher.MayCall = n.mayCall
+	n.dispatcher.OnLeaving = n.markLeaving
+	n.dispatcher.OnAdapter = n.recordAdapterUse
+	n.dispatcher.OnBrokeOff = n.recordDisconnect
+	n.dispatcher.MayCall = n.checkQuarantine
 	n.dispatcher.OnCall = n.rateCaps.RecordSend
 	n.dispatcher.OnAnswered = n.rateCaps.RecordAnswer
 	n.dispatcher.MayAsk = n.mayAskPermit
@@ -153,14 +153,14 @@
 	}
 	handlers := n.quarantine.Handlers()
 	maps.Copy(handlers, map[peer.Kind]peer.Handler{
-		peer.KindHeartbeat:  n.answerHeartbeat,
-		peer.KindForward:    n.answerForward,
+		peer.KindHeartbeat:  n.handleHeartbeat,
+		peer.KindForward:    n.handleForward,
 		peer.KindSettings:   n.answerSettings,
-		peer.KindHandover:   n.answerHandover,
+		peer.KindHandover:   n.handleHandover,
 		peer.KindExplain:    n.answerExplain,
-		peer.KindDemand:     n.answerDemand,
-		peer.KindGrant:      n.answerGrant,
-		peer.KindSeal:       n.answerSeal,
+		peer.KindDemand:     n.handleDemand,
+		peer.KindGrant:      n.handleGrant,
+		peer.KindSeal:       n.handleSeal,
 		peer.KindCapPermit:  n.answerCapPermit,
 		peer.KindRatePermit: n.answerRatePermit,
 	})
@@ -169,7 +169,7 @@
 }
 
 func (n *Node) startLoops() {
-	for _, loop := range []func(){n.followSettings, n.followFleet, n.followList, n.announceHost, n.keepClaims, n.keepGrants, n.giveOrders, n.followNotices} {
+	for _, loop := range []func(){n.followSettings, n.sendHeartbeats, n.pollList, n.announceHost, n.maintainClaims, n.maintainGrants, n.maintainAdapters, n.followNotices} {
 		n.loops.Add(1)
 		go func() {
 			defer n.loops.Done()
@@ -268,7 +268,7 @@
 	n.metrics.Gauge("keys_remembered", func() float64 { return float64(n.keys.len()) })
 	n.metrics.Gauge("requests_held_back", func() float64 { return float64(n.quarantine.Len()) })
 	n.metrics.Gauge("endpoints_with_rate_cap", func() float64 { return float64(n.rateCaps.Len()) })
-	n.metrics.Gauge("members_alive", func() float64 { return float64(n.fleet.size()) })
+	n.metrics.Gauge("members_alive", func() float64 { return float64(n.fleet.aliveCount()) })
 	n.metrics.Gauge("table_reads", func() float64 { return float64(n.store.Reads()) })
 	n.metrics.Gauge("table_writes", func() float64 { return float64(n.store.Writes()) })
 }
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -49,7 +49,7 @@
 	f.t.Helper()
 	served := 0
 	began := time.Now()
-	for time.Since(began) < length || time.Since(began) < patience && (served == 0 || len(f.callsAt(endpoint, began)) == 0) {
+	for time.Since(began) < length || time.Since(began) < awaitTimeout && (served == 0 || len(f.callsAt(endpoint, began)) == 0) {
 		reasons := f.round(pipeline)
 		served += len(f.nodes) - len(reasons)
 		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeouts, r) })
--- a/node/ratecaps.go
+++ b/node/ratecaps.go
@@ -15,7 +15,7 @@
 		Announced: n.announced,
 		Listed:    n.dispatcher.Lists,
 		Publish: func(ctx context.Context, incarnation string, stated model.RateCap) error {
-			return n.noteNotice(n.store.ChangeRateCap(ctx, incarnation, stated))
+			return n.recordNoticeWrite(n.store.ChangeRateCap(ctx, incarnation, stated))
 		},
 		RequestPermit: n.askCapPermit,
 		Changed:       func() {},
--- a/node/rates.go
+++ b/node/rates.go
@@ -153,7 +153,7 @@
 		}
 	}
 	if n.rates.alone(now, req.Account(), len(waits) > 0) {
-		granted, wait := n.rates.take(now, req.Account(), rate, n.fleet.size())
+		granted, wait := n.rates.take(now, req.Account(), rate, n.fleet.aliveCount())
 		if granted {
 			n.metrics.Event("RateServedAlone")
 			return nil
--- a/node/rates_test.go
+++ b/node/rates_test.go
@@ -28,7 +28,7 @@
 	token := "    Token: " + sample.BilbaoToken + "\n"
 	yaml := strings.Replace(team.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
 	must.StrContains(f.t, yaml, "RequestsPerSecond")
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: team.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
 	result, err := client.Set(f.t.Context(), team.Path, change)
 	must.NoError(f.t, err)
@@ -48,7 +48,7 @@
 	f.setRate("0.2")
 	served := 0
 	began := time.Now()
-	for time.Since(began) < length || served == 0 && time.Since(began) < patience {
+	for time.Since(began) < length || served == 0 && time.Since(began) < awaitTimeout {
 		reasons := f.round("renewal")
 		served += len(f.nodes) - len(reasons)
 		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeouts, r) })
