--- a/node/claims.go
+++ b/node/claims.go
@@ -13,27 +13,33 @@
 )
 
 const (
-	// maxClaimsReadInterval bounds how seldom the row is read; a short firm horizon is read more often.
+	// maxClaimsReadInterval is the longest time between two reads of the claims row. With a short firm horizon the row
+	// is read more often.
 	maxClaimsReadInterval = 2 * time.Second
-	// minClaimsReadInterval bounds how often it is read at all.
+	// minClaimsReadInterval is how long the outcome of a read is used before another caller may cause a read.
 	minClaimsReadInterval = 100 * time.Millisecond
-	// claimsReadsPerFirmHorizon is the part of the firm horizon that may pass between two reads.
+	// claimsReadsPerFirmHorizon is the least number of reads, without jitter, during the length of the firm horizon.
 	claimsReadsPerFirmHorizon = 6
-	stabilityTime             = 1500 * time.Millisecond
+	// stabilityTime is how long the set of live members must have been unchanged before an era starts.
+	stabilityTime = 1500 * time.Millisecond
 	// claimsReadTimeout bounds a read, so that keyed requests do not wait for a table that hangs.
 	claimsReadTimeout = time.Second
 )
 
-// claimsState holds the claims row as last read.
+// claimsState holds the claims row as last read or written by this node, and the grants that extend it. It is safe for
+// concurrent use.
 type claimsState struct {
-	mu      sync.Mutex
-	row     kernel.Claims
+	mu  sync.Mutex
+	row kernel.Claims
+	// version is the version of the table row that holds row.
 	version uint64
-	// lastAttempt is when the row was last read, or reading it failed.
+	// lastAttempt is when the row was last read or written, or when a read failed.
 	lastAttempt time.Time
-	readErr     error
-	// reading keeps concurrent reads to one.
+	// readErr is the error of the last read; nil if it succeeded.
+	readErr error
+	// readMu allows one read at a time.
 	readMu sync.Mutex
+	// wakeup has room for one request to read the row without delay.
 	wakeup chan struct{}
 	grants *kernel.Grants
 }
@@ -42,7 +48,7 @@
 	return &claimsState{wakeup: make(chan struct{}, 1), grants: kernel.NewGrants(self)}
 }
 
-// bound returns up to what key time this node may run the keys that it owns.
+// bound returns the end of the key time up to which this node may run the keys that it owns.
 func (c *claimsState) bound() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +65,7 @@
 	return c.current().Number
 }
 
-// set takes a row in; the row only moves forward.
+// set stores a row that was read or written, unless a row with the same or a higher number is known.
 func (c *claimsState) set(now time.Time, row kernel.Claims, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +87,7 @@
 	return c.row, c.version
 }
 
-// wake makes the row be read soon.
+// wake requests a read of the row without delay.
 func (c *claimsState) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
@@ -89,7 +95,8 @@
 	}
 }
 
-// refreshClaims reads the row unless it was read a moment ago.
+// refreshClaims reads the row. If the last read ended less than minClaimsReadInterval ago, it returns the error of that
+// read instead.
 func (n *Node) refreshClaims(ctx context.Context) error {
 	c := n.claims
 	c.readMu.Lock()
@@ -113,18 +120,19 @@
 	return nil
 }
 
-// maintainClaims reads the row again and again and writes it where the kernel says so.
+// maintainClaims reads the row periodically, writes it if kernel.Coordinator decides so, and removes expired keys,
+// until the node stops.
 func (n *Node) maintainClaims() {
 	for {
 		firm := n.Settings().Fleet.FirmHorizon
-		wait := time.NewTimer(jitter(min(maxClaimsReadInterval, firm/claimsReadsPerFirmHorizon)))
+		timer := time.NewTimer(jitter(min(maxClaimsReadInterval, firm/claimsReadsPerFirmHorizon)))
 		select {
 		case <-n.ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return
-		case <-wait.C:
+		case <-timer.C:
 		case <-n.claims.wakeup:
-			wait.Stop()
+			timer.Stop()
 		}
 		if n.refreshClaims(n.ctx) == nil && !n.draining.Load() {
 			n.writeClaims(time.Now())
@@ -148,8 +156,8 @@
 func (n *Node) writeClaims(now time.Time) {
 	coordinator := n.coordinator()
 	row, version := n.claims.snapshot()
-	alive, stood := n.fleet.alive()
-	action := coordinator.Decide(now, row, alive, stood)
+	alive, stableSince := n.fleet.alive()
+	action := coordinator.Decide(now, row, alive, stableSince)
 	if action == kernel.KeepClaims {
 		return
 	}
@@ -159,11 +167,11 @@
 	}
 	next := coordinator.Next(now, row, alive, action, from, uuid.NewString())
 	next = next.WithoutBefore(now.Add(-n.Settings().Fleet.Retention))
-	written, err := n.store.SwapClaims(n.ctx, version, row, next)
+	newVersion, err := n.store.SwapClaims(n.ctx, version, row, next)
 	n.cancelEra(err)
 	var conflict *table.Conflict
 	if errors.As(err, &conflict) {
-		// The row has changed; the next turn reads it.
+		// The row has changed since it was read; the next iteration of maintainClaims reads it.
 		n.metrics.Event("ClaimsConflict")
 		return
 	}
@@ -171,8 +179,8 @@
 	if err != nil {
 		return
 	}
-	n.claims.set(time.Now(), next, written)
+	n.claims.set(time.Now(), next, newVersion)
 	if action != kernel.ExtendHorizon {
-		n.log.Info().Uint64("Era", next.NewestEra().Number).Int("Members", len(alive)).Time("From", next.NewestEra().From).Msg("era written")
+		n.log.Info().Uint64("Era", next.NewestEra().Number).Int("Members", len(alive)).Time("From", next.NewestEra().From).Msg("claims row written with a new era")
 	}
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -14,22 +14,26 @@
 )
 
 const (
-	// maxHandoverEntries bounds the entries of one message.
+	// maxHandoverEntries bounds the entries of one handover message.
 	maxHandoverEntries = 2000
-	handoverTimeout    = 5 * time.Second
-	// lateForwardDuration is how long a node that gave its keys away still passes late arrivals on.
+	// handoverTimeout bounds the handover of the keys, with all attempts.
+	handoverTimeout = 5 * time.Second
+	// lateForwardDuration is how long a node that has handed over its keys still forwards late requests.
 	lateForwardDuration = 2500 * time.Millisecond
-	drainPollInterval   = 20 * time.Millisecond
+	// drainPollInterval is the interval of checks for requests in flight. A failed handover is repeated after ten times
+	// this interval.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Draining tells whether the node is on its way out.
+// Draining reports whether Drain was called.
 func (n *Node) Draining() bool {
 	return n.draining.Load()
 }
 
-// Drain takes the node out: it tells list, peers and balancer, still takes requests for the
-// drain delay, gives its keys away, waits for what is in flight, and closes. It returns how
-// many requests were cut because they exceeded the drain limit.
+// Drain shuts the node down gracefully. It marks the node as leaving for peers, the platform's list and the balancer,
+// still serves requests for the drain delay, hands over its keys, waits for the requests in flight, and closes the node.
+// It returns how many requests were cut because they were still in flight when the drain limit had passed. Further calls
+// return 0 at once.
 func (n *Node) Drain(ctx context.Context) int {
 	if n.draining.Swap(true) {
 		return 0
@@ -52,51 +56,50 @@
 	return cut
 }
 
-// awaitBalancer waits until no request has come for the drain delay: the balancer has noticed,
-// however late, and no kept connection is about to carry one. Callers that keep coming without
-// a balancer are waited for no longer than half the drain limit.
+// awaitBalancer waits until no request has arrived for the drain delay. By then the balancer, however late, sends no
+// more requests, and none is about to arrive on a kept-alive connection. If requests keep arriving, as from callers
+// without a balancer, the wait ends after the drain delay and half the drain limit.
 func (n *Node) awaitBalancer(ctx context.Context) {
 	end := time.Now().Add(n.options.DrainDelay + n.options.DrainLimit/2)
 	clock.Sleep(ctx, n.options.DrainDelay)
 	for time.Now().Before(end) {
-		quiet := time.Since(time.Unix(0, n.lastArrival.Load()))
-		if quiet >= n.options.DrainDelay || !clock.Sleep(ctx, n.options.DrainDelay-quiet) {
+		idle := time.Since(time.Unix(0, n.lastArrival.Load()))
+		if idle >= n.options.DrainDelay || !clock.Sleep(ctx, n.options.DrainDelay-idle) {
 			return
 		}
 	}
 }
 
-// handOver gives all keys to a live member: first what is remembered of them, then, by one
-// write of the claims row, the keys themselves. From the first message on nothing new runs
-// here.
+// handOver transfers all keys to a live member: first the ledger entries, then the ownership of the keys, by one write
+// of the claims row. No new keyed request starts here during the handover, nor after it succeeded.
 func (n *Node) handOver(ctx context.Context) {
 	n.keys.mu.Lock()
-	handing := make(chan struct{})
-	n.keys.handoverDone = handing
+	handoverDone := make(chan struct{})
+	n.keys.handoverDone = handoverDone
 	entries := n.keys.ledger.Export(n.member.ID())
 	n.pending = n.keys.ledger.Running()
 	cutoff := n.keys.ledger.Cutoff()
 	n.keys.mu.Unlock()
 
-	heir, ok := n.transferKeys(ctx, entries, cutoff)
+	successor, ok := n.transferKeys(ctx, entries, cutoff)
 	n.keys.mu.Lock()
 	n.keys.handoverDone = nil
 	if ok {
-		n.keys.successor = &heir
+		n.keys.successor = &successor
 	}
 	n.keys.mu.Unlock()
-	close(handing)
+	close(handoverDone)
 	if !ok {
 		n.metrics.Event("HandoverFailed")
-		n.log.Warn().Msg("keys were not handed over; they stay closed up to the horizon")
+		n.log.Warn().Msg("handover of keys failed; the keys of this node stay unavailable up to the horizon")
 		return
 	}
-	n.log.Info().Str("Heir", heir.Node).Int("Keys", len(entries)).Msg("keys handed over")
+	n.log.Info().Str("Heir", successor.Node).Int("Keys", len(entries)).Msg("keys handed over")
 	clock.Sleep(ctx, lateForwardDuration)
 }
 
-// transferKeys tries the live members in turn. A swap whose answer is lost for good counts as
-// done for this node: it must not run its keys any more.
+// transferKeys tries the live members in turn, and again until handoverTimeout has passed, and returns the one that took
+// over the keys. It returns the zero Member and true if no key can belong to this node.
 func (n *Node) transferKeys(ctx context.Context, entries map[string]kernel.LedgerEntry, cutoff time.Time) (kernel.Member, bool) {
 	if !n.mayOwnKeys() {
 		return kernel.Member{}, true
@@ -104,12 +107,12 @@
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		for _, heir := range n.successorCandidates() {
-			if !n.sendEntries(ctx, heir, entries, cutoff) {
+		for _, candidate := range n.successorCandidates() {
+			if !n.sendEntries(ctx, candidate, entries, cutoff) {
 				continue
 			}
-			if n.writeTransfer(ctx, heir) {
-				return heir, true
+			if n.writeTransfer(ctx, candidate) {
+				return candidate, true
 			}
 		}
 		clock.Sleep(ctx, 10*drainPollInterval)
@@ -117,7 +120,8 @@
 	return kernel.Member{}, false
 }
 
-// mayOwnKeys tells whether any key may belong to this node.
+// mayOwnKeys reports whether any key may belong to this node: it is a member of an era, or received the keys of a member
+// that left.
 func (n *Node) mayOwnKeys() bool {
 	row := n.claims.current()
 	for _, era := range row.Eras {
@@ -135,41 +139,44 @@
 	return false
 }
 
-// heirs returns the live members, those in the newest era last: they are the likelier to
-// have much to do.
+// successorCandidates returns the live members other than this node.
 func (n *Node) successorCandidates() []kernel.Member {
 	alive, _ := n.fleet.alive()
-	var heirs []kernel.Member
+	var candidates []kernel.Member
 	for _, m := range alive {
 		if m.ID() != n.member.ID() {
-			heirs = append(heirs, m)
+			candidates = append(candidates, m)
 		}
 	}
-	return heirs
+	return candidates
 }
 
-func (n *Node) sendEntries(ctx context.Context, heir kernel.Member, entries map[string]kernel.LedgerEntry, cutoff time.Time) bool {
-	part := map[string]kernel.LedgerEntry{}
-	sent := 0
+// sendEntries sends ledger entries to a member, in messages of at most maxHandoverEntries entries, and reports whether
+// all of them were received. Without entries it sends one message, which carries the cutoff.
+func (n *Node) sendEntries(ctx context.Context, to kernel.Member, entries map[string]kernel.LedgerEntry, cutoff time.Time) bool {
+	batch := map[string]kernel.LedgerEntry{}
+	added := 0
 	send := func(last bool) bool {
-		message := peer.Handover{From: n.member, Cutoff: cutoff, Entries: part, Last: last}
+		message := peer.Handover{From: n.member, Cutoff: cutoff, Entries: batch, Last: last}
 		var reply peer.HandoverReply
-		err := n.peers.Call(ctx, heir.Address, peer.KindHandover, message, &reply)
-		part = map[string]kernel.LedgerEntry{}
+		err := n.peers.Call(ctx, to.Address, peer.KindHandover, message, &reply)
+		batch = map[string]kernel.LedgerEntry{}
 		return err == nil
 	}
 	for id, entry := range entries {
-		part[id] = entry
-		sent++
-		if len(part) >= maxHandoverEntries && sent < len(entries) && !send(false) {
+		batch[id] = entry
+		added++
+		if len(batch) >= maxHandoverEntries && added < len(entries) && !send(false) {
 			return false
 		}
 	}
 	return send(true)
 }
 
-// writeTransfer writes the transfer into the claims row. It reports whether it is there.
-func (n *Node) writeTransfer(ctx context.Context, heir kernel.Member) bool {
+// writeTransfer writes the transfer of this node's keys into the claims row. It repeats the write while the outcome is
+// open, since this node must not run its keys once the transfer has taken effect, and reports whether the row is known
+// to contain it.
+func (n *Node) writeTransfer(ctx context.Context, successor kernel.Member) bool {
 	for ctx.Err() == nil {
 		row, version, err := n.store.Claims(ctx, n.claims.current())
 		if err != nil {
@@ -180,10 +187,10 @@
 		if row.HasLeft(n.member.ID()) {
 			return true
 		}
-		next := row.WithTransfer(n.member.ID(), heir, uuid.NewString())
-		written, err := n.store.SwapClaims(ctx, version, row, next)
+		next := row.WithTransfer(n.member.ID(), successor, uuid.NewString())
+		newVersion, err := n.store.SwapClaims(ctx, version, row, next)
 		if err == nil {
-			n.claims.set(time.Now(), next, written)
+			n.claims.set(time.Now(), next, newVersion)
 			return true
 		}
 		var conflict *table.Conflict
@@ -194,10 +201,10 @@
 	return false
 }
 
-// handleHandover takes over what a member that leaves remembers.
+// handleHandover imports the ledger entries of a member that leaves.
 func (n *Node) handleHandover(_ context.Context, body []byte) (any, error) {
-	var h peer.Handover
-	if err := peer.DecodeBody(body, &h); err != nil {
+	var message peer.Handover
+	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
 	if n.draining.Load() {
@@ -205,27 +212,27 @@
 	}
 	n.keys.mu.Lock()
 	defer n.keys.mu.Unlock()
-	n.keys.ledger.Import(h.From.ID(), h.Entries, h.Cutoff)
+	n.keys.ledger.Import(message.From.ID(), message.Entries, message.Cutoff)
 	n.metrics.Event("HandoverTaken")
-	return peer.HandoverReply{Held: len(h.Entries)}, nil
+	return peer.HandoverReply{Held: len(message.Entries)}, nil
 }
 
-// sendOutcomes gives the heir the outcome of the keys that still ran at the handover.
+// sendOutcomes sends the successor the outcomes of the requests that were still running at the handover.
 func (n *Node) sendOutcomes(ctx context.Context) {
 	n.keys.mu.Lock()
-	heir := n.keys.successor
+	successor := n.keys.successor
 	ended := n.keys.ledger.ExportEnded(n.pending)
 	cutoff := n.keys.ledger.Cutoff()
 	n.keys.mu.Unlock()
-	if heir == nil || heir.Node == "" || len(ended) == 0 {
+	if successor == nil || successor.Node == "" || len(ended) == 0 {
 		return
 	}
-	if !n.sendEntries(ctx, *heir, ended, cutoff) {
+	if !n.sendEntries(ctx, *successor, ended, cutoff) {
 		n.metrics.Event("HandoverFailed")
 	}
 }
 
-// awaitIdle waits until nothing is in flight here, or ctx ends.
+// awaitIdle waits until no request is in flight here or ctx ends.
 func (n *Node) awaitIdle(ctx context.Context) {
 	for n.inFlight.Load() > 0 {
 		if !clock.Sleep(ctx, drainPollInterval) {
--- a/node/durable.go
+++ b/node/durable.go
@@ -11,27 +11,31 @@
 )
 
 const (
-	// minCommitInterval is the least time between two group commits of one node.
+	// minCommitInterval is the least time between the starts of two group commits of one node.
 	minCommitInterval = 20 * time.Millisecond
 	// maxCommitKeys bounds the keys of one group commit.
 	maxCommitKeys = 256
-	// tableRetryAfter is when to come back where the table does not answer.
+	// tableRetryAfter is when a caller should retry if the table does not answer.
 	tableRetryAfter = 2 * time.Second
 )
 
 type (
-	// committer inserts durable keys in group commits: keys that arrive while one commit is
-	// under way go into the next.
+	// committer inserts durable keys into the table in group commits: keys that arrive during a commit are part of the
+	// next one. It is safe for concurrent use.
 	committer struct {
 		store *table.Store
 		mu    sync.Mutex
-		// waiting holds the keys of the next commit.
-		queue   []*pendingInsert
+		// queue holds the inserts that are not part of a commit yet, in order of arrival.
+		queue []*pendingInsert
+		// running is true while a goroutine executes commitQueued.
 		running bool
 	}
 
+	// pendingInsert is the insert of one key.
 	pendingInsert struct {
-		row  table.KeyRow
+		// row is the row to insert, and after the commit the row that is in the table.
+		row table.KeyRow
+		// done is closed once row and err are set.
 		done chan struct{}
 		err  error
 	}
@@ -41,7 +45,7 @@
 	return &committer{store: store}
 }
 
-// insert returns the row that stands in the table for a key: this one or an earlier one.
+// insert inserts the row of a key, unless the table has one, and returns the row that is in the table.
 func (c *committer) insert(row table.KeyRow) (table.KeyRow, error) {
 	p := &pendingInsert{row: row, done: make(chan struct{})}
 	c.mu.Lock()
@@ -55,7 +59,7 @@
 	return p.row, p.err
 }
 
-// work commits until nothing waits.
+// commitQueued commits the queued inserts until none is left.
 func (c *committer) commitQueued() {
 	for {
 		c.mu.Lock()
@@ -78,7 +82,7 @@
 	for _, p := range batch {
 		rows = append(rows, p.row)
 	}
-	// A commit outlives the requests in it: its outcome must be learned.
+	// The commit is not cancelled along with the requests in it, because its outcome must be known.
 	result, err := c.store.InsertKeys(context.Background(), rows)
 	for i, p := range batch {
 		p.row, p.err = result[i], err
@@ -86,8 +90,8 @@
 	}
 }
 
-// serveDurable runs a request whose key the table arbitrates. A forwarded one is not
-// forwarded again.
+// serveDurable serves a request whose key is arbitrated by the table. It forwards the request to the member that inserts
+// the key, and serves it here if that member cannot be reached. A forwarded request is not forwarded again.
 func (n *Node) serveDurable(ctx context.Context, req keyedRequest, forwarded bool) (model.Answer, *model.Refusal) {
 	alive, _ := n.fleet.alive()
 	member, ok := kernel.CommitterOf(req.key, alive)
@@ -97,15 +101,15 @@
 			return answer, refusal
 		}
 	}
-	f, answer, refusal := n.durable.admit(req.withIssued(time.Now()), n.executeDurable)
-	if f == nil {
+	run, answer, refusal := n.durable.admit(req.withIssued(time.Now()), n.executeDurable)
+	if run == nil {
 		return answer, refusal
 	}
-	return f.wait(ctx, req.Deadline)
+	return run.wait(ctx, req.Deadline)
 }
 
-// remembered gives a key without a time one, so that the memory of it ends some day. What
-// counts for at-most-once is the table.
+// withIssued sets the time of issue of a key that carries none, so that the key expires in the ledger. At-most-once
+// execution does not depend on the ledger here: it is ensured by the row in the table.
 func (r keyedRequest) withIssued(now time.Time) keyedRequest {
 	if !r.key.Timed() {
 		r.key.Issued = now
@@ -113,17 +117,19 @@
 	return r
 }
 
-// executeDurable inserts the key and runs the request if this process is the one that the
-// table names.
-func (n *Node) executeDurable(req keyedRequest, f *keyedRun) {
+// executeDurable inserts the key, runs the request if the row in the table is that of this process, and records the
+// outcome.
+func (n *Node) executeDurable(req keyedRequest, r *keyedRun) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	began := time.Now()
 	answer, p, refusal := n.insertAndRun(req)
 	n.remember(req.Request, began, answer, p, refusal, "")
-	n.durable.finish(req.key, f, answer, refusal, p.sent)
+	n.durable.finish(req.key, r, answer, refusal, p.sent)
 }
 
+// insertAndRun inserts the key and runs the request if the row in the table has the writer ID of this process.
+// If the row has another writer ID, an earlier attempt may have run, and the request is refused.
 func (n *Node) insertAndRun(req keyedRequest) (model.Answer, progress, *model.Refusal) {
 	writer := n.durable.writer(req.key.ID)
 	row, err := n.committer.insert(table.KeyRow{
@@ -135,7 +141,7 @@
 	})
 	n.noteTable(err)
 	if err != nil {
-		// An earlier attempt may have run on another node, so this is no NotRun.
+		// The verdict is not NotRun: an earlier attempt may have run on another node.
 		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.TableUnavailable, tableRetryAfter,
 			"the table cannot say whether the key was used")
 	}
@@ -144,7 +150,7 @@
 			"the key was used for another request; send this one with a new key")
 	}
 	if row.Writer != writer {
-		// Another process took the key, or this one did and has forgotten how it ended.
+		// The key was inserted by another process, or by this one, which no longer has the outcome.
 		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.OutcomeUnknown, 0,
 			"the key was taken before and its answer is not known here")
 	}
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -13,11 +13,13 @@
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = 2 * time.Second
-	listInterval      = time.Second
-	announceInterval  = 3 * time.Second
+	// listInterval is how often the platform's list is read.
+	listInterval = time.Second
+	// announceInterval is how often this node announces its host to the platform's list.
+	announceInterval = 3 * time.Second
 )
 
-// fleet guards the membership.
+// fleet guards the membership against concurrent use.
 type fleet struct {
 	mu         sync.Mutex
 	membership *kernel.Membership
@@ -29,6 +31,7 @@
 	return len(f.membership.Alive())
 }
 
+// alive returns the live members, and since when their set has been unchanged.
 func (f *fleet) alive() ([]kernel.Member, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +44,7 @@
 	return f.membership.Members()
 }
 
-// isAlive tells whether a member is held to be alive or leaving.
+// reachable reports whether a member is not known to be dead. An unknown member counts as reachable.
 func (f *fleet) reachable(id string) bool {
 	for _, info := range f.members() {
 		if info.Member.ID() == id {
@@ -51,7 +54,8 @@
 	return true
 }
 
-// sendHeartbeats heartbeats the neighbours until the node stops.
+// sendHeartbeats exchanges heartbeats with the neighbours until the node stops. Without neighbours it sends them to the
+// configured seeds.
 func (n *Node) sendHeartbeats() {
 	n.every(heartbeatInterval, func(ctx context.Context) {
 		n.fleet.mu.Lock()
@@ -100,7 +104,8 @@
 	return n.newHeartbeat(), nil
 }
 
-// applyHeartbeat takes a peer's word in. The first news is the peer's own state.
+// applyHeartbeat applies a heartbeat, whose first update is the state of the peer itself. It starts reads of what the
+// peer knows in a newer version than this node: settings, claims row and notices.
 func (n *Node) applyHeartbeat(h peer.Heartbeat) {
 	if len(h.News) == 0 {
 		return
@@ -109,16 +114,16 @@
 	n.fleet.mu.Lock()
 	n.fleet.membership.RecordHeartbeat(now, h.News[0])
 	var leaving []kernel.GossipUpdate
-	for _, news := range h.News[1:] {
-		if news.Endpoint != "" {
-			leaving = append(leaving, news)
+	for _, update := range h.News[1:] {
+		if update.Endpoint != "" {
+			leaving = append(leaving, update)
 			continue
 		}
-		n.fleet.membership.Apply(now, news)
+		n.fleet.membership.Apply(now, update)
 	}
 	n.fleet.mu.Unlock()
-	for _, news := range leaving {
-		n.markLeaving(news.Pool, news.Endpoint)
+	for _, update := range leaving {
+		n.markLeaving(update.Pool, update.Endpoint)
 	}
 	if h.Revision > n.Settings().Revision {
 		go n.pullSettings(n.ctx, h.News[0].Member.Address)
@@ -129,7 +134,7 @@
 	}
 }
 
-// markLeaving stops new work for an endpoint that is leaving and passes the news on.
+// markLeaving stops new work for an endpoint that is leaving, and announces the leaving to the other nodes.
 func (n *Node) markLeaving(pool, endpoint string) {
 	if !n.dispatcher.MarkLeaving(pool, endpoint) {
 		return
@@ -141,7 +146,7 @@
 	n.fleet.mu.Unlock()
 }
 
-// pollList reads the platform's list until the node stops.
+// pollList reads the platform's list periodically until the node stops.
 func (n *Node) pollList() {
 	n.every(listInterval, func(ctx context.Context) {
 		hosts, err := n.list.Get(ctx)
@@ -153,6 +158,7 @@
 	})
 }
 
+// applyList applies the platform's list. A list without endpoints leaves the known endpoints as they are.
 func (n *Node) applyList(hosts model.HostList) {
 	now := time.Now()
 	for i, e := range hosts.Endpoints {
@@ -175,7 +181,7 @@
 	}
 }
 
-// announceHost tells the list of this host until the node stops.
+// announceHost announces this host to the platform's list periodically until the node stops.
 func (n *Node) announceHost() {
 	n.every(announceInterval, func(ctx context.Context) {
 		n.announce(ctx)
--- a/node/grants.go
+++ b/node/grants.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// grantCheckInterval is how often the node looks whether it needs grants.
+	// grantCheckInterval is how often the node checks whether it needs grants.
 	grantCheckInterval = 500 * time.Millisecond
-	grantTimeout       = time.Second
+	// grantTimeout bounds each call to another member for a grant or a seal.
+	grantTimeout = time.Second
 )
 
-// maintainGrants asks for grants whenever they are needed, until the node stops.
+// maintainGrants requests grants whenever they are needed, until the node stops.
 func (n *Node) maintainGrants() {
 	n.every(grantCheckInterval, func(context.Context) {
 		n.requestGrants(time.Now())
 	})
 }
 
-// requestGrants asks all members of the newest era to let keys keep their owners for longer. It
-// is needed only while the table does not move the firm horizon on.
+// requestGrants asks all members of the newest era to grant that keys keep their owners for longer (see kernel.Grants).
+// This is only needed while the table is unavailable and the firm horizon can't be extended: nothing is requested while
+// this node may run keys issued more than half of the firm horizon ahead.
 func (n *Node) requestGrants(now time.Time) {
 	row := n.claims.current()
 	firm := n.coordinator().FirmHorizon
@@ -96,8 +98,8 @@
 	return peer.GrantReply{Granted: granted, Until: until}, nil
 }
 
-// handleSeal is asked by a node outside the era that is about to write the next one. A member
-// that has not read the row yet cannot say how far it granted in that row's newest era.
+// handleSeal answers a node outside the newest era that is about to write the next one. A member that has not read the
+// row yet does not seal, because it does not know up to what key time it has granted in that row's newest era.
 func (n *Node) handleSeal(_ context.Context, body []byte) (any, error) {
 	var message peer.Seal
 	if err := peer.DecodeBody(body, &message); err != nil {
@@ -109,8 +111,8 @@
 	return peer.SealReply{Sealed: true, From: n.claims.seal(message.Number)}, nil
 }
 
-// sealEra returns above what key time a new era must start: what this node granted, if it is
-// of the newest era, else what a member of that era says, else the whole horizon.
+// sealEra returns the earliest key time at which a new era may start: what this node has granted, if it is a member of
+// the newest era; else what a member of that era reports and seals; else the horizon of the row.
 func (n *Node) sealEra(row kernel.Claims) time.Time {
 	for _, m := range row.NewestEra().Members {
 		if m.ID() == n.member.ID() {
@@ -133,10 +135,10 @@
 	return row.Horizon
 }
 
-// cancelEra lets grants go on after a write that certainly had no effect.
-func (n *Node) cancelEra(err error) {
+// cancelEra resumes the grants of this member if the error shows that the write of the row certainly had no effect.
+func (n *Node) cancelEra(writeErr error) {
 	var conflict *table.Conflict
-	if !errors.As(err, &conflict) && !errors.Is(err, table.ErrUnavailable) {
+	if !errors.As(writeErr, &conflict) && !errors.Is(writeErr, table.ErrUnavailable) {
 		return
 	}
 	n.claims.mu.Lock()
--- a/node/keys.go
+++ b/node/keys.go
@@ -13,35 +13,38 @@
 )
 
 const (
-	// maxOwnerAttempts bounds how often an entry node looks for a key's owner.
+	// maxOwnerAttempts bounds how often the node that received a request looks up the owner of its key.
 	maxOwnerAttempts = 3
-	// ownerRetryAfter is when to come back where the owner cannot be reached.
+	// ownerRetryAfter is when a caller should retry if the owner of its key cannot run the request now.
 	ownerRetryAfter = 500 * time.Millisecond
 )
 
 type (
-	// keyLedger is this node's part in keyed requests: the ledger and the requests in flight.
+	// keyLedger holds the ledger of the keys that this node arbitrates, and their running requests. It is safe for
+	// concurrent use.
 	keyLedger struct {
 		mu     sync.Mutex
 		ledger *kernel.Ledger
-		// flights has one entry for each key that runs here.
+		// runs holds the running requests by key ID.
 		runs map[string]*keyedRun
-		// writers holds, for durable keys, the number of the insert that this process made.
+		// writers holds, by the ID of a durable key, the writer ID under which this process inserts the key.
 		writers map[string]string
-		// handing is set while the keys are given away; arrivals wait until it is closed.
+		// handoverDone is set while the keys are handed over, and closed at the end. New requests wait for it.
 		handoverDone chan struct{}
-		// heir is set once the keys were given away; nothing runs here after that.
+		// successor is the member that the keys were handed over to. Once it is set, no new request runs here. It is
+		// the zero Member if no key could belong to this node.
 		successor *kernel.Member
 	}
 
-	// flight is a keyed request on its way. Its outcome is set before done is closed.
+	// keyedRun is a running keyed request.
 	keyedRun struct {
+		// done is closed at the end of the run, after answer or refusal was set.
 		done    chan struct{}
 		answer  model.Answer
 		refusal *model.Refusal
 	}
 
-	// keyedRequest is a request with its parsed key.
+	// keyedRequest is a request with its parsed key and its pipeline.
 	keyedRequest struct {
 		model.Request
 		key      kernel.Key
@@ -64,9 +67,8 @@
 	}
 }
 
-// writer returns the number under which this process inserts a durable key. Once the key is
-// forgotten here another number is used, which the row in the table does not carry: a key
-// that may have run is never taken for a new one.
+// writer returns the writer ID under which this process inserts a durable key. Once the key has expired here, another
+// ID is used, which differs from that in the row of the table: a key that may have run is never taken for a new one.
 func (k *keyLedger) writer(id string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -82,19 +84,20 @@
 	return k.ledger.Len()
 }
 
-// serveKeyed takes a keyed request to whoever arbitrates its key. Only the owner says NotRun.
+// serveKeyed serves a keyed request where its key is arbitrated: by the table for a durable key, else by the owner of
+// the key. Only the arbiter of the key may answer NotRun, since other nodes do not know whether an attempt has run.
 func (n *Node) serveKeyed(ctx context.Context, req keyedRequest) (model.Answer, *model.Refusal) {
 	if req.key.Mode() == model.Durable {
 		return n.serveDurable(ctx, req, false)
 	}
 	var refusal *model.Refusal
-	for try := range maxOwnerAttempts {
-		if try > 0 {
+	for attempt := range maxOwnerAttempts {
+		if attempt > 0 {
 			_ = n.refreshClaims(ctx)
 		}
-		owner, missing := n.ownerOf(ctx, req.key)
-		if missing != nil {
-			return model.Answer{}, missing
+		owner, noOwner := n.ownerOf(ctx, req.key)
+		if noOwner != nil {
+			return model.Answer{}, noOwner
 		}
 		var answer model.Answer
 		if owner.ID() == n.member.ID() {
@@ -110,14 +113,14 @@
 	return model.Answer{}, refusal
 }
 
-// shouldRetryOwner tells whether another look at the claims row may find the right owner. Asking
-// the same owner twice does no harm: it knows the key.
+// shouldRetryOwner reports whether reading the claims row again may yield another owner. It is harmless to send the
+// request to the same owner twice, because the owner has recorded the key.
 func shouldRetryOwner(r *model.Refusal) bool {
 	return r.Reason == model.OwnerUnknown || r.Reason == model.OwnerUnreachable
 }
 
-// ownerOf returns the owner of a key, after another look at the row if the key's time is
-// beyond the horizon that this node knows.
+// ownerOf returns the owner of a key. It reads the claims row again if the key was issued beyond the horizon that this
+// node knows.
 func (n *Node) ownerOf(ctx context.Context, key kernel.Key) (kernel.Member, *model.Refusal) {
 	if n.claims.current().BeyondHorizon(key) {
 		_ = n.refreshClaims(ctx)
@@ -135,8 +138,8 @@
 	}
 }
 
-// forward asks the owner. Where no reply comes the request may have run there, or an earlier
-// attempt with the same key may have.
+// forward sends a request to the owner of its key, or to the member that inserts a durable key. If no reply arrives, this
+// request or an earlier attempt with the same key may have run there, so the refusal is MayHaveRun.
 func (n *Node) forward(ctx context.Context, owner kernel.Member, req keyedRequest) (model.Answer, *model.Refusal) {
 	if !n.fleet.reachable(owner.ID()) {
 		return model.Answer{}, ownerUnreachableRefusal("the key's owner has failed")
@@ -159,14 +162,15 @@
 	return model.NewRefusal(model.MayHaveRun, model.OwnerUnreachable, ownerRetryAfter, detail)
 }
 
-// handleForward runs a request for another node.
+// handleForward serves a request that another node forwarded. The message carries the time left until the deadline, so
+// that the clocks of the two nodes need not agree.
 func (n *Node) handleForward(ctx context.Context, body []byte) (any, error) {
-	var f peer.Forward
-	if err := peer.DecodeBody(body, &f); err != nil {
+	var message peer.Forward
+	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
-	f.Request.Deadline = time.Now().Add(f.Left)
-	answer, refusal := n.serveForwarded(ctx, f.Request)
+	message.Request.Deadline = time.Now().Add(message.Left)
+	answer, refusal := n.serveForwarded(ctx, message.Request)
 	return peer.ForwardReply{Answer: answer, Refusal: refusal}, nil
 }
 
@@ -186,13 +190,13 @@
 	return n.serveOwned(ctx, keyed)
 }
 
-// serveOwned runs a request if this node owns its key, joins one in flight, or repeats what is
-// remembered.
+// serveOwned serves a request whose key this node should own: it runs the request, waits for a running request with the
+// same key, or returns the recorded outcome. After a handover it forwards the request to the successor.
 func (n *Node) serveOwned(ctx context.Context, req keyedRequest) (model.Answer, *model.Refusal) {
-	if heir, ok := n.keys.awaitHandover(ctx); !ok {
+	if successor, ok := n.keys.awaitHandover(ctx); !ok {
 		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.Draining, ownerRetryAfter, "the key's owner is leaving")
-	} else if heir != nil {
-		return n.forward(ctx, *heir, req)
+	} else if successor != nil {
+		return n.forward(ctx, *successor, req)
 	}
 	if !n.owns(req.key) {
 		_ = n.refreshClaims(ctx)
@@ -203,15 +207,15 @@
 	if !n.mayRun(ctx, req.key) {
 		return model.Answer{}, keyAheadRefusal(req.key, n.claims.bound())
 	}
-	f, answer, refusal := n.keys.admit(req, n.executeOwned)
-	if f == nil {
+	run, answer, refusal := n.keys.admit(req, n.executeOwned)
+	if run == nil {
 		return answer, refusal
 	}
-	return f.wait(ctx, req.Deadline)
+	return run.wait(ctx, req.Deadline)
 }
 
-// mayRun tells whether the key's time is within what this node may run, after another look at
-// the row and at what the other members grant.
+// mayRun reports whether the key was issued within the key time that this node may run. If not, it first reads the
+// claims row again, or requests grants from the other members if the row cannot be read.
 func (n *Node) mayRun(ctx context.Context, key kernel.Key) bool {
 	if key.Issued.Before(n.claims.bound()) {
 		return true
@@ -222,8 +226,8 @@
 	return key.Issued.Before(n.claims.bound())
 }
 
-// keyAheadRefusal refuses a key whose time is beyond a bound. NotRun would not stay true: the bound
-// moves on, and a held-up attempt may run.
+// keyAheadRefusal returns the refusal of a key that was issued beyond the bound. Its verdict is not NotRun, which would
+// not stay true: the bound moves forward, and a delayed attempt may then run.
 func keyAheadRefusal(key kernel.Key, bound time.Time) *model.Refusal {
 	return model.NewRefusal(model.MayHaveRun, model.KeyAhead, kernel.ClampRetryAfter(key.Issued.Sub(bound)),
 		"the key's time of issue is ahead of the time that this fleet may serve now")
@@ -234,25 +238,26 @@
 	return ok && owner.ID() == n.member.ID()
 }
 
-// awaitHandover waits while the keys are being given away. It returns the heir once they
-// were, and false where the wait was ended by ctx.
+// awaitHandover waits while the keys are handed over. It returns the successor, or nil if the keys were not handed
+// over, and false if ctx ended the wait.
 func (k *keyLedger) awaitHandover(ctx context.Context) (*kernel.Member, bool) {
 	k.mu.Lock()
-	handing, heir := k.handoverDone, k.successor
+	handoverDone, successor := k.handoverDone, k.successor
 	k.mu.Unlock()
-	if handing == nil {
-		return heir, true
+	if handoverDone == nil {
+		return successor, true
 	}
 	select {
-	case <-handing:
+	case <-handoverDone:
 		return k.awaitHandover(ctx)
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// take lets the ledger decide. It returns a flight to wait for, or the outcome.
-func (k *keyLedger) admit(req keyedRequest, launch func(keyedRequest, *keyedRun)) (*keyedRun, model.Answer, *model.Refusal) {
+// admit decides on a request with the ledger. It returns the run to wait for, or nil and the outcome. A new run is
+// executed in a goroutine of its own by execute, which must call finish.
+func (k *keyLedger) admit(req keyedRequest, execute func(keyedRequest, *keyedRun)) (*keyedRun, model.Answer, *model.Refusal) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.handoverDone != nil || k.successor != nil {
@@ -261,10 +266,10 @@
 	decision := k.ledger.Admit(req.key, kernel.Fingerprint(req.Request), req.Attempt)
 	switch decision.Action {
 	case kernel.LedgerRun:
-		f := &keyedRun{done: make(chan struct{})}
-		k.runs[req.key.ID] = f
-		go launch(req, f)
-		return f, model.Answer{}, nil
+		run := &keyedRun{done: make(chan struct{})}
+		k.runs[req.key.ID] = run
+		go execute(req, run)
+		return run, model.Answer{}, nil
 	case kernel.LedgerJoin:
 		return k.runs[req.key.ID], model.Answer{}, nil
 	case kernel.LedgerAnswer:
@@ -274,18 +279,19 @@
 	}
 }
 
-// launch runs a keyed request to its end, also when nobody waits any more.
-func (n *Node) executeOwned(req keyedRequest, f *keyedRun) {
+// executeOwned runs a keyed request to its end, even if no caller waits for it any more.
+func (n *Node) executeOwned(req keyedRequest, r *keyedRun) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	began := time.Now()
 	answer, p, refusal := n.run(n.ctx, req.Request, req.pipeline, nil)
 	n.remember(req.Request, began, answer, p, refusal, "")
-	n.keys.finish(req.key, f, answer, refusal, p.sent)
+	n.keys.finish(req.key, r, answer, refusal, p.sent)
 }
 
-// end records the outcome of a flight and wakes those that wait for it.
-func (k *keyLedger) finish(key kernel.Key, f *keyedRun, answer model.Answer, refusal *model.Refusal, sent bool) {
+// finish records the outcome of a run and ends the waits for it. Sent tells whether the non-idempotent call may have
+// reached the service.
+func (k *keyLedger) finish(key kernel.Key, run *keyedRun, answer model.Answer, refusal *model.Refusal, sent bool) {
 	k.mu.Lock()
 	if refusal == nil {
 		k.ledger.Finish(key, answer)
@@ -294,24 +300,25 @@
 	}
 	delete(k.runs, key.ID)
 	k.mu.Unlock()
-	f.answer = answer
-	f.refusal = refusal
-	close(f.done)
+	run.answer = answer
+	run.refusal = refusal
+	close(run.done)
 }
 
-// wait returns the flight's outcome, or at the deadline that it is unknown.
-func (f *keyedRun) wait(ctx context.Context, deadline time.Time) (model.Answer, *model.Refusal) {
+// wait returns the outcome of the run, or a MayHaveRun refusal if the run has not ended by the deadline or the end of
+// ctx.
+func (r *keyedRun) wait(ctx context.Context, deadline time.Time) (model.Answer, *model.Refusal) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-f.done:
-		return f.answer, f.refusal
+	case <-r.done:
+		return r.answer, r.refusal
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	select {
-	case <-f.done:
-		return f.answer, f.refusal
+	case <-r.done:
+		return r.answer, r.refusal
 	default:
 		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.StageTimeout, ownerRetryAfter, "still running at the deadline; ask again with the same key")
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -10,24 +10,27 @@
 	"basilstall.example/basilstall/table"
 )
 
-// noticesRetryInterval is how long after a failure the notices are read again.
+// noticesRetryInterval is the pause after a failed read of the notices.
 const noticesRetryInterval = time.Second
 
-// notices is the table's row of what is to be known to all nodes, as last read.
+// notices holds the notices row of the table as last read: the requests that are held back and the rate caps of
+// endpoints, which all nodes must know. It is safe for concurrent use.
 type notices struct {
-	mu      sync.Mutex
-	row     table.Notices
+	mu  sync.Mutex
+	row table.Notices
+	// version is the version of row; 0 before the first read.
 	version uint64
-	// wanted is the newest version that another node is known to have read.
+	// latestKnown is the newest version that is known to be in the table.
 	latestKnown uint64
-	wakeup      chan struct{}
+	// wakeup has room for one request to read the row.
+	wakeup chan struct{}
 }
 
 func newNotices() *notices {
 	return &notices{wakeup: make(chan struct{}, 1)}
 }
 
-// want has the row read if it is older than a version.
+// requireVersion records that the table has a version of the row, and requests a read if the known one is older.
 func (h *notices) requireVersion(version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,14 +44,15 @@
 	}
 }
 
-// number returns the version that was read.
+// readVersion returns the version of the row as last read.
 func (h *notices) readVersion() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version
 }
 
-// set takes a reading in and returns what has changed. The row only moves forward.
+// set stores the row as read, unless the same or a newer version is known, and returns the changes of held requests and
+// of rate caps; the latter are by incarnation of the endpoint.
 func (h *notices) set(row table.Notices, version uint64) (kernel.QuarantineChange, map[string]model.RateCap) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,7 +65,8 @@
 	return held, caps
 }
 
-// recordNoticeWrite notes how the writing of a notice ended; heartbeats tell the others that there is something to read.
+// recordNoticeWrite records the outcome of a write of a notice and returns err. After a success this node reads the row
+// again, and its heartbeats then carry the new version to the other nodes.
 func (n *Node) recordNoticeWrite(err error) error {
 	n.noteTable(err)
 	if err == nil {
@@ -70,7 +75,8 @@
 	return err
 }
 
-// followNotices reads the notices at the start, and whenever another node has read a newer row.
+// followNotices reads the notices at the start and whenever a newer version of the row is known to exist, and applies the
+// changes, until the node stops.
 func (n *Node) followNotices() {
 	for {
 		row, version, err := n.store.Notices(n.ctx)
--- a/node/orders.go
+++ b/node/orders.go
@@ -13,25 +13,28 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// orderInterval is how often wanted and reported states are compared.
+// orderInterval is how often the demand for adapters is compared with what the engines report.
 const orderInterval = 500 * time.Millisecond
 
 type (
-	// orderer gives orders to the engines of the pools whose leases this node holds, and
-	// tells the holders of other pools what is wanted. A pool that nobody wants an adapter
-	// of costs nothing: no lease, no reads.
+	// orderController sends orders to the engines of the pools whose leases this node holds, and reports the demand for
+	// adapters of other pools to the holders of their leases. A pool without demand causes no lease and no reads of
+	// the table.
 	orderController struct {
-		mu     sync.Mutex
+		mu sync.Mutex
+		// pools holds the pools with demand, by name.
 		pools  map[string]*poolOrders
 		client *engine.Client
 	}
 
+	// poolOrders is the state of one pool with demand for adapters.
 	poolOrders struct {
-		lease   kernel.LeaseView
+		lease kernel.LeaseView
+		// planner collects the demand that is reported to this node, and plans orders while this node holds the lease.
 		planner *kernel.OrderPlanner
-		// wanted is what this node's requests want, until it was told to the holder.
+		// unsentDemands holds the demand of this node's requests that was not yet sent to the holder, by adapter.
 		unsentDemands map[string]kernel.Demand
-		// lastDemandAt is when any adapter was last wanted or reported here.
+		// lastDemandAt is when a request of this node last used an adapter, or another node last reported demand.
 		lastDemandAt time.Time
 	}
 )
@@ -40,11 +43,12 @@
 	return &orderController{pools: map[string]*poolOrders{}, client: engine.NewClient()}
 }
 
-// want notes that a request wants an adapter of a pool.
-func (o *orderController) addDemand(pool string, demand kernel.Demand, rate time.Duration) {
+// addDemand records the demand of a request for an adapter of a pool. It keeps the earliest deadline among the requests
+// that wait for the adapter.
+func (o *orderController) addDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	p := o.pool(pool, rate)
+	p := o.pool(pool, loadInterval)
 	p.lastDemandAt = demand.Used
 	known, ok := p.unsentDemands[demand.Adapter]
 	if ok && !known.Deadline.IsZero() && known.Deadline.Before(demand.Deadline) {
@@ -53,16 +57,17 @@
 	p.unsentDemands[demand.Adapter] = demand
 }
 
-func (o *orderController) pool(name string, rate time.Duration) *poolOrders {
+// pool returns the state of a pool, and creates it if there is none. The caller holds mu.
+func (o *orderController) pool(name string, loadInterval time.Duration) *poolOrders {
 	p := o.pools[name]
 	if p == nil {
-		p = &poolOrders{planner: kernel.NewOrderPlanner(rate), unsentDemands: map[string]kernel.Demand{}}
+		p = &poolOrders{planner: kernel.NewOrderPlanner(loadInterval), unsentDemands: map[string]kernel.Demand{}}
 		o.pools[name] = p
 	}
 	return p
 }
 
-// active returns the pools that anything is wanted of, and forgets the others.
+// activePools returns the names of the pools with recent demand, and removes the others.
 func (o *orderController) activePools(now time.Time) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,7 +82,7 @@
 	return names
 }
 
-// recordAdapterUse takes in that a request uses an adapter; waiting tells that no engine has it.
+// recordAdapterUse records that a request uses an adapter. If waiting is true, no engine has the adapter loaded.
 func (n *Node) recordAdapterUse(pool, adapter string, deadline time.Time, waiting bool) {
 	demand := kernel.Demand{Adapter: adapter, Used: time.Now()}
 	if waiting {
@@ -86,7 +91,7 @@
 	n.orderer.addDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
 }
 
-// maintainAdapters keeps the leases and gives the orders until the node stops.
+// maintainAdapters maintains the leases of the pools with demand and sends orders to their engines, until the node stops.
 func (n *Node) maintainAdapters() {
 	n.every(orderInterval, func(ctx context.Context) {
 		for _, name := range n.orderer.activePools(time.Now()) {
@@ -95,6 +100,8 @@
 	})
 }
 
+// maintainPool maintains the lease of a pool, reports the demand of this node's requests, and sends orders if this node
+// holds the lease.
 func (n *Node) maintainPool(ctx context.Context, name string) {
 	if n.draining.Load() {
 		return
@@ -114,55 +121,57 @@
 	return kernel.LeaseView{}
 }
 
-func (n *Node) setLeaseView(name string, watch kernel.LeaseView) {
+func (n *Node) setLeaseView(name string, view kernel.LeaseView) {
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	if p := n.orderer.pools[name]; p != nil {
-		p.lease = watch
+		p.lease = view
 	}
 }
 
-// readLease reads the row unless this node holds the lease.
+// readLease reads the lease row of a pool, unless this node holds the lease.
 func (n *Node) readLease(ctx context.Context, name string) {
-	watch := n.leaseView(name)
-	if watch.MayOrder(time.Now()) {
+	view := n.leaseView(name)
+	if view.MayOrder(time.Now()) {
 		return
 	}
 	lease, version, err := n.store.Lease(ctx, name)
 	n.noteTable(err)
 	if err == nil {
-		n.setLeaseView(name, watch.WithRead(time.Now(), lease, version))
+		n.setLeaseView(name, view.WithRead(time.Now(), lease, version))
 	}
 }
 
-// renewOrAcquireLease renews a lease that is held, or takes one that has lapsed.
+// renewOrAcquireLease renews the lease of a pool if this node holds it, or acquires it if it has expired and this node is
+// a candidate.
 func (n *Node) renewOrAcquireLease(ctx context.Context, name string) {
 	alive, _ := n.fleet.alive()
-	rank, standsBy := kernel.LeaseRank(name, n.member, alive)
-	watch := n.leaseView(name)
+	rank, candidate := kernel.LeaseRank(name, n.member, alive)
+	view := n.leaseView(name)
 	now := time.Now()
-	next := kernel.Lease{Holder: n.member, Number: watch.Lease.Number, Writer: uuid.NewString()}
+	next := kernel.Lease{Holder: n.member, Number: view.Lease.Number, Writer: uuid.NewString()}
 	switch {
-	case watch.ShouldRenew(now):
-	case standsBy && watch.MayAcquire(now, rank):
+	case view.ShouldRenew(now):
+	case candidate && view.MayAcquire(now, rank):
 		next.Number++
 	default:
 		return
 	}
 	sent := time.Now()
-	version, err := n.store.SwapLease(ctx, name, watch.Version, next)
+	version, err := n.store.SwapLease(ctx, name, view.Version, next)
 	n.noteTable(err)
 	if err != nil {
 		return
 	}
-	n.setLeaseView(name, watch.WithWrite(time.Now(), sent, next, version))
-	if next.Number != watch.Lease.Number {
+	n.setLeaseView(name, view.WithWrite(time.Now(), sent, next, version))
+	if next.Number != view.Lease.Number {
 		n.metrics.Event("LeaseTaken")
-		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease taken")
+		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease acquired")
 	}
 }
 
-// sendDemands hands what is wanted to the planner, here or at the holder.
+// sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the call
+// fails, this demand is not sent again.
 func (n *Node) sendDemands(ctx context.Context, name string) {
 	n.orderer.mu.Lock()
 	p := n.orderer.pools[name]
@@ -170,44 +179,46 @@
 		n.orderer.mu.Unlock()
 		return
 	}
-	wanted := make([]kernel.Demand, 0, len(p.unsentDemands))
+	demands := make([]kernel.Demand, 0, len(p.unsentDemands))
 	for _, d := range p.unsentDemands {
-		wanted = append(wanted, d)
+		demands = append(demands, d)
 	}
 	clear(p.unsentDemands)
 	holder := p.lease.Lease.Holder
 	n.orderer.mu.Unlock()
 	if holder.ID() == n.member.ID() {
-		n.addDemands(name, wanted)
+		n.addDemands(name, demands)
 		return
 	}
 	var reply peer.Empty
-	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: wanted}, &reply); err != nil {
+	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: demands}, &reply); err != nil {
 		n.metrics.Event("DemandFailed")
 	}
 }
 
-func (n *Node) addDemands(name string, wanted []kernel.Demand) {
+// addDemands adds the demand of this or another node to the planner of a pool.
+func (n *Node) addDemands(name string, demands []kernel.Demand) {
 	now := time.Now()
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	p := n.orderer.pool(name, n.Settings().Fleet.WeightLoadEvery)
 	p.lastDemandAt = now
-	for _, d := range wanted {
+	for _, d := range demands {
 		p.planner.AddDemand(now, d)
 	}
 }
 
 func (n *Node) handleDemand(_ context.Context, body []byte) (any, error) {
-	var d peer.Demand
-	if err := peer.DecodeBody(body, &d); err != nil {
+	var message peer.Demand
+	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
-	n.addDemands(d.Pool, d.Wanted)
+	n.addDemands(message.Pool, message.Wanted)
 	return peer.Empty{}, nil
 }
 
-// plan compares what is wanted with what the engines report, and sends the orders.
+// planOrders compares the demand with what the engines report, and sends the resulting orders if this node holds the
+// lease.
 func (n *Node) planOrders(ctx context.Context, name string) {
 	if !n.leaseView(name).MayOrder(time.Now()) {
 		return
@@ -228,8 +239,9 @@
 	}
 }
 
+// engineViews asks all endpoints for their states at once. Endpoints that do not answer are left out.
 func (n *Node) engineViews(ctx context.Context, endpoints []model.Endpoint) []kernel.EngineView {
-	states := make([]kernel.EngineView, len(endpoints))
+	reported := make([]kernel.EngineView, len(endpoints))
 	var wg sync.WaitGroup
 	for i, e := range endpoints {
 		wg.Add(1)
@@ -237,13 +249,13 @@
 			defer wg.Done()
 			state, err := n.orderer.client.State(ctx, e.Address)
 			if err == nil {
-				states[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
+				reported[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
 			}
 		}()
 	}
 	wg.Wait()
 	var views []kernel.EngineView
-	for _, v := range states {
+	for _, v := range reported {
 		if v.Name != "" {
 			views = append(views, v)
 		}
@@ -251,7 +263,8 @@
 	return views
 }
 
-// sendOrder checks the lease by the monotonic clock just before it sends.
+// sendOrder sends an order to its engine, unless the lease has expired. The lease is checked on the monotonic clock just
+// before the order is sent.
 func (n *Node) sendOrder(ctx context.Context, name string, order kernel.Order, endpoints []model.Endpoint) {
 	defer func() {
 		n.orderer.mu.Lock()
@@ -264,13 +277,13 @@
 		if e.Name != order.Engine {
 			continue
 		}
-		watch := n.leaseView(name)
-		if !watch.MayOrder(time.Now()) {
+		view := n.leaseView(name)
+		if !view.MayOrder(time.Now()) {
 			n.metrics.Event("OrderHeldBack")
 			return
 		}
 		n.metrics.Event("OrderSent")
-		if err := n.orderer.client.Order(ctx, e.Address, order, watch.Lease.Number); err != nil {
+		if err := n.orderer.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
 			n.metrics.Event("OrderFailed")
 		}
 	}
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -15,7 +15,7 @@
 
 var errUnknownMember = errors.New("node: no such member")
 
-// newQuarantineCoordinator returns the node's part in the quarantine.
+// newQuarantineCoordinator returns the quarantine coordinator of this node.
 func (n *Node) newQuarantineCoordinator() *quarantine.Coordinator {
 	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
@@ -31,18 +31,20 @@
 	}, time.Now, n.metrics, n.log)
 }
 
-// coordinatorPeers returns the members that may keep a pool's cases, this one among them.
+// coordinatorPeers returns the members that may coordinate the quarantine of a pool: the live ones, and this node even
+// while it is leaving.
 func (n *Node) coordinatorPeers() []kernel.Peer {
-	out := []kernel.Peer{{Name: n.member.Node}}
+	peers := []kernel.Peer{{Name: n.member.Node}}
 	members, _ := n.fleet.alive()
 	for _, m := range members {
 		if m.Node != n.member.Node {
-			out = append(out, kernel.Peer{Name: m.Node})
+			peers = append(peers, kernel.Peer{Name: m.Node})
 		}
 	}
-	return out
+	return peers
 }
 
+// callMember calls the live member on the named node and decodes its answer into reply.
 func (n *Node) callMember(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 	members, _ := n.fleet.alive()
 	for _, m := range members {
@@ -53,17 +55,18 @@
 	return errUnknownMember
 }
 
-// storeQuarantineChange writes a change into the table; heartbeats tell the others that there is something to read.
+// storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there is
+// a new version to read.
 func (n *Node) storeQuarantineChange(ctx context.Context, change kernel.QuarantineChange) error {
 	return n.recordNoticeWrite(n.store.ChangeHeld(ctx, change))
 }
 
-// recordDisconnect notes that an endpoint broke off while it worked on a request.
+// recordDisconnect records that the connection to an endpoint broke while the endpoint may have worked on a request.
 func (n *Node) recordDisconnect(e model.Endpoint, req model.Request) {
 	n.quarantine.RecordDisconnect(e, req.Digest())
 }
 
-// checkQuarantine tells whether a request may be sent to an endpoint.
+// checkQuarantine returns a refusal if a request is held back. It is called right before a request is sent to an endpoint.
 func (n *Node) checkQuarantine(req model.Request) *model.Refusal {
 	return n.quarantine.Check(req.Digest())
 }
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -20,18 +20,20 @@
 )
 
 const (
+	// awaitTimeout bounds each wait for a condition and each request.
 	awaitTimeout = 20 * time.Second
-	// poison is in the text of requests that end the endpoints that begin to work on them.
+	// poisonText marks the requests that crash each endpoint that starts to run them.
 	poisonText = "poison"
-	// crashesUntilHeld is how many endpoints may end under a request before it is held back, maxCrashesPerAttempt how
-	// many more may end under an attempt that is under way meanwhile.
+	// crashesUntilHeld is the number of endpoints that a request may crash before it is held back. maxCrashesPerAttempt
+	// is how many more an attempt may crash that is in progress at that time.
 	crashesUntilHeld     = 3
 	maxCrashesPerAttempt = 3
-	// restart is how long an endpoint's process takes to be back: far longer than a node takes to see that it is gone.
+	// restartTime is how long the process of a crashed endpoint takes to restart: far longer than a node takes to detect
+	// the crash.
 	restartTime = 3 * time.Second
 )
 
-// fleet is nodes of the project's own interface, and a stand-in for the platform and the endpoints.
+// fleet is a set of nodes with the project's own interface, and a stand-in for the platform and its endpoints.
 type fleet struct {
 	t        *testing.T
 	platform *standin.Standin
@@ -69,10 +71,10 @@
 	return n
 }
 
-// settle waits until all nodes are ready, know each other and own keys together.
+// awaitReady waits until all nodes are ready, know each other and are members of the newest era.
 func (f *fleet) awaitReady() {
 	f.t.Helper()
-	f.await("the fleet", func() bool {
+	f.await("all nodes are ready", func() bool {
 		for _, n := range f.nodes {
 			s := n.Status()
 			if !s.Ready || len(s.EraMembers) < len(f.nodes) || len(s.Members) < len(f.nodes) {
@@ -83,23 +85,25 @@
 	})
 }
 
-func (f *fleet) await(what string, ok func() bool) {
+// await fails the test if a condition, which description names, is not met within awaitTimeout.
+func (f *fleet) await(description string, condition func() bool) {
 	f.t.Helper()
-	if !pollUntil(awaitTimeout, ok) {
-		f.t.Fatalf("waited in vain: %s", what)
+	if !pollUntil(awaitTimeout, condition) {
+		f.t.Fatalf("timed out waiting for: %s", description)
 	}
 }
 
-func pollUntil(most time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if ok() {
+// pollUntil waits until a condition is met, and reports whether that was within the timeout.
+func pollUntil(timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
 	return false
 }
 
-// send sends a request to a node and returns the reason of its refusal; empty for an answer.
+// send sends a request to a node and returns the reason of its refusal, or "" if it was answered.
 func (f *fleet) send(n *node.Node, pipeline, text string) model.Reason {
 	f.t.Helper()
 	client := &caller.Client{Base: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: awaitTimeout}}
@@ -119,12 +123,12 @@
 	return f.platform.Usage().Pools[pool].Crashes
 }
 
-// crashUntilHeld sends a poison request to the nodes in turn until it has ended as many endpoints as it takes to know of it.
+// crashUntilHeld sends a poison request to the nodes in turn until it has crashed crashesUntilHeld endpoints of the pool.
 func (f *fleet) crashUntilHeld(pool, pipeline string) {
-	tries := 0
-	f.await("endpoints end", func() bool {
-		f.send(f.nodes[tries%len(f.nodes)], pipeline, poisonText)
-		tries++
+	attempts := 0
+	f.await("the request crashes endpoints", func() bool {
+		f.send(f.nodes[attempts%len(f.nodes)], pipeline, poisonText)
+		attempts++
 		return f.crashes(pool) >= crashesUntilHeld
 	})
 }
@@ -138,10 +142,9 @@
 	return true
 }
 
-// What was seen: on the project's own interface as well, each repeat of a request that ends the endpoints that begin to
-// work on it ended up to three more of them, for each kind of stage.
-// How it came about, and the cause: as on the users' platform. A call that breaks off was the endpoint's fault alone,
-// and the next attempt goes to the next endpoint, the next request to any node.
+// Guards against a request that crashes each endpoint that starts to run it: each repeat of the request crashed up to
+// three more endpoints, for each kind of stage, because a broken connection counted as a fault of the endpoint alone. An
+// attempt that fails is repeated at the next endpoint, and the next request may reach any node.
 func TestPoisonRequestIsHeldBack(t *testing.T) {
 	for _, kind := range []struct{ name, pipeline, pool string }{
 		{"idempotent stage", "renewal", "encoders"},
@@ -151,7 +154,7 @@
 		t.Run(kind.name, func(t *testing.T) {
 			f := newFleet(t, 3)
 			f.platform.Fault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
-			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("others of the caller are served before"))
+			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("other requests of the customer are served before the crashes"))
 			f.crashUntilHeld(kind.pool, kind.pipeline)
 			pollUntil(awaitTimeout, f.allNodesLearned)
 			for i := range 4 * len(f.nodes) {
@@ -160,13 +163,13 @@
 			must.LessEq(t, crashesUntilHeld+maxCrashesPerAttempt, f.crashes(kind.pool))
 			for _, n := range f.nodes {
 				must.EqOp(t, model.Quarantined, f.send(n, kind.pipeline, poisonText))
-				f.await("others of the caller are served after", func() bool { return f.send(n, kind.pipeline, "usual") == "" })
+				f.await("other requests of the customer are served after the crashes", func() bool { return f.send(n, kind.pipeline, "usual") == "" })
 			}
 		})
 	}
 }
 
-// A fleet that started as a whole knows what was held back: it is in the table.
+// After a restart of all nodes, the requests that were held back still are, because the table stores them.
 func TestRestartedNodesKnowHeldRequests(t *testing.T) {
 	f := newFleet(t, 2)
 	f.platform.Fault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
@@ -176,7 +179,7 @@
 		n.Close()
 		f.nodes[i] = f.startNode(fmt.Sprint("later-", i))
 	}
-	f.await("the fleet", func() bool { ready, _ := f.nodes[0].Ready(); return ready })
+	f.await("the first node is ready", func() bool { ready, _ := f.nodes[0].Ready(); return ready })
 	pollUntil(awaitTimeout/2, f.allNodesLearned)
 	must.EqOp(t, model.Quarantined, f.send(f.nodes[0], "route-note", poisonText))
 }
--- a/node/records.go
+++ b/node/records.go
@@ -6,14 +6,16 @@
 	"basilstall.example/basilstall/model"
 )
 
-// maxRecords bounds the memory of what happened to requests.
+// maxRecords is the number of records kept. Each further record replaces the oldest one.
 const maxRecords = 4096
 
-// records is a bounded ring of what happened to the last requests.
+// records is a ring buffer of the records of the latest requests. It is safe for concurrent use.
 type records struct {
 	mu   sync.Mutex
 	ring [maxRecords]model.Record
+	// next is the index in ring of the next record.
 	next int
+	// byID holds the index in ring of the latest record of each request, by request ID.
 	byID map[string]int
 }
 
