--- a/node/fleet.go
+++ b/node/fleet.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	heartbeatInterval = 500 * time.Millisecond
-	heartbeatTimeout  = 2 * time.Second
+	heartbeatInterval    = 500 * time.Millisecond
+	heartbeatCallTimeout = 2 * time.Second
 	// listInterval is how often the platform's list is read.
 	listInterval = time.Second
 	// announceInterval is how often this node announces its host to the platform's list.
@@ -74,7 +74,7 @@
 }
 
 func (n *Node) sendHeartbeat(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatCallTimeout)
 	defer cancel()
 	var reply peer.Heartbeat
 	if err := n.peers.Call(ctx, address, peer.KindHeartbeat, n.newHeartbeat(), &reply); err != nil {
@@ -91,7 +91,7 @@
 		News:         n.fleet.membership.PendingUpdates(),
 		Revision:     n.Settings().Revision,
 		ClaimsNumber: n.claims.number(),
-		Notices:      n.notices.readVersion(),
+		Notices:      n.notices.knownVersion(),
 	}
 }
 
--- a/node/notices.go
+++ b/node/notices.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// readVersion returns the version of the row as last read.
-func (h *notices) readVersion() uint64 {
+// knownVersion returns the version of the row as last read.
+func (h *notices) knownVersion() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version
@@ -70,7 +70,7 @@
 func (n *Node) recordNoticeWrite(err error) error {
 	n.noteTable(err)
 	if err == nil {
-		n.notices.requireVersion(n.notices.readVersion() + 1)
+		n.notices.requireVersion(n.notices.knownVersion() + 1)
 	}
 	return err
 }
