--- a/node/drain.go
+++ b/node/drain.go
@@ -31,9 +31,9 @@
 }
 
 // Drain shuts the node down gracefully. It marks the node as leaving for peers, the platform's list and the balancer,
-// still serves requests for the drain delay, hands over its keys, waits for the requests in flight, and closes the node.
-// It returns how many requests were cut because they were still in flight when the drain limit had passed. Further calls
-// return 0 at once.
+// still serves requests for the drain delay, hands over its keys, waits for the requests in flight, and closes the
+// node. It returns how many requests were cut because they were still in flight when the drain limit had passed.
+// Further calls return 0 at once.
 func (n *Node) Drain(ctx context.Context) int {
 	if n.draining.Swap(true) {
 		return 0
@@ -98,8 +98,8 @@
 	clock.Sleep(ctx, lateForwardDuration)
 }
 
-// transferKeys tries the live members in turn, and again until handoverTimeout has passed, and returns the one that took
-// over the keys. It returns the zero Member and true if no key can belong to this node.
+// transferKeys tries the live members in turn, and again until handoverTimeout has passed, and returns the one that
+// took over the keys. It returns the zero Member and true if no key can belong to this node.
 func (n *Node) transferKeys(ctx context.Context, entries map[string]kernel.LedgerEntry, cutoff time.Time) (kernel.Member, bool) {
 	if !n.mayOwnKeys() {
 		return kernel.Member{}, true
@@ -120,8 +120,8 @@
 	return kernel.Member{}, false
 }
 
-// mayOwnKeys reports whether any key may belong to this node: it is a member of an era, or received the keys of a member
-// that left.
+// mayOwnKeys reports whether any key may belong to this node: it is a member of an era, or received the keys of a
+// member that left.
 func (n *Node) mayOwnKeys() bool {
 	row := n.claims.current()
 	for _, era := range row.Eras {
--- a/node/durable.go
+++ b/node/durable.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// serveDurable serves a request whose key is arbitrated by the table. It forwards the request to the member that inserts
-// the key, and serves it here if that member cannot be reached. A forwarded request is not forwarded again.
+// serveDurable serves a request whose key is arbitrated by the table. It forwards the request to the member that
+// inserts the key, and serves it here if that member cannot be reached. A forwarded request is not forwarded again.
 func (n *Node) serveDurable(ctx context.Context, req keyedRequest, forwarded bool) (model.Answer, *model.Refusal) {
 	alive, _ := n.fleet.alive()
 	member, ok := kernel.CommitterOf(req.key, alive)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -11,7 +11,9 @@
 )
 
 const (
-	heartbeatInterval    = 500 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	// heartbeatCallTimeout bounds one exchange of heartbeats. For how long a silent member is tolerated, see
+	// kernel.HeartbeatTimeout.
 	heartbeatCallTimeout = 2 * time.Second
 	// listInterval is how often the platform's list is read.
 	listInterval = time.Second
--- a/node/keys.go
+++ b/node/keys.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// forward sends a request to the owner of its key, or to the member that inserts a durable key. If no reply arrives, this
-// request or an earlier attempt with the same key may have run there, so the refusal is MayHaveRun.
+// forward sends a request to the owner of its key, or to the member that inserts a durable key. If no reply arrives,
+// this request or an earlier attempt with the same key may have run there, so the refusal is MayHaveRun.
 func (n *Node) forward(ctx context.Context, owner kernel.Member, req keyedRequest) (model.Answer, *model.Refusal) {
 	if !n.fleet.reachable(owner.ID()) {
 		return model.Answer{}, ownerUnreachableRefusal("the key's owner has failed")
--- a/node/notices.go
+++ b/node/notices.go
@@ -75,8 +75,8 @@
 	return err
 }
 
-// followNotices reads the notices at the start and whenever a newer version of the row is known to exist, and applies the
-// changes, until the node stops.
+// followNotices reads the notices at the start and whenever a newer version of the row is known to exist, and applies
+// the changes, until the node stops.
 func (n *Node) followNotices() {
 	for {
 		row, version, err := n.store.Notices(n.ctx)
--- a/node/orders.go
+++ b/node/orders.go
@@ -91,7 +91,8 @@
 	n.orderer.addDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
 }
 
-// maintainAdapters maintains the leases of the pools with demand and sends orders to their engines, until the node stops.
+// maintainAdapters maintains the leases of the pools with demand and sends orders to their engines, until the node
+// stops.
 func (n *Node) maintainAdapters() {
 	n.every(orderInterval, func(ctx context.Context) {
 		for _, name := range n.orderer.activePools(time.Now()) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// renewOrAcquireLease renews the lease of a pool if this node holds it, or acquires it if it has expired and this node is
-// a candidate.
+// renewOrAcquireLease renews the lease of a pool if this node holds it, or acquires it if it has expired and this node
+// is a candidate.
 func (n *Node) renewOrAcquireLease(ctx context.Context, name string) {
 	alive, _ := n.fleet.alive()
 	rank, candidate := kernel.LeaseRank(name, n.member, alive)
@@ -170,8 +171,8 @@
 	}
 }
 
-// sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the call
-// fails, this demand is not sent again.
+// sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the
+// call fails, this demand is not sent again.
 func (n *Node) sendDemands(ctx context.Context, name string) {
 	n.orderer.mu.Lock()
 	p := n.orderer.pools[name]
@@ -263,8 +264,8 @@
 	return views
 }
 
-// sendOrder sends an order to its engine, unless the lease has expired. The lease is checked on the monotonic clock just
-// before the order is sent.
+// sendOrder sends an order to its engine, unless the lease has expired. The lease is checked on the monotonic clock
+// just before the order is sent.
 func (n *Node) sendOrder(ctx context.Context, name string, order kernel.Order, endpoints []model.Endpoint) {
 	defer func() {
 		n.orderer.mu.Lock()
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -55,8 +55,8 @@
 	return errUnknownMember
 }
 
-// storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there is
-// a new version to read.
+// storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there
+// is a new version to read.
 func (n *Node) storeQuarantineChange(ctx context.Context, change kernel.QuarantineChange) error {
 	return n.recordNoticeWrite(n.store.ChangeHeld(ctx, change))
 }
@@ -66,7 +66,8 @@
 	n.quarantine.RecordDisconnect(e, req.Digest())
 }
 
-// checkQuarantine returns a refusal if a request is held back. It is called right before a request is sent to an endpoint.
+// checkQuarantine returns a refusal if a request is held back. It is called right before a request is sent to an
+// endpoint.
 func (n *Node) checkQuarantine(req model.Request) *model.Refusal {
 	return n.quarantine.Check(req.Digest())
 }
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -123,7 +123,8 @@
 	return f.platform.Usage().Pools[pool].Crashes
 }
 
-// crashUntilHeld sends a poison request to the nodes in turn until it has crashed crashesUntilHeld endpoints of the pool.
+// crashUntilHeld sends a poison request to the nodes in turn until it has crashed crashesUntilHeld endpoints of the
+// pool.
 func (f *fleet) crashUntilHeld(pool, pipeline string) {
 	attempts := 0
 	f.await("the request crashes endpoints", func() bool {
@@ -143,8 +144,8 @@
 }
 
 // Guards against a request that crashes each endpoint that starts to run it: each repeat of the request crashed up to
-// three more endpoints, for each kind of stage, because a broken connection counted as a fault of the endpoint alone. An
-// attempt that fails is repeated at the next endpoint, and the next request may reach any node.
+// three more endpoints, for each kind of stage, because a broken connection counted as a fault of the endpoint alone.
+// An attempt that fails is repeated at the next endpoint, and the next request may reach any node.
 func TestPoisonRequestIsHeldBack(t *testing.T) {
 	for _, kind := range []struct{ name, pipeline, pool string }{
 		{"idempotent stage", "renewal", "encoders"},
