--- a/node/claims.go
+++ b/node/claims.go
@@ -143,9 +143,9 @@
 	}
 }
 
-func (n *Node) coordinator() kernel.Coordinator {
+func (n *Node) coordinator() kernel.ClaimsCoordinator {
 	fleet := n.Settings().Fleet
-	return kernel.Coordinator{
+	return kernel.ClaimsCoordinator{
 		Self:          n.member,
 		FirmHorizon:   min(fleet.FirmHorizon, fleet.Horizon),
 		Horizon:       fleet.Horizon,
@@ -165,9 +165,9 @@
 	if action == kernel.StartEra {
 		from = n.sealEra(row)
 	}
-	next := coordinator.Next(now, row, alive, action, from, uuid.NewString())
+	next := coordinator.NextRow(now, row, alive, action, from, uuid.NewString())
 	next = next.WithoutBefore(now.Add(-n.Settings().Fleet.Retention))
-	newVersion, err := n.store.SwapClaims(n.ctx, version, row, next)
+	newVersion, err := n.store.CompareAndSwapClaims(n.ctx, version, row, next)
 	n.cancelEra(err)
 	var conflict *table.Conflict
 	if errors.As(err, &conflict) {
--- a/node/drain.go
+++ b/node/drain.go
@@ -188,7 +188,7 @@
 			return true
 		}
 		next := row.WithTransfer(n.member.ID(), successor, uuid.NewString())
-		newVersion, err := n.store.SwapClaims(ctx, version, row, next)
+		newVersion, err := n.store.CompareAndSwapClaims(ctx, version, row, next)
 		if err == nil {
 			n.claims.set(time.Now(), next, newVersion)
 			return true
--- a/node/node.go
+++ b/node/node.go
@@ -120,15 +120,15 @@
 	settings := kernel.NewSettings()
 	n.settings.Store(&settings)
 	n.dispatcher.OnLeaving = n.markLeaving
-	n.dispatcher.OnAdapter = n.recordAdapterUse
-	n.dispatcher.OnBrokeOff = n.recordDisconnect
-	n.dispatcher.MayCall = n.checkQuarantine
+	n.dispatcher.OnAdapterDemand = n.recordAdapterUse
+	n.dispatcher.OnDisconnect = n.recordDisconnect
+	n.dispatcher.CheckRequest = n.checkQuarantine
 	n.dispatcher.OnCall = n.rateCaps.RecordSend
-	n.dispatcher.OnAnswered = n.rateCaps.RecordAnswer
-	n.dispatcher.MayAsk = n.mayAskPermit
-	n.dispatcher.AskPermit = n.rateCaps.RequestPermit
+	n.dispatcher.OnAnswer = n.rateCaps.RecordAnswer
+	n.dispatcher.MayRequestPermit = n.mayAskPermit
+	n.dispatcher.RequestPermit = n.rateCaps.RequestPermit
 	n.dispatcher.Admits = n.admits
-	n.dispatcher.Refuses = n.refuses
+	n.dispatcher.AdmitPool = n.refuses
 	if err := n.listen(); err != nil {
 		n.Close()
 		return nil, err
--- a/node/notices.go
+++ b/node/notices.go
@@ -59,8 +59,8 @@
 	if version <= h.version {
 		return kernel.QuarantineChange{}, nil
 	}
-	held := table.HeldDifference(h.row.Held, row.Held)
-	caps := table.RateCapDifference(h.row.RateCaps, row.RateCaps)
+	held := table.DiffHeld(h.row.Held, row.Held)
+	caps := table.DiffRateCaps(h.row.RateCaps, row.RateCaps)
 	h.row, h.version = row, version
 	return held, caps
 }
--- a/node/orders.go
+++ b/node/orders.go
@@ -159,7 +159,7 @@
 		return
 	}
 	sent := time.Now()
-	version, err := n.store.SwapLease(ctx, name, view.Version, next)
+	version, err := n.store.CompareAndSwapLease(ctx, name, view.Version, next)
 	n.noteTable(err)
 	if err != nil {
 		return
--- a/node/ratecaps.go
+++ b/node/ratecaps.go
@@ -13,7 +13,7 @@
 func (n *Node) newRateCaps() *ratecap.Limiter {
 	return ratecap.NewLimiter(n.ctx, n.member.Node, ratecap.Dependencies{
 		Announced: n.announced,
-		Listed:    n.dispatcher.Lists,
+		Listed:    n.dispatcher.Listed,
 		Publish: func(ctx context.Context, incarnation string, stated model.RateCap) error {
 			return n.recordNoticeWrite(n.store.ChangeRateCap(ctx, incarnation, stated))
 		},
--- a/node/rates.go
+++ b/node/rates.go
@@ -119,7 +119,7 @@
 
 func (r *rates) sweep(now time.Time) {
 	for account, c := range r.customers {
-		idle := c.share.At.IsZero() || c.share.Full(now)
+		idle := c.share.UpdatedAt.IsZero() || c.share.Full(now)
 		if idle && now.Sub(c.holdersAt) >= holdersMemory {
 			delete(r.customers, account)
 		}
