--- a/node/records.go
+++ b/node/records.go
@@ -6,14 +6,16 @@
 	"basilstall.example/basilstall/model"
 )
 
-// recordsMost bounds the memory of what happened to requests.
-const recordsMost = 4096
+// maxRecords is the number of records kept. Each further record replaces the oldest one.
+const maxRecords = 4096
 
-// records is a bounded ring of what happened to the last requests.
+// records is a ring buffer of the records of the latest requests. It is safe for concurrent use.
 type records struct {
 	mu   sync.Mutex
-	ring [recordsMost]model.Record
+	ring [maxRecords]model.Record
+	// next is the index in ring of the next record.
 	next int
+	// byID holds the index in ring of the latest record of each request, by request ID.
 	byID map[string]int
 }
 
@@ -30,7 +32,7 @@
 	}
 	r.ring[r.next] = record
 	r.byID[record.Request] = r.next
-	r.next = (r.next + 1) % recordsMost
+	r.next = (r.next + 1) % maxRecords
 }
 
 func (r *records) get(id string) (model.Record, bool) {
