--- a/node/claims.go
+++ b/node/claims.go
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimsTimeout)
 	defer cancel()
 	row, version, err := n.store.Claims(ctx, known)
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
 		c.fail(time.Now(), err)
 		return err
@@ -131,7 +131,7 @@
 		}
 		retention := n.Settings().Fleet.Retention
 		n.keys.expire(time.Now(), retention)
-		n.durable.expire(time.Now(), retention)
+		n.durableKeys.expire(time.Now(), retention)
 	}
 }
 
@@ -167,7 +167,7 @@
 		n.metrics.Event("ClaimsConflict")
 		return
 	}
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
 		return
 	}
--- a/node/drain.go
+++ b/node/drain.go
@@ -42,7 +42,7 @@
 	n.fleet.mu.Unlock()
 	n.announce(ctx)
 	n.awaitBalancer(ctx)
-	n.stopCallers(ctx)
+	n.shutdownCallerServer(ctx)
 	n.handOver(ctx)
 	n.awaitIdle(ctx)
 	n.tellEnded(ctx)
@@ -74,7 +74,7 @@
 	handing := make(chan struct{})
 	n.keys.handing = handing
 	entries := n.keys.ledger.Export(n.member.ID())
-	n.pending = n.keys.ledger.Running()
+	n.runningAtHandover = n.keys.ledger.Running()
 	cutoff := n.keys.ledger.Cutoff()
 	n.keys.mu.Unlock()
 
@@ -214,7 +214,7 @@
 func (n *Node) tellEnded(ctx context.Context) {
 	n.keys.mu.Lock()
 	heir := n.keys.heir
-	ended := n.keys.ledger.ExportEnded(n.pending)
+	ended := n.keys.ledger.ExportEnded(n.runningAtHandover)
 	cutoff := n.keys.ledger.Cutoff()
 	n.keys.mu.Unlock()
 	if heir == nil || heir.Node == "" || len(ended) == 0 {
--- a/node/durable.go
+++ b/node/durable.go
@@ -97,7 +97,7 @@
 			return answer, refusal
 		}
 	}
-	f, answer, refusal := n.durable.take(req.remembered(time.Now()), n.launchDurable)
+	f, answer, refusal := n.durableKeys.take(req.remembered(time.Now()), n.launchDurable)
 	if f == nil {
 		return answer, refusal
 	}
@@ -120,12 +120,12 @@
 	defer n.inFlight.Add(-1)
 	began := time.Now()
 	answer, p, refusal := n.runDurable(req)
-	n.remember(req.Request, began, answer, p, refusal, "")
-	n.durable.end(req.key, f, answer, refusal, p.sent)
+	n.recordRequest(req.Request, began, answer, p, refusal, "")
+	n.durableKeys.end(req.key, f, answer, refusal, p.nonIdempotentSent)
 }
 
 func (n *Node) runDurable(req keyedRequest) (model.Answer, progress, *model.Refusal) {
-	writer := n.durable.writer(req.key.ID)
+	writer := n.durableKeys.writer(req.key.ID)
 	row, err := n.committer.insert(table.KeyRow{
 		Key:         req.key.ID,
 		Member:      n.member.ID(),
@@ -133,7 +133,7 @@
 		Fingerprint: kernel.Fingerprint(req.Request),
 		At:          time.Now(),
 	})
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
 		// An earlier attempt may have run on another node, so this is no NotRun.
 		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.TableUnavailable, tableAgain,
@@ -148,5 +148,5 @@
 		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.OutcomeUnknown, 0,
 			"the key was taken before and its answer is not known here")
 	}
-	return n.run(n.ctx, req.Request, req.pipeline, nil)
+	return n.runPipeline(n.ctx, req.Request, req.pipeline, nil)
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -53,7 +53,7 @@
 
 // followFleet heartbeats the neighbours until the node stops.
 func (n *Node) followFleet() {
-	n.every(heartbeatEvery, func(ctx context.Context) {
+	n.runPeriodically(heartbeatEvery, func(ctx context.Context) {
 		n.fleet.mu.Lock()
 		n.fleet.m.Tick(time.Now())
 		neighbours := n.fleet.m.Neighbours()
@@ -143,7 +143,7 @@
 
 // followList reads the platform's list until the node stops.
 func (n *Node) followList() {
-	n.every(listEvery, func(ctx context.Context) {
+	n.runPeriodically(listEvery, func(ctx context.Context) {
 		hosts, err := n.list.Get(ctx)
 		if err != nil {
 			n.metrics.Event("ListFailed")
@@ -162,8 +162,8 @@
 	}
 	if len(hosts.Endpoints) > 0 {
 		n.dispatcher.SetEndpoints(hosts.Endpoints)
-		n.cold.keep(hosts.Endpoints)
-		n.listed.Store(true)
+		n.coldRoles.retainListed(hosts.Endpoints)
+		n.endpointsKnown.Store(true)
 	}
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -177,7 +177,7 @@
 
 // announceHost tells the list of this host until the node stops.
 func (n *Node) announceHost() {
-	n.every(announceEvery, func(ctx context.Context) {
+	n.runPeriodically(announceEvery, func(ctx context.Context) {
 		n.announce(ctx)
 	})
 }
--- a/node/grants.go
+++ b/node/grants.go
@@ -20,7 +20,7 @@
 
 // keepGrants asks for grants whenever they are needed, until the node stops.
 func (n *Node) keepGrants() {
-	n.every(grantsEvery, func(context.Context) {
+	n.runPeriodically(grantsEvery, func(context.Context) {
 		n.askGrants(time.Now())
 	})
 }
--- a/node/keys.go
+++ b/node/keys.go
@@ -279,9 +279,9 @@
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	began := time.Now()
-	answer, p, refusal := n.run(n.ctx, req.Request, req.pipeline, nil)
-	n.remember(req.Request, began, answer, p, refusal, "")
-	n.keys.end(req.key, f, answer, refusal, p.sent)
+	answer, p, refusal := n.runPipeline(n.ctx, req.Request, req.pipeline, nil)
+	n.recordRequest(req.Request, began, answer, p, refusal, "")
+	n.keys.end(req.key, f, answer, refusal, p.nonIdempotentSent)
 }
 
 // end records the outcome of a flight and wakes those that wait for it.
--- a/node/notices.go
+++ b/node/notices.go
@@ -63,7 +63,7 @@
 
 // noteNotice notes how the writing of a notice ended; heartbeats tell the others that there is something to read.
 func (n *Node) noteNotice(err error) error {
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err == nil {
 		n.notices.want(n.notices.number() + 1)
 	}
@@ -74,7 +74,7 @@
 func (n *Node) followNotices() {
 	for {
 		row, version, err := n.store.Notices(n.ctx)
-		n.noteTable(err)
+		n.recordTableResult(err)
 		if err != nil {
 			if !clock.Sleep(n.ctx, jitter(noticesPause)) {
 				return
--- a/node/orders.go
+++ b/node/orders.go
@@ -88,7 +88,7 @@
 
 // giveOrders keeps the leases and gives the orders until the node stops.
 func (n *Node) giveOrders() {
-	n.every(ordersEvery, func(ctx context.Context) {
+	n.runPeriodically(ordersEvery, func(ctx context.Context) {
 		for _, name := range n.orderer.active(time.Now()) {
 			n.ordersFor(ctx, name)
 		}
@@ -129,7 +129,7 @@
 		return
 	}
 	lease, version, err := n.store.Lease(ctx, name)
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err == nil {
 		n.setWatch(name, watch.WithRead(time.Now(), lease, version))
 	}
@@ -151,7 +151,7 @@
 	}
 	sent := time.Now()
 	version, err := n.store.SwapLease(ctx, name, watch.Version, next)
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
 		return
 	}
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -131,7 +131,7 @@
 
 func (f *fleet) allLearned() bool {
 	for _, n := range f.nodes {
-		if n.Event("QuarantineLearned") == 0 {
+		if n.EventCount("QuarantineLearned") == 0 {
 			return false
 		}
 	}
