--- a/node/cold.go
+++ b/node/cold.go
@@ -8,16 +8,16 @@
 	"basilstall.example/basilstall/model"
 )
 
-// coldRetryAfter is when a caller may come back whose request only cold endpoints could serve.
+// coldRetryAfter is the Retry-After time of a request that only cold endpoints could serve.
 const coldRetryAfter = 150 * time.Millisecond
 
-// coldRoles remembers which cold endpoints this node may call. It is safe for concurrent use.
+// coldRoles caches which cold endpoints this node may call. It is safe for concurrent use.
 type coldRoles struct {
 	// startedAt is when the node started.
 	startedAt time.Time
 
 	mu sync.Mutex
-	// duties is by the incarnations of endpoints.
+	// roles maps incarnations of endpoints to this node's roles.
 	roles map[string]kernel.ColdRole
 }
 
@@ -25,20 +25,20 @@
 	return &coldRoles{startedAt: startedAt, roles: map[string]kernel.ColdRole{}}
 }
 
-// duty returns whether this node may call a cold endpoint; decide is asked where that is not known. What was known of an
-// endpoint is kept while it is listed, which tells whether the node has just begun to call it.
+// role returns this node's role for a cold endpoint. It calls decide if the last decision has expired. An expired role
+// is kept while the endpoint is listed, because the next one depends on it: a node that becomes a sender waits first.
 func (c *coldRoles) role(now time.Time, incarnation string, decide func() bool) kernel.ColdRole {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	duty := c.roles[incarnation]
-	if duty.Expired(now) {
-		duty = duty.With(now, c.startedAt, decide())
-		c.roles[incarnation] = duty
+	role := c.roles[incarnation]
+	if role.Expired(now) {
+		role = role.With(now, c.startedAt, decide())
+		c.roles[incarnation] = role
 	}
-	return duty
+	return role
 }
 
-// keep forgets the endpoints that are no longer listed.
+// retainListed removes the roles for endpoints that are no longer listed.
 func (c *coldRoles) retainListed(listed []model.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,53 +47,56 @@
 	}
 	kept := make(map[string]kernel.ColdRole, len(c.roles))
 	for _, e := range listed {
-		if duty, known := c.roles[e.Incarnation()]; known {
-			kept[e.Incarnation()] = duty
+		if role, known := c.roles[e.Incarnation()]; known {
+			kept[e.Incarnation()] = role
 		}
 	}
 	c.roles = kept
 }
 
-// admits tells whether an endpoint that was last called at a time may get a call of this node now.
+// mayCallEndpoint reports whether this node, which last called an endpoint at calledAt, may call it now.
 func (n *Node) mayCallEndpoint(now time.Time, e model.Endpoint, calledAt time.Time) bool {
 	return n.mayCallCold(now, e, calledAt) && n.rateCaps.Admits(now, e, calledAt)
 }
 
+// mayCallCold reports whether the limits for cold endpoints let this node, which last called an endpoint at calledAt,
+// call it now.
 func (n *Node) mayCallCold(now time.Time, e model.Endpoint, calledAt time.Time) bool {
 	share := kernel.ColdLimits{}.Share(n.Settings().Fleet.ColdRates[e.Pool])
 	if share.Senders == 0 || !kernel.IsCold(now, e) {
 		return true
 	}
-	duty := n.coldRoles.role(now, e.Incarnation(), func() bool {
+	role := n.coldRoles.role(now, e.Incarnation(), func() bool {
 		return !n.Draining() && share.IsSenderAtRank(n.rateCaps.Rank(now, e.Incarnation()))
 	})
-	return share.DueForRole(now, duty, calledAt)
+	return share.DueForRole(now, role, calledAt)
 }
 
-// refuses returns the refusal of a request whose pool has only endpoints that take no more now than they get.
+// admitPool returns a refusal if this node may call none of the endpoints of a pool now because of their rate caps or
+// because they are cold, and cannot request a permit either. calledAt returns when this node last called an endpoint.
 func (n *Node) admitPool(now time.Time, pool string, endpoints []model.Endpoint, calledAt func(incarnation string) time.Time) *model.Refusal {
 	if refusal := n.rateCaps.AdmitPool(now, pool, endpoints, calledAt); refusal != nil {
 		return refusal
 	}
-	staying := false
+	anyTakesWork := false
 	for _, e := range endpoints {
 		if !e.TakesWork() {
 			continue
 		}
-		called := calledAt(e.Incarnation())
-		if n.mayCallEndpoint(now, e, called) || n.mayRequestPermit(now, e, called) {
+		lastCall := calledAt(e.Incarnation())
+		if n.mayCallEndpoint(now, e, lastCall) || n.mayRequestPermit(now, e, lastCall) {
 			return nil
 		}
-		staying = true
+		anyTakesWork = true
 	}
-	if !staying {
+	if !anyTakesWork {
 		return nil
 	}
 	return model.NewRefusal(model.NotRun, model.EndpointsCold, kernel.ClampRetryAfter(coldRetryAfter), "the endpoints of pool "+pool+" are cold and bear no more now")
 }
 
-// announced returns the members that share what endpoints take: those that are not leaving. One that is held to be dead
-// keeps its share while it is remembered, since it may be cut off from this node alone.
+// announcedPeers returns the members that share the limits of endpoints: those that are not leaving. A member that is
+// presumed dead keeps its share as long as it is remembered, because it may only be unreachable from this node.
 func (n *Node) announcedPeers() []kernel.Peer {
 	var out []kernel.Peer
 	for _, info := range n.fleet.members() {
--- a/node/node.go
+++ b/node/node.go
@@ -11,7 +11,7 @@
 	"github.com/google/uuid"
 	"github.com/rs/zerolog"
 
-	// The stage plug-ins register themselves with the kernel.
+	// These packages register their stage plug-ins with the kernel.
 	_ "basilstall.example/basilstall/engine"
 	_ "basilstall.example/basilstall/pool"
 	_ "basilstall.example/basilstall/service"
@@ -31,7 +31,7 @@
 	"basilstall.example/basilstall/table"
 )
 
-// Node is one process between callers and endpoints.
+// Node is one process of the fleet: it accepts callers' requests and calls endpoints to serve them.
 type Node struct {
 	options     config.Options
 	member      kernel.Member
@@ -48,31 +48,31 @@
 	rateLimiter *rateLimiter
 	fleet       *fleet
 	claims      *claimsCoordinator
-	// keys arbitrates the keys that this node owns; durable remembers those that the table
-	// named this process for.
+	// keys decides on requests with keys that this node owns. durableKeys remembers the durable keys whose rows in the
+	// table name this process as the writer.
 	keys        *keyOwner
 	durableKeys *keyOwner
 	committer   *committer
 	orderer     *orderer
-	// quarantine holds back the requests that end the endpoints that work on them, rateCaps keeps what endpoints get
-	// within what they take; notices is what the table says of both.
+	// quarantine holds back requests that crash the endpoints that process them. rateCaps limits the calls to endpoints
+	// that state a rate cap. notices follows the table's row that publishes both to all nodes.
 	quarantine *quarantine.Coordinator
 	rateCaps   *ratecap.Limiter
 	notices    *notices
-	// cold remembers which cold endpoints this node may call.
+	// coldRoles caches which cold endpoints this node may call.
 	coldRoles *coldRoles
-	// pending holds the keys that ran when the keys were handed over.
+	// runningAtHandover lists the keys whose requests were still running when this node handed its keys over.
 	runningAtHandover []string
 
 	settingsMu sync.Mutex
 	settings   atomic.Pointer[kernel.Settings]
-	// listed is true once the platform's list named endpoints.
+	// endpointsKnown is true once the platform's list has contained an endpoint.
 	endpointsKnown atomic.Bool
-	// tableDown is true while the last call to the table failed.
+	// tableDown is true if the last call to the table failed.
 	tableDown atomic.Bool
 	draining  atomic.Bool
 	inFlight  atomic.Int64
-	// lastArrival is when a caller's request last came, in nanoseconds since 1970.
+	// lastArrival is when the last request of a caller arrived, in nanoseconds since the Unix epoch.
 	lastArrival atomic.Int64
 
 	ctx    context.Context
@@ -80,7 +80,7 @@
 	loops  sync.WaitGroup
 }
 
-// NewNode starts a node. Drain or Close ends it.
+// NewNode starts a node and its listeners. Stop it with Drain or Close.
 func NewNode(options config.Options, log zerolog.Logger) (*Node, error) {
 	incarnation, err := uuid.NewV7()
 	if err != nil {
@@ -178,7 +178,7 @@
 	}
 }
 
-// every calls work at once and then again and again, with jitter, until the node stops.
+// runPeriodically calls work at once and then about once per period, with jitter, until the node stops.
 func (n *Node) runPeriodically(period time.Duration, work func(context.Context)) {
 	for {
 		work(n.ctx)
@@ -188,25 +188,25 @@
 	}
 }
 
-// jitter spreads the nodes' periodic work by a fifth to either side.
+// jitter varies d at random by up to 20 percent either way, so that the periodic work of the nodes does not coincide.
 func jitter(d time.Duration) time.Duration {
 	const spread = 0.4
 	return time.Duration(float64(d) * (1 - spread/2 + spread*rand.Float64()))
 }
 
-// CallersAddress returns where callers reach the node.
+// CallersAddress returns the address of the listener for callers.
 func (n *Node) CallersAddress() string { return n.callers.Address() }
 
-// OperatorsAddress returns where operators reach the node.
+// OperatorsAddress returns the address of the listener for operators.
 func (n *Node) OperatorsAddress() string { return n.operators.Address() }
 
-// PeersAddress returns where other nodes reach the node.
+// PeersAddress returns the address of the listener for other nodes.
 func (n *Node) PeersAddress() string { return n.member.Address }
 
-// Event returns how often an event was counted.
+// EventCount returns the value of an event's counter.
 func (n *Node) EventCount(name string) uint64 { return n.metrics.Count(name) }
 
-// Close ends the node at once; what is in flight is cut.
+// Close stops the node at once and aborts the requests in flight.
 func (n *Node) Close() {
 	n.cancel()
 	if n.callers != nil {
@@ -228,7 +228,7 @@
 	n.callers.Shutdown(ctx)
 }
 
-// Ready tells whether the balancer should send requests here, and why not.
+// Ready reports whether the load balancer should send requests to this node, and if not, the reason.
 func (n *Node) Ready() (bool, string) {
 	switch {
 	case n.draining.Load():
@@ -242,7 +242,8 @@
 	}
 }
 
-// recordTableResult logs when the table goes away and comes back.
+// recordTableResult records the result of a call to the table, and logs when the table becomes unavailable or available
+// again.
 func (n *Node) recordTableResult(err error) {
 	if n.ctx.Err() != nil {
 		return
@@ -273,7 +274,8 @@
 	n.metrics.Gauge("table_writes", func() float64 { return float64(n.store.Writes()) })
 }
 
-// remember keeps what happened to a request, for operators, and counts it.
+// recordRequest stores the record of a finished request for operators. forwarded is the node that ran the request or
+// owns its key, if that is another one.
 func (n *Node) recordRequest(req model.Request, began time.Time, answer model.Answer, p progress, refusal *model.Refusal, forwarded string) {
 	record := model.Record{
 		Request:   req.ID,
--- a/node/ratecaps.go
+++ b/node/ratecaps.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/ratecap"
 )
 
-// newRateCapLimiter returns the node's part in keeping the rate caps of endpoints.
+// newRateCapLimiter returns the limiter of this node's calls to endpoints with rate caps.
 func (n *Node) newRateCapLimiter() *ratecap.Limiter {
 	return ratecap.NewLimiter(n.ctx, n.member.Node, ratecap.Dependencies{
 		Announced: n.announcedPeers,
@@ -22,8 +22,8 @@
 	}, time.Now, n.metrics, n.log)
 }
 
-// mayRequestPermit tells whether another node is worth asking for a permit to call an endpoint now that was last called at a
-// time.
+// mayRequestPermit reports whether another node can be asked now for a permit to call an endpoint that this node last
+// called at calledAt.
 func (n *Node) mayRequestPermit(now time.Time, e model.Endpoint, calledAt time.Time) bool {
 	return n.rateCaps.MayRequestPermit(now, e.Incarnation()) && n.mayCallCold(now, e, calledAt)
 }
@@ -35,10 +35,10 @@
 }
 
 func (n *Node) handleCapPermit(_ context.Context, body []byte) (any, error) {
-	var question peer.CapPermit
-	if err := peer.DecodeBody(body, &question); err != nil {
+	var request peer.CapPermit
+	if err := peer.DecodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	granted, wait := n.dispatcher.Permit(time.Now(), question.Pool, question.Incarnation, n.rateCaps.Permit)
+	granted, wait := n.dispatcher.Permit(time.Now(), request.Pool, request.Incarnation, n.rateCaps.Permit)
 	return peer.CapPermitReply{Granted: granted, Wait: wait}, nil
 }
--- a/node/rates.go
+++ b/node/rates.go
@@ -13,42 +13,44 @@
 )
 
 const (
-	// rateSweepThreshold is how many customers' rates are kept before the idle ones are dropped.
+	// rateSweepThreshold is the number of customers from which on idle ones are removed before a new one is added.
 	rateSweepThreshold = 64
-	// rateHoldersTTL is how long it counts which nodes hold a customer's rate: about as long as nodes take to learn of each
-	// other.
+	// rateHoldersTTL is how long the list of nodes that hold a customer's rate is cached: about as long as nodes take
+	// to learn of each other.
 	rateHoldersTTL = 500 * time.Millisecond
-	// ratePermitTimeout bounds the question to a node that holds a rate: many round trips between hosts, also for one that is
-	// busy.
+	// ratePermitTimeout bounds a call to a node that holds a rate. It allows for many round trips between hosts, also
+	// if that node is busy.
 	ratePermitTimeout = 250 * time.Millisecond
-	// rateHoldersRetryAfter is when a caller may come back whose customer's rate is held by nodes that do not answer: those
-	// that are lost have been replaced some seconds later.
+	// rateHoldersRetryAfter is the Retry-After time if none of the nodes that hold the customer's rate answers. Lost
+	// nodes are replaced within some seconds.
 	rateHoldersRetryAfter = time.Second
-	// maxRateDenialTTL bounds how long no node is asked again after those that were asked had nothing left.
+	// maxRateDenialTTL is the maximum time for which a denial is cached: until it ends, no node is asked again.
 	maxRateDenialTTL = time.Second
-	// rateFallbackDelay is how long the nodes that hold a rate do not answer until a node serves without them: longer than the
-	// fleet takes to replace those that are lost, so this one is cut off from the others, or knows of no other that lives.
+	// rateFallbackDelay is how long the nodes that hold a rate have to be unreachable before a node serves requests
+	// without them. The fleet replaces lost nodes sooner, so this node is then partitioned from the others, or knows of
+	// no other live node.
 	rateFallbackDelay = 6 * time.Second
 )
 
 type (
-	// rates holds the node's parts of the customers' fleet-wide rates. A customer that idles has no entry. It is safe for
-	// concurrent use.
+	// rateLimiter holds this node's parts of the customers' fleet-wide rates. Entries of idle customers are removed
+	// once there are many. It is safe for concurrent use.
 	rateLimiter struct {
 		mu        sync.Mutex
 		customers map[string]customerRate
 	}
 
-	// customerRate is what the node knows of one customer's rate.
+	// customerRate is the state of one customer's rate on this node.
 	customerRate struct {
-		// share is this node's part; zero while it holds none.
+		// bucket is this node's part of the rate. It is zero if the node holds none.
 		bucket kernel.RateBucket
-		// holders are the nodes that hold the rate, as of holdersAt.
+		// holders are the nodes that hold parts of the rate, as of holdersAt.
 		holders   []string
 		holdersAt time.Time
-		// deniedUntil is when the first of them has something left again that were asked last.
+		// deniedUntil is when the first of the nodes that denied the last request may grant one again.
 		deniedUntil time.Time
-		// unansweredSince is since when none of them has answered; zero while one does.
+		// unansweredSince is the time of the first request for which no holder answered since one last did. It is zero
+		// while holders answer.
 		unansweredSince time.Time
 	}
 )
@@ -57,8 +59,8 @@
 	return &rateLimiter{customers: map[string]customerRate{}}
 }
 
-// holders returns the nodes that hold a customer's rate; decide is asked where that is not known.
-func (r *rateLimiter) holders(now time.Time, account string, decide func() []string) []string {
+// holders returns the nodes that hold a customer's rate. It calls compute if they are not cached.
+func (r *rateLimiter) holders(now time.Time, account string, compute func() []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c, known := r.customers[account]
@@ -68,13 +70,13 @@
 	if !known && len(r.customers) >= rateSweepThreshold {
 		r.sweep(now)
 	}
-	c.holders, c.holdersAt = decide(), now
+	c.holders, c.holdersAt = compute(), now
 	r.customers[account] = c
 	return c.holders
 }
 
-// take counts a request against one of several parts of a customer's rate, and tells whether it is within it, and when to
-// come back if not.
+// take takes a token for one request from this node's part of a customer's rate, which is divided into equal parts. It
+// reports whether there was one, and the Retry-After time if not.
 func (r *rateLimiter) take(now time.Time, account string, fleetRate float64, parts int) (ok bool, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,15 +86,16 @@
 	return ok, wait
 }
 
-// denied tells for how long it is not worth asking the nodes that hold a customer's rate.
+// deniedFor returns how long the last denial of a customer's request remains valid. It is not positive once that has
+// expired.
 func (r *rateLimiter) deniedFor(now time.Time, account string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.customers[account].deniedUntil.Sub(now)
 }
 
-// deny notes that the nodes that hold a customer's rate have nothing left for a time: the questions follow the rate then, not
-// the requests.
+// recordDenial caches for a time that the nodes that hold a customer's rate have no token left, so that the number of
+// calls to them depends on the rate and not on the number of requests.
 func (r *rateLimiter) recordDenial(now time.Time, account string, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +104,8 @@
 	r.customers[account] = c
 }
 
-// alone notes whether a node that holds a customer's rate answered, and tells whether none has for so long that this node
-// serves without them.
+// recordHolderResult records whether a node that holds a customer's rate answered. It reports whether none has answered
+// for so long that this node serves requests without them.
 func (r *rateLimiter) recordHolderResult(now time.Time, account string, answered bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,6 +120,7 @@
 	return !answered && now.Sub(c.unansweredSince) >= rateFallbackDelay
 }
 
+// sweep removes idle customers.
 func (r *rateLimiter) sweep(now time.Time) {
 	for account, c := range r.customers {
 		idle := c.bucket.At.IsZero() || c.bucket.Full(now)
@@ -126,9 +130,10 @@
 	}
 }
 
-// admitRate counts a request against its customer's rate, at the nodes that hold it: this one first if it does. Where none of
-// them answers, as in the seconds after they were lost, the request is refused: served without them, each node would add
-// one to the rate. A node that is cut off for longer serves its even part.
+// admitRate counts a request against its customer's rate, at this node if it holds a part of the rate, otherwise at
+// other nodes that do. If none of them answers, as in the seconds after they were lost, the request is refused:
+// otherwise each node would serve one request beyond the rate. A node that is partitioned for longer serves an equal
+// part of the rate.
 func (n *Node) admitRate(ctx context.Context, now time.Time, req model.Request) *model.Refusal {
 	customer, _ := n.Settings().Customer(req.Team, req.Customer)
 	rate := customer.RequestsPerSecond
@@ -173,10 +178,11 @@
 	return model.NewRefusal(model.NotRun, model.CustomerLimit, kernel.ClampRetryAfter(wait), "the customer's rate is used up")
 }
 
-// takeAt counts a request at a node that holds a part of its customer's rate; own counts it at this one.
-func (n *Node) takeAt(ctx context.Context, holder string, req model.Request, own func() (bool, time.Duration)) (granted bool, wait time.Duration, err error) {
+// takeAt takes a token for a request at a node that holds a part of its customer's rate. It calls takeLocal if that is
+// this node.
+func (n *Node) takeAt(ctx context.Context, holder string, req model.Request, takeLocal func() (bool, time.Duration)) (granted bool, wait time.Duration, err error) {
 	if holder == n.member.Node {
-		granted, wait = own()
+		granted, wait = takeLocal()
 		return granted, wait, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, ratePermitTimeout)
@@ -189,7 +195,8 @@
 	return reply.Granted, reply.Wait, err
 }
 
-// rateHolders returns the live nodes that hold a customer's rate; a node that leaves as the last one holds it alone.
+// rateHolders returns the live nodes that hold parts of a customer's rate. If this node is leaving and no other is
+// alive, it holds the whole rate.
 func (n *Node) rateHolders(now time.Time, account string, rate float64) []string {
 	return n.rateLimiter.holders(now, account, func() []string {
 		members, _ := n.fleet.alive()
@@ -204,19 +211,19 @@
 	})
 }
 
-// handleRatePermit counts a request that another node got against the part of its customer's rate that this one holds.
+// handleRatePermit counts a request that another node received against this node's part of the customer's rate.
 func (n *Node) handleRatePermit(_ context.Context, body []byte) (any, error) {
-	var question peer.RatePermit
-	if err := peer.DecodeBody(body, &question); err != nil {
+	var request peer.RatePermit
+	if err := peer.DecodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	customer, _ := n.Settings().Customer(question.Team, question.Customer)
+	customer, _ := n.Settings().Customer(request.Team, request.Customer)
 	if customer.RequestsPerSecond == 0 {
-		// The newer settings hold, and they state no rate.
+		// The nodes' settings differ. The newer ones are assumed to be those of this node, which state no rate.
 		return peer.RatePermitReply{Granted: true}, nil
 	}
 	now := time.Now()
-	account := model.Request{Team: question.Team, Customer: question.Customer}.Account()
+	account := model.Request{Team: request.Team, Customer: request.Customer}.Account()
 	holders := n.rateHolders(now, account, customer.RequestsPerSecond)
 	granted, wait := n.rateLimiter.take(now, account, customer.RequestsPerSecond, len(holders))
 	return peer.RatePermitReply{Granted: granted, Wait: wait}, nil
--- a/node/runner.go
+++ b/node/runner.go
@@ -12,17 +12,17 @@
 	"basilstall.example/basilstall/model"
 )
 
-// progress is how far a request got.
+// progress is how far a request has been processed.
 type progress struct {
 	stages []model.StageTiming
-	// reached is true once any endpoint may have been asked to do something.
+	// mayHaveRun is true once an endpoint may have received a call.
 	mayHaveRun bool
-	// sent is true once the non-idempotent call may have reached its service.
+	// nonIdempotentSent is true once the service may have received the non-idempotent call.
 	nonIdempotentSent bool
 }
 
-// run takes a request through all stages of its pipeline. The refusal's verdict is NotRun
-// only if no endpoint was asked.
+// runPipeline runs all stages of a request's pipeline. The verdict of a refusal is NotRun only if no endpoint can have
+// received a call.
 func (n *Node) runPipeline(ctx context.Context, req model.Request, pipeline model.Pipeline, emit func(model.Token)) (model.Answer, progress, *model.Refusal) {
 	var p progress
 	if refusal := n.admit(ctx, time.Now(), req, pipeline); refusal != nil {
@@ -66,7 +66,7 @@
 	return n.newAnswer(req, carry, p), p, nil
 }
 
-// after returns the progress after a stage failed.
+// afterFailure returns the progress after a stage failed with err.
 func (p progress) afterFailure(stage model.Stage, err error) progress {
 	if model.AsRefusal(err).Verdict == model.NotRun {
 		return p
@@ -76,7 +76,7 @@
 	return p
 }
 
-// refusal returns a stage's refusal with the verdict of the whole request.
+// refusal returns the refusal of a failed stage with the verdict for the whole request.
 func (p progress) refusal(err error) *model.Refusal {
 	refusal := model.AsRefusal(err)
 	if p.mayHaveRun {
@@ -98,7 +98,8 @@
 	}
 }
 
-// admit refuses at the door what exceeds its customer's rate or cannot finish in time.
+// admit refuses a request that exceeds its customer's rate or cannot finish before its deadline. With the baseline
+// policies, it only refuses a request whose deadline has passed.
 func (n *Node) admit(ctx context.Context, now time.Time, req model.Request, pipeline model.Pipeline) *model.Refusal {
 	if !now.Before(req.Deadline) {
 		return model.NewRefusal(model.NotRun, model.DeadlinePassed, 0, "the deadline has passed")
--- a/node/serve.go
+++ b/node/serve.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Serve takes one request of a caller. Emit gets the tokens of a stream as they come; nil
-// where the caller wants the answer alone.
+// Serve serves one request of a caller. emit receives the tokens of a stream as they arrive; it is nil if the caller
+// only wants the complete answer.
 func (n *Node) Serve(ctx context.Context, req model.Request, pipeline model.Pipeline, emit func(model.Token)) (model.Answer, *model.Refusal) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
@@ -76,7 +76,7 @@
 	if answer.ID == req.ID && answer.RanOn == n.options.Name {
 		return answer, refusal
 	}
-	// The request ran elsewhere or earlier: this node's record says where to ask.
+	// The request ran on another node or earlier: this node's record names the node that has the details.
 	forwarded := answer.RanOn
 	if forwarded == "" {
 		if owner, ok := n.claims.current().OwnerOf(key); ok {
@@ -89,7 +89,7 @@
 	return answer, refusal
 }
 
-// reloadSettings brings a change that this node has just written in force without delay.
+// reloadSettings applies a change that this node has just written to the settings, without waiting for the next poll.
 func (n *Node) reloadSettings() {
 	snapshot, err := n.store.Snapshot(n.ctx)
 	n.recordTableResult(err)
@@ -98,16 +98,16 @@
 	}
 }
 
-// Status returns what operators see of the node and the fleet.
+// Status returns the state of the node and the fleet for operators.
 func (n *Node) Status() operator.Status {
 	row := n.claims.current()
-	ready, why := n.Ready()
+	ready, notReady := n.Ready()
 	status := operator.Status{
 		Node:          n.options.Name,
 		Incarnation:   n.member.Incarnation,
 		FailureDomain: n.options.FailureDomain,
 		Ready:         ready,
-		NotReady:      why,
+		NotReady:      notReady,
 		Draining:      n.draining.Load(),
 		TableAnswers:  !n.tableDown.Load(),
 		Revision:      n.Settings().Revision,
@@ -146,18 +146,19 @@
 	}
 }
 
-// Explain returns what is known of a request; it asks the node that ran it.
+// Explain returns the record of a request, from the node that ran it if that can be reached. It returns false if no
+// record was found.
 func (n *Node) Explain(ctx context.Context, id string) (model.Record, bool) {
 	record, ok := n.records.get(id)
-	asked := record.Forwarded
+	target := record.Forwarded
 	if !ok {
-		asked, _, _ = strings.Cut(id, ".")
+		target, _, _ = strings.Cut(id, ".")
 	}
-	if asked == "" || asked == n.options.Name {
+	if target == "" || target == n.options.Name {
 		return record, ok
 	}
 	for _, info := range n.fleet.members() {
-		if info.Member.Node != asked {
+		if info.Member.Node != target {
 			continue
 		}
 		var reply peer.ExplainReply
@@ -170,10 +171,10 @@
 }
 
 func (n *Node) handleExplain(_ context.Context, body []byte) (any, error) {
-	var e peer.Explain
-	if err := peer.DecodeBody(body, &e); err != nil {
+	var request peer.Explain
+	if err := peer.DecodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	record, ok := n.records.get(e.Request)
+	record, ok := n.records.get(request.Request)
 	return peer.ExplainReply{Found: ok, Record: record}, nil
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -9,16 +9,16 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// settingsInterval is how often the table's head revision is read. Peers pass newer settings on
-// sooner.
+// settingsInterval is the interval at which the newest revision is read from the table. Newer settings usually arrive
+// from peers before that.
 const settingsInterval = time.Second
 
-// Settings returns what is in force.
+// Settings returns the settings in force.
 func (n *Node) Settings() kernel.Settings {
 	return *n.settings.Load()
 }
 
-// pollSettings reads the head until the node stops.
+// pollSettings reads the newest revision periodically, and applies newer settings, until the node stops.
 func (n *Node) pollSettings() {
 	n.runPeriodically(settingsInterval, func(ctx context.Context) {
 		revision, err := n.store.Head(ctx)
@@ -34,18 +34,18 @@
 	})
 }
 
-// applySettings brings a snapshot in force if it is newer than what is.
+// applySettings applies a snapshot of the settings if it is newer than the settings in force.
 func (n *Node) applySettings(snapshot model.Snapshot) {
 	n.settingsMu.Lock()
 	defer n.settingsMu.Unlock()
 	current := n.Settings()
-	next, refused := current.WithSnapshot(snapshot)
+	next, errs := current.WithSnapshot(snapshot)
 	if next.Revision == current.Revision {
 		return
 	}
-	for _, err := range refused {
+	for _, err := range errs {
 		n.metrics.Event("DocumentRefused")
-		n.log.Warn().Err(err).Msg("settings document refused; what was in force stays")
+		n.log.Warn().Err(err).Msg("invalid settings document refused; its previous version stays in force")
 	}
 	n.settings.Store(&next)
 	n.setEvacuated(next.Fleet.Evacuated)
@@ -53,20 +53,20 @@
 	n.log.Info().Uint64("Revision", next.Revision).Msg("settings in force")
 }
 
-// evacuate keeps work off the endpoints of just some failure domains.
+// setEvacuated replaces the set of evacuated failure domains, whose endpoints get no calls.
 func (n *Node) setEvacuated(domains []string) {
-	news := n.dispatcher.SetEvacuated(time.Now(), domains)
-	for _, domain := range news.Evacuated {
+	change := n.dispatcher.SetEvacuated(time.Now(), domains)
+	for _, domain := range change.Evacuated {
 		n.metrics.Event("DomainEvacuated")
 		n.log.Info().Str("Domain", domain).Int64("InFlight", n.inFlight.Load()).Msg("failure domain evacuated")
 	}
-	for _, domain := range news.Restored {
+	for _, domain := range change.Restored {
 		n.metrics.Event("DomainTakenBack")
 		n.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
 }
 
-// pullSettings asks a peer that has newer settings for them.
+// pullSettings fetches and applies the settings of a peer that has newer ones.
 func (n *Node) pullSettings(ctx context.Context, address string) {
 	var reply peer.SettingsReply
 	pull := peer.SettingsPull{After: n.Settings().Revision}
@@ -77,7 +77,8 @@
 	n.applySettings(reply.Snapshot)
 }
 
-// handleSettings gives a peer all documents: few and small beside what a lost one costs.
+// handleSettings sends a peer all settings documents, not only the changed ones: they are few and small, and a missed
+// one would cost more.
 func (n *Node) handleSettings(context.Context, []byte) (any, error) {
 	s := n.Settings()
 	snapshot := model.Snapshot{Revision: s.Revision}
