--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -13,14 +13,13 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// What was seen: on the project's own interface endpoints that had just started and said so got their usual share of all
-// nodes. Cause: neither what the list says of it nor what answers say was read. Proved by this test on the code before.
-
-// coldPropagationTime is how long the list may take to say that an endpoint is cold.
+// coldPropagationTime is the maximum time until the list reports that an endpoint is cold.
 const coldPropagationTime = 5 * time.Second
 
-// A cold endpoint gets no more calls in a second, of all nodes together, than its pool states, of whatever kind of stage;
-// once it is warm it gets its share.
+// For each kind of stage, all nodes together call a cold endpoint no more often a second than the rate that the
+// settings state for its pool. Once the endpoint is warm, it gets its usual share. Guards against nodes that ignore the
+// cold state in the platform's list and in answers: an endpoint that has just started then gets its usual share at
+// once.
 func TestColdEndpointCallsStayWithinColdRate(t *testing.T) {
 	const rate = 4
 	for _, kind := range []struct{ name, pipeline, pool string }{
@@ -40,8 +39,8 @@
 			for began := time.Now(); time.Since(began) < coldPropagationTime; {
 				f.sendToAll(kind.pipeline)
 			}
-			got := f.driveLoad(kind.pipeline, cold, 4*time.Second)
-			must.LessEq(t, rate, maxWithin(got, time.Second))
+			calls := f.driveLoad(kind.pipeline, cold, 4*time.Second)
+			must.LessEq(t, rate, maxWithin(calls, time.Second))
 
 			f.platform.ClearFaults("")
 			f.await("the endpoint gets its share again", func() bool {
@@ -55,7 +54,7 @@
 	}
 }
 
-// Where all endpoints of a pool are cold, what they don't bear is refused at once, as not run.
+// If all endpoints of a pool are cold, requests beyond their cold rate are refused at once as not run.
 func TestCallsBeyondAllColdEndpointsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3)
@@ -73,9 +72,9 @@
 	must.Eq(t, []model.Reason{model.EndpointsCold}, slices.Compact(slices.Sorted(slices.Values(refused))))
 }
 
-// Seen in review: nodes that start together have read of few others yet, and each took itself for one of those that may call
-// a cold endpoint: some calls a second of each. Cause: who shares what an endpoint bears was decided by what a node knew at
-// that moment, not by what all have heard. Proved by: this test on the code before.
+// Nodes that start together keep the rate of a cold endpoint together. They know of few other nodes at first: if each
+// decided from what it knows at that moment who may call the endpoint, instead of from membership that all nodes have
+// learned of, each would choose itself and send some calls a second.
 func TestNodesStartingTogetherKeepColdRate(t *testing.T) {
 	t.Parallel()
 	const rate = 2
@@ -84,11 +83,11 @@
 	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
 	time.Sleep(coldPropagationTime)
 	began := time.Now()
-	var sent sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 9 {
 		n := f.start(fmt.Sprint("joined-", i))
 		f.nodes = append(f.nodes, n)
-		sent.Go(func() {
+		wg.Go(func() {
 			for time.Since(began) < rankSettleTime {
 				if ready, _ := n.Ready(); ready {
 					f.send(n, "renewal", "usual")
@@ -97,7 +96,7 @@
 			}
 		})
 	}
-	sent.Wait()
+	wg.Wait()
 	for _, e := range f.platform.Endpoints() {
 		if e.Pool == "encoders" {
 			must.LessEq(t, rate, maxWithin(f.callTimes(e.Name, began), time.Second), must.Sprint(e.Name))
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -15,7 +15,8 @@
 	"basilstall.example/basilstall/table"
 )
 
-// setFleetSettings changes the fleet's document through the first node, and waits until all nodes have it in force.
+// setFleetSettings replaces revision base of the fleet's settings document through the first node, and waits until the
+// change is in force on all nodes. It returns the new revision.
 func (f *fleet) setFleetSettings(base uint64, yaml string) uint64 {
 	f.t.Helper()
 	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
@@ -29,21 +30,22 @@
 	return result.Revision
 }
 
-// runsInDomain returns how many stage calls ran at the endpoints of a failure domain.
+// runsInDomain returns how many stage calls have run at the endpoints of a failure domain.
 func (f *fleet) runsInDomain(domain string) int {
-	in := map[string]bool{}
+	inDomain := map[string]bool{}
 	for _, e := range f.platform.Endpoints() {
-		in[e.Name] = e.FailureDomain == domain
+		inDomain[e.Name] = e.FailureDomain == domain
 	}
-	n := 0
+	runs := 0
 	for _, run := range f.platform.Journal.Runs() {
-		if in[run.Endpoint] {
-			n++
+		if inDomain[run.Endpoint] {
+			runs++
 		}
 	}
-	return n
+	return runs
 }
 
+// evacuatedDomains returns the evacuated failure domains that a node reports, separated by spaces.
 func evacuatedDomains(n *node.Node) string {
 	var domains []string
 	for _, e := range n.Status().Evacuated {
@@ -54,8 +56,8 @@
 	return strings.Join(domains, " ")
 }
 
-// The fleet's document names failure domains whose endpoints get nothing, of whatever kind of stage, until they are
-// taken off it.
+// Endpoints of failure domains that the fleet's settings list as evacuated get no calls, for each kind of stage, until
+// the domains are removed from the list. This includes calls from a node that starts after the evacuation.
 func TestEvacuatedDomainGetsNoCalls(t *testing.T) {
 	f := newFleet(t, 2)
 	domain := sample.BilbaoDomains[1]
@@ -87,7 +89,7 @@
 	must.EqOp(t, "", evacuatedDomains(f.nodes[0]))
 }
 
-// With all of its domains evacuated, a request is refused at once, as not run.
+// If all failure domains are evacuated, requests are refused at once as not run, and no endpoint is called.
 func TestRequestIsRefusedWhenAllDomainsAreEvacuated(t *testing.T) {
 	f := newFleet(t, 1)
 	f.setFleetSettings(1, "Evacuated: ["+strings.Join(sample.BilbaoDomains[:], ", ")+"]\n")
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -12,26 +12,26 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// Seen: on the project's own interface as well, endpoints that state how many calls a second they take of all nodes together
-// got their usual share. How it came about and the cause: as on the users' platform, no node understood the field, and a
-// bound on what all nodes send together was stated to each of them alone. Proved by: this test on the code before.
-
 const (
-	capWindow          = 4 * time.Second
-	rankSettleTime     = 13 * time.Second
+	// capWindow is the length of the windows in which the calls to an endpoint are counted.
+	capWindow = 4 * time.Second
+	// rankSettleTime is longer than the 8 s that nodes wait before they rely on a membership change; see
+	// kernel.SettledNodes.
+	rankSettleTime = 13 * time.Second
+	// capPropagationTime is the time in which all nodes learn of a cap that an endpoint states in its answers.
 	capPropagationTime = 600 * time.Millisecond
 )
 
-// timeouts are the reasons of requests for which the time of a busy machine ran out.
+// timeoutReasons are the reasons of refusals that are due to timeouts on a busy machine.
 var timeoutReasons = []model.Reason{model.StageTimeout, model.OwnerUnreachable}
 
-// round sends a request to each node, one beside the other, and returns the reasons of those that were refused.
+// sendToAll sends one request to each node concurrently, and returns the reasons of the refusals.
 func (f *fleet) sendToAll(pipeline string) []model.Reason {
 	var mu sync.Mutex
 	var refused []model.Reason
-	var sent sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, n := range f.nodes {
-		sent.Go(func() {
+		wg.Go(func() {
 			if reason := f.send(n, pipeline, "usual"); reason != "" {
 				mu.Lock()
 				refused = append(refused, reason)
@@ -39,12 +39,13 @@
 			}
 		})
 	}
-	sent.Wait()
+	wg.Wait()
 	return refused
 }
 
-// serve has all nodes take requests for a time, and until an endpoint got one: of those, none is refused, but where the time
-// of a busy machine ran out. It returns when the endpoint got calls meanwhile.
+// driveLoad sends requests to all nodes for at least length, and longer until one was served and the endpoint got a
+// call. It fails the test if a request is refused for a reason other than timeoutReasons. It returns the times of the
+// calls that the endpoint got.
 func (f *fleet) driveLoad(pipeline, endpoint string, length time.Duration) []time.Time {
 	f.t.Helper()
 	served := 0
@@ -56,12 +57,12 @@
 		must.SliceEmpty(f.t, reasons, must.Sprint(reasons))
 	}
 	must.Positive(f.t, served)
-	got := f.callTimes(endpoint, began)
-	must.Positive(f.t, len(got))
-	return got
+	calls := f.callTimes(endpoint, began)
+	must.Positive(f.t, len(calls))
+	return calls
 }
 
-// callTimes returns when an endpoint got calls after a time.
+// callTimes returns the times of the calls that an endpoint got after a time, in ascending order.
 func (f *fleet) callTimes(endpoint string, after time.Time) []time.Time {
 	var out []time.Time
 	for _, run := range f.platform.Journal.Runs() {
@@ -73,34 +74,36 @@
 	return out
 }
 
-// busiest returns the endpoint of a pool that got most calls, and how many endpoints the pool has.
+// busiestEndpoint returns the endpoint of a pool that has got the most calls, and the number of endpoints of the pool.
 func (f *fleet) busiestEndpoint(pool string) (name string, endpoints int) {
-	most := -1
+	maxCalls := -1
 	for _, e := range f.platform.Endpoints() {
 		if e.Pool != pool {
 			continue
 		}
 		endpoints++
-		if n := len(f.callTimes(e.Name, time.Time{})); n > most {
-			name, most = e.Name, n
+		if calls := len(f.callTimes(e.Name, time.Time{})); calls > maxCalls {
+			name, maxCalls = e.Name, calls
 		}
 	}
 	return name, endpoints
 }
 
+// maxWithin returns the maximum number of moments, which are in ascending order, within one window.
 func maxWithin(moments []time.Time, window time.Duration) int {
-	most, oldest := 0, 0
+	maxCount, oldest := 0, 0
 	for i, at := range moments {
 		for at.Sub(moments[oldest]) > window {
 			oldest++
 		}
-		most = max(most, i+1-oldest)
+		maxCount = max(maxCount, i+1-oldest)
 	}
-	return most
+	return maxCount
 }
 
-// However many nodes there are, an endpoint that states a rate cap gets no more calls than that allows, of whatever kind of
-// stage; once it takes the cap back, it gets its share again.
+// For each kind of stage, all nodes together call an endpoint that states a rate cap no more often than the cap allows.
+// Once the endpoint states no cap, it gets its usual share again. Guards against nodes that ignore the cap, and against
+// nodes that each use the whole cap instead of a part.
 func TestAllNodesTogetherKeepRateCap(t *testing.T) {
 	const perSecond = 1.0
 	for _, kind := range []struct{ name, pipeline, pool string }{
@@ -121,8 +124,8 @@
 				f.sendToAll(kind.pipeline)
 			}
 			time.Sleep(capPropagationTime)
-			got := f.driveLoad(kind.pipeline, capped, 2*capWindow)
-			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(got, capWindow))
+			calls := f.driveLoad(kind.pipeline, capped, 2*capWindow)
+			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(calls, capWindow))
 
 			f.platform.ClearFaults("")
 			f.await("the endpoint gets its share again", func() bool {
@@ -136,7 +139,7 @@
 	}
 }
 
-// Where all endpoints of a pool state caps, what they don't take is refused at once, as not run.
+// If all endpoints of a pool state rate caps, requests beyond the caps are refused at once as not run.
 func TestCallsBeyondAllRateCapsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3)
@@ -156,17 +159,17 @@
 	}
 	must.Positive(t, refused)
 	_, endpoints := f.busiestEndpoint("encoders")
-	got := 0
+	calls := 0
 	for _, e := range f.platform.Endpoints() {
 		if e.Pool == "encoders" {
-			got += len(f.callTimes(e.Name, began))
+			calls += len(f.callTimes(e.Name, began))
 		}
 	}
-	must.LessEq(t, endpoints*int(1.5*0.5*capWindow.Seconds()+5), got)
+	must.LessEq(t, endpoints*int(1.5*0.5*capWindow.Seconds()+5), calls)
 }
 
-// Seen by arithmetic: of 400 nodes before three endpoints that state caps 12 serve. Cause: only the nodes that share a cap
-// could use it. Guards against nodes that serve nothing of a pool whose endpoints all state caps.
+// Each node serves requests for a pool whose endpoints all state rate caps, also if it does not share one of the caps.
+// If only the nodes that share a cap could use it, 12 of 400 nodes would serve a pool of three such endpoints.
 func TestEveryNodeServesWhenAllEndpointsHaveRateCaps(t *testing.T) {
 	t.Parallel()
 	const perSecond = 2.0
@@ -178,9 +181,9 @@
 	f.sendToAll("renewal")
 	f.sendToAll("renewal")
 	time.Sleep(capPropagationTime)
-	known := time.Now()
+	start := time.Now()
 	for _, n := range f.nodes {
 		f.await("node serves", func() bool { return f.send(n, "renewal", "usual") == "" })
 	}
-	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(f.callTimes("encoders-1", known), capWindow))
+	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(f.callTimes("encoders-1", start), capWindow))
 }
--- a/node/rates_test.go
+++ b/node/rates_test.go
@@ -16,21 +16,22 @@
 	"basilstall.example/basilstall/table"
 )
 
-// setCustomerRate gives the sample's first customer a rate.
+// setCustomerRate sets the rate of the customer that the tests' requests belong to, in requests a second, and waits
+// until it is in force on all nodes.
 func (f *fleet) setCustomerRate(perSecond string) {
 	f.t.Helper()
-	var team model.Document
+	var document model.Document
 	for _, d := range sample.BilbaoSnapshot().Documents {
 		if strings.Contains(d.YAML, sample.BilbaoToken) {
-			team = d
+			document = d
 		}
 	}
 	token := "    Token: " + sample.BilbaoToken + "\n"
-	yaml := strings.Replace(team.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
+	yaml := strings.Replace(document.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
 	must.StrContains(f.t, yaml, "RequestsPerSecond")
 	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
-	change := operator.Change{Base: team.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), team.Path, change)
+	change := operator.Change{Base: document.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
+	result, err := client.Set(f.t.Context(), document.Path, change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
@@ -38,9 +39,9 @@
 	}
 }
 
-// Seen by arithmetic, in looking for the cause of LIMIT elsewhere: a customer with a small rate had one request served at once by
-// each node. Cause: each node held a part of the rate, and of a part below one request a second a whole one at first. Proved
-// by: this test on the code before. Whichever node gets a request, the customer is served its rate.
+// All nodes together keep a small rate of a customer, whichever nodes receive its requests. If each node held a part of
+// the rate, also one below one request a second, its bucket would still start with one token, so each node would serve
+// one request at once. Requests that a node served because the nodes that hold the rate did not answer are not counted.
 func TestSmallCustomerRateHoldsAcrossNodes(t *testing.T) {
 	t.Parallel()
 	const perSecond, length = 0.2, 8 * time.Second
@@ -54,15 +55,15 @@
 		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeoutReasons, r) })
 		must.SliceEmpty(t, slices.DeleteFunc(reasons, func(r model.Reason) bool { return r == model.CustomerLimit }))
 	}
-	alone := 0
+	fallbackServed := 0
 	for _, n := range f.nodes {
-		alone += int(n.EventCount("RateServedAlone"))
+		fallbackServed += int(n.EventCount("RateServedAlone"))
 	}
-	must.LessEq(t, int(perSecond*time.Since(began).Seconds())+2, served-alone)
+	must.LessEq(t, int(perSecond*time.Since(began).Seconds())+2, served-fallbackServed)
 	must.Positive(t, served)
 }
 
-// Where the nodes that hold a customer's rate are lost, the others serve the customer all the same.
+// If the nodes that hold a customer's rate are lost, the remaining nodes still serve the customer.
 func TestCustomerIsServedAfterRateHoldersAreLost(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3)
