--- a/node/cold.go
+++ b/node/cold.go
@@ -11,8 +11,8 @@
 // coldRetryAfter is the Retry-After time of a request that only cold endpoints could serve.
 const coldRetryAfter = 150 * time.Millisecond
 
-// coldRoles caches which cold endpoints this node may call. It is safe for concurrent use.
-type coldRoles struct {
+// coldRoleCache caches which cold endpoints this node may call. It is safe for concurrent use.
+type coldRoleCache struct {
 	// startedAt is when the node started.
 	startedAt time.Time
 
@@ -21,13 +21,13 @@
 	roles map[string]kernel.ColdRole
 }
 
-func newColdRoles(startedAt time.Time) *coldRoles {
-	return &coldRoles{startedAt: startedAt, roles: map[string]kernel.ColdRole{}}
+func newColdRoleCache(startedAt time.Time) *coldRoleCache {
+	return &coldRoleCache{startedAt: startedAt, roles: map[string]kernel.ColdRole{}}
 }
 
 // role returns this node's role for a cold endpoint. It calls decide if the last decision has expired. An expired role
 // is kept while the endpoint is listed, because the next one depends on it: a node that becomes a sender waits first.
-func (c *coldRoles) role(now time.Time, incarnation string, decide func() bool) kernel.ColdRole {
+func (c *coldRoleCache) role(now time.Time, incarnation string, decide func() bool) kernel.ColdRole {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	role := c.roles[incarnation]
@@ -39,7 +39,7 @@
 }
 
 // retainListed removes the roles for endpoints that are no longer listed.
-func (c *coldRoles) retainListed(listed []model.Endpoint) {
+func (c *coldRoleCache) retainListed(listed []model.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.roles) == 0 {
--- a/node/node.go
+++ b/node/node.go
@@ -60,7 +60,7 @@
 	rateCaps   *ratecap.Limiter
 	notices    *notices
 	// coldRoles caches which cold endpoints this node may call.
-	coldRoles *coldRoles
+	coldRoles *coldRoleCache
 	// runningAtHandover lists the keys whose requests were still running when this node handed its keys over.
 	runningAtHandover []string
 
@@ -110,7 +110,7 @@
 		committer:   newCommitter(store),
 		orderer:     newOrderer(),
 		notices:     newNotices(),
-		coldRoles:   newColdRoles(now),
+		coldRoles:   newColdRoleCache(now),
 	}
 	n.claims = newClaimsCoordinator(n.member)
 	n.fleet = &fleet{m: kernel.NewMembership(now, n.member, options.FailureDomain)}
