--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -89,7 +89,7 @@
 	return name, endpoints
 }
 
-// maxWithin returns the maximum number of moments, which are in ascending order, within one window.
+// maxWithin returns the maximum number of moments that lie within one window. The moments are in ascending order.
 func maxWithin(moments []time.Time, window time.Duration) int {
 	maxCount, oldest := 0, 0
 	for i, at := range moments {
--- a/node/rates.go
+++ b/node/rates.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// rateSweepThreshold is the number of customers from which on idle ones are removed before a new one is added.
+	// rateSweepThreshold is the number of customers at which idle ones are removed before a new one is added.
 	rateSweepThreshold = 64
 	// rateHoldersTTL is how long the list of nodes that hold a customer's rate is cached: about as long as nodes take
 	// to learn of each other.
