--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -17,25 +17,25 @@
 	Dispatcher struct {
 		// OnLeaving is called when an endpoint itself says that it is leaving.
 		OnLeaving func(pool, endpoint string)
-		// OnAdapter is called when a request uses an adapter of engines that load adapters on
+		// OnAdapterDemand is called when a request uses an adapter of engines that load adapters on
 		// demand; waiting tells that no engine known has it.
-		OnAdapter func(pool, adapter string, deadline time.Time, waiting bool)
-		// OnBrokeOff is called when a connection to an endpoint broke while it may have worked on a request.
-		OnBrokeOff func(e model.Endpoint, req model.Request)
-		// MayCall decides right before each call whether the request may be sent; nil means yes.
-		MayCall func(req model.Request) *model.Refusal
-		// OnCall is called before each call to an endpoint, OnAnswered with what an answer to a call that began at a
+		OnAdapterDemand func(pool, adapter string, deadline time.Time, waiting bool)
+		// OnDisconnect is called when a connection to an endpoint broke while it may have worked on a request.
+		OnDisconnect func(e model.Endpoint, req model.Request)
+		// CheckRequest decides right before each call whether the request may be sent; nil means yes.
+		CheckRequest func(req model.Request) *model.Refusal
+		// OnCall is called before each call to an endpoint, OnAnswer with what an answer to a call that began at a
 		// time says of the calls that its endpoint takes.
-		OnCall     func(e model.Endpoint)
-		OnAnswered func(asked time.Time, e model.Endpoint, stated model.RateCap)
+		OnCall   func(e model.Endpoint)
+		OnAnswer func(asked time.Time, e model.Endpoint, stated model.RateCap)
 		// Admits tells whether an endpoint that was last called at a time may get a call now, Refuses whether none of
 		// several endpoints may get one because of what they take.
-		Admits  func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		Refuses func(now time.Time, pool string, endpoints []model.Endpoint, calledAt func(incarnation string) time.Time) *model.Refusal
-		// MayAsk tells whether another node is worth asking for a permit to call an endpoint that was last called at a
-		// time, and AskPermit asks one.
-		MayAsk    func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		AskPermit func(ctx context.Context, e model.Endpoint) bool
+		Admits    func(now time.Time, e model.Endpoint, calledAt time.Time) bool
+		AdmitPool func(now time.Time, pool string, endpoints []model.Endpoint, calledAt func(incarnation string) time.Time) *model.Refusal
+		// MayRequestPermit tells whether another node is worth asking for a permit to call an endpoint that was last called at a
+		// time, and RequestPermit asks one.
+		MayRequestPermit func(now time.Time, e model.Endpoint, calledAt time.Time) bool
+		RequestPermit    func(ctx context.Context, e model.Endpoint) bool
 		// Unary makes one call that is answered at once; the error is an *endpoint.Fault.
 		Unary func(ctx context.Context, target endpoint.Target, call model.StageCall) (model.StageReply, error)
 
@@ -55,7 +55,7 @@
 		Work   kernel.StageContext
 		Plugin kernel.Plugin
 		// Later estimates the stages that still follow.
-		Later []kernel.StageEstimate
+		LaterStages []kernel.StageEstimate
 		// Weight is the customer's share.
 		Weight int
 		// Trial tells that the request is held back and was permitted to run once.
@@ -85,20 +85,20 @@
 func NewDispatcher(domain string, plain bool, metrics *metric.Set) *Dispatcher {
 	client := endpoint.NewClient()
 	return &Dispatcher{
-		OnLeaving: func(string, string) {},
-		OnAdapter: func(string, string, time.Time, bool) {},
-		Unary:     client.Unary,
+		OnLeaving:       func(string, string) {},
+		OnAdapterDemand: func(string, string, time.Time, bool) {},
+		Unary:           client.Unary,
 
-		OnBrokeOff: func(model.Endpoint, model.Request) {},
-		MayCall:    func(model.Request) *model.Refusal { return nil },
-		OnCall:     func(model.Endpoint) {},
-		OnAnswered: func(time.Time, model.Endpoint, model.RateCap) {},
-		Admits:     func(time.Time, model.Endpoint, time.Time) bool { return true },
-		Refuses: func(time.Time, string, []model.Endpoint, func(string) time.Time) *model.Refusal {
+		OnDisconnect: func(model.Endpoint, model.Request) {},
+		CheckRequest: func(model.Request) *model.Refusal { return nil },
+		OnCall:       func(model.Endpoint) {},
+		OnAnswer:     func(time.Time, model.Endpoint, model.RateCap) {},
+		Admits:       func(time.Time, model.Endpoint, time.Time) bool { return true },
+		AdmitPool: func(time.Time, string, []model.Endpoint, func(string) time.Time) *model.Refusal {
 			return nil
 		},
-		MayAsk:    func(time.Time, model.Endpoint, time.Time) bool { return false },
-		AskPermit: func(context.Context, model.Endpoint) bool { return false },
+		MayRequestPermit: func(time.Time, model.Endpoint, time.Time) bool { return false },
+		RequestPermit:    func(context.Context, model.Endpoint) bool { return false },
 
 		client:  client,
 		metrics: metrics,
@@ -208,20 +208,20 @@
 	estimate := d.estimate(req, job.Weight, job.Work.Stage)
 	waiter := newWaiter(req, job.Weight)
 	waiter.Cost = estimate.Cost()
-	waiter.LatestStart = estimate.LatestStart(kernel.StageDeadline(req.Deadline, job.Later))
-	if refusal := d.refuses(p); refusal != nil {
+	waiter.LatestStart = estimate.LatestStart(kernel.StageDeadline(req.Deadline, job.LaterStages))
+	if refusal := d.checkPool(p); refusal != nil {
 		return Result{}, refusal
 	}
-	if !p.enter(ctx, start, waiter) {
+	if !p.acquire(ctx, start, waiter) {
 		return Result{}, waitRefusal(ctx, p, estimate)
 	}
-	defer p.leave()
-	a := &attempts{d: d, pool: p, job: job, deadline: req.Deadline, carry: job.Work.Carry}
+	defer p.release()
+	a := &attempts{dispatcher: d, pool: p, job: job, deadline: req.Deadline, carry: job.Work.Carry}
 	var err error
 	if job.Plugin.Streams {
-		err = a.stream(ctx)
+		err = a.runStream(ctx)
 	} else {
-		err = a.unary(ctx)
+		err = a.runUnary(ctx)
 	}
 	timing := a.timing()
 	timing.Elapsed = time.Since(start)
@@ -229,17 +229,17 @@
 }
 
 // Lists tells whether an incarnation of an endpoint is listed.
-func (d *Dispatcher) Lists(incarnation string) bool {
+func (d *Dispatcher) Listed(incarnation string) bool {
 	return slices.ContainsFunc(d.Status(), func(s EndpointStatus) bool { return s.Endpoint.Incarnation() == incarnation })
 }
 
 // refuses returns the refusal of a request whose pool has only endpoints that take no more now than they get.
-func (d *Dispatcher) refuses(p *pool) *model.Refusal {
+func (d *Dispatcher) checkPool(p *pool) *model.Refusal {
 	if d.plain || p.admitsAny(time.Now()) {
 		return nil
 	}
-	endpoints, calledAt := p.calledAt()
-	return d.Refuses(time.Now(), p.name, endpoints, func(incarnation string) time.Time { return calledAt[incarnation] })
+	endpoints, calledAt := p.lastCalls()
+	return d.AdmitPool(time.Now(), p.name, endpoints, func(incarnation string) time.Time { return calledAt[incarnation] })
 }
 
 func waitRefusal(ctx context.Context, p *pool, e kernel.StageEstimate) error {
@@ -258,7 +258,9 @@
 		p = newPool(name, d.domain, d.plain)
 		p.evacuations = d.evacuations
 		p.admits = func(now time.Time, e model.Endpoint, calledAt time.Time) bool { return d.Admits(now, e, calledAt) }
-		p.mayAsk = func(now time.Time, e model.Endpoint, calledAt time.Time) bool { return d.MayAsk(now, e, calledAt) }
+		p.mayRequestPermit = func(now time.Time, e model.Endpoint, calledAt time.Time) bool {
+			return d.MayRequestPermit(now, e, calledAt)
+		}
 		d.pools[name] = p
 	}
 	return p
--- a/dispatch/listed_test.go
+++ b/dispatch/listed_test.go
@@ -16,7 +16,7 @@
 // Seen in review: an endpoint that the list left out once and named again, as after an outage of the list, was new to each
 // node, and each of those that share what it takes called it at once. Cause: when it was last called was forgotten with its
 // entry. Proved by: this test on the code before.
-func TestAnEndpointThatTheListLeavesOutOnceIsRemembered(t *testing.T) {
+func TestRelistedEndpointKeepsLastCallTime(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		after model.Endpoint
@@ -39,12 +39,12 @@
 			listed := model.Endpoint{Name: "a", Pool: "p", Address: "a:1"}
 			other := model.Endpoint{Name: "b", Pool: "other", Address: "b:1"}
 			d.SetEndpoints([]model.Endpoint{listed, other})
-			must.NoError(t, run(t, d))
+			must.NoError(t, runStage(t, d))
 			d.SetEndpoints([]model.Endpoint{other})
 			d.SetEndpoints([]model.Endpoint{tc.after, other})
 			must.SliceLen(t, 1, d.Endpoints("p"))
 			calledAt = time.Time{}
-			must.NoError(t, run(t, d))
+			must.NoError(t, runStage(t, d))
 			must.EqOp(t, tc.known, !calledAt.IsZero())
 		})
 	}
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -7,25 +7,25 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// mostPermitsAsked bounds the permits that are asked for before one call.
-const mostPermitsAsked = 2
+// maxPermitRequests bounds the permits that are asked for before one call.
+const maxPermitRequests = 2
 
 // choose chooses an endpoint for one call; nil where none may get it. Where the choice falls on one that this node may call
 // only with another node's permit, it asks for one; without it, the choice falls on another endpoint.
-func (a *attempts) choose(ctx context.Context, prefix string, excluded []string) *endpointState {
+func (a *attempts) chooseEndpoint(ctx context.Context, prefix string, excluded []string) *endpointState {
 	a.connectBy = time.Time{}
 	for asked := 0; ; asked++ {
 		now := time.Now()
-		e, needsPermit := a.pool.pick(now, prefix, excluded, asked < mostPermitsAsked)
+		e, needsPermit := a.pool.pick(now, prefix, excluded, asked < maxPermitRequests)
 		if e == nil || !needsPermit {
 			return e
 		}
-		if a.d.AskPermit(ctx, a.pool.endpointOf(e)) {
-			a.pool.permitted(time.Now(), e)
+		if a.dispatcher.RequestPermit(ctx, a.pool.endpointOf(e)) {
+			a.pool.recordPermit(time.Now(), e)
 			a.connectBy = now.Add(kernel.PermitLifetime)
 			return e
 		}
-		a.pool.dropPick(e)
+		a.pool.undoPick(e)
 	}
 }
 
@@ -38,9 +38,9 @@
 		if e.candidate.Endpoint.Incarnation() != incarnation {
 			continue
 		}
-		granted, wait = decide(now, incarnation, e.bounds.calledAt)
+		granted, wait = decide(now, incarnation, e.pacing.calledAt)
 		if granted {
-			e.bounds.calledAt = now
+			e.pacing.calledAt = now
 		}
 		return granted, wait
 	}
@@ -48,14 +48,14 @@
 }
 
 // permitted notes that an endpoint is called with another node's permit.
-func (p *pool) permitted(now time.Time, e *endpointState) {
+func (p *pool) recordPermit(now time.Time, e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.bounds.calledAt = now
+	e.pacing.calledAt = now
 }
 
-// dropPick takes back a choice that was not used.
-func (p *pool) dropPick(e *endpointState) {
+// undoPick takes back a choice that was not used.
+func (p *pool) undoPick(e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	limitStartPerEndpoint = 4
-	limitMostPerEndpoint  = 64
+	initialLimitPerEndpoint = 4
+	maxLimitPerEndpoint     = 64
 	// fallbackLatency stands in for quantiles while too little was observed.
 	fallbackLatency = 300 * time.Millisecond
 	medianQuantile  = 0.5
-	longQuantile    = 0.9
-	// unlistedMemory is how long the bounds on calls to an endpoint are kept that the list leaves out: longer than the
+	tailQuantile    = 0.9
+	// unlistedTTL is how long the bounds on calls to an endpoint are kept that the list leaves out: longer than the
 	// pause between two calls under the smallest rate cap.
-	unlistedMemory = 30 * time.Second
-	// lackMemory is how long an engine is not asked again for an adapter that it lacked.
-	lackMemory      = time.Second
-	hedgeQuantile   = 0.95
-	timeoutQuantile = 0.99
+	unlistedTTL = 30 * time.Second
+	// missingAdapterTTL is how long an engine is not asked again for an adapter that it lacked.
+	missingAdapterTTL = time.Second
+	hedgeQuantile     = 0.95
+	timeoutQuantile   = 0.99
 )
 
 type (
@@ -39,22 +39,22 @@
 		evacuations kernel.Evacuations
 		// admits tells whether an endpoint that was last called at a time may get a call now.
 		admits func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		// mayAsk tells whether another node is worth asking for a permit to call an endpoint.
-		mayAsk   func(now time.Time, e model.Endpoint, calledAt time.Time) bool
-		limit    kernel.ConcurrencyLimit
-		queue    *kernel.FairQueue
-		budget   kernel.RetryBudget
-		inFlight int
-		// onDemand is true once an engine said that it lacked an adapter: only then is the use
+		// mayRequestPermit tells whether another node is worth asking for a permit to call an endpoint.
+		mayRequestPermit func(now time.Time, e model.Endpoint, calledAt time.Time) bool
+		limit            kernel.ConcurrencyLimit
+		queue            *kernel.FairQueue
+		budget           kernel.RetryBudget
+		inFlight         int
+		// adaptersOnDemand is true once an engine said that it lacked an adapter: only then is the use
 		// of adapters told.
-		onDemand bool
+		adaptersOnDemand bool
 		// turn is the next endpoint for the plain round robin.
-		turn int
+		nextRoundRobin int
 		// service holds whole calls; first and gap are for streams: until the first token
 		// and between tokens.
-		service kernel.Quantiles
-		first   kernel.Quantiles
-		gap     kernel.Quantiles
+		serviceTimes    kernel.Quantiles
+		firstTokenTimes kernel.Quantiles
+		tokenGaps       kernel.Quantiles
 	}
 
 	// endpointState is what the node's own calls tell of an endpoint.
@@ -66,27 +66,27 @@
 		// leaving is set by the endpoint's own word or by a peer's; the list lags behind it.
 		leaving bool
 		// listed is the state that the list tells.
-		listed model.HostState
-		calls  uint64
-		faults uint64
-		bounds endpointBounds
+		listedState model.HostState
+		calls       uint64
+		faults      uint64
+		pacing      endpointPacing
 		// lacks holds when the engine last said that it lacks an adapter.
-		lacks map[string]time.Time
+		missingAdapters map[string]time.Time
 	}
 
-	// endpointBounds is what bounds the calls of this node to an endpoint.
-	endpointBounds struct {
-		// calledAt is when it last got a call.
+	// endpointPacing is what bounds the calls of this node to an endpoint.
+	endpointPacing struct {
+		// lastCalls is when it last got a call.
 		calledAt time.Time
-		// coldUntil is until when it is cold by its own word; coldSaidAt is when it last said that it is.
-		coldUntil  time.Time
-		coldSaidAt time.Time
+		// coldUntil is until when it is cold by its own word; coldReportedAt is when it last said that it is.
+		coldUntil      time.Time
+		coldReportedAt time.Time
 	}
 
 	unlistedEndpoint struct {
-		address string
-		bounds  endpointBounds
-		since   time.Time
+		address    string
+		pacing     endpointPacing
+		unlistedAt time.Time
 	}
 )
 
@@ -96,7 +96,7 @@
 		domain:   domain,
 		plain:    plain,
 		unlisted: map[string]unlistedEndpoint{},
-		limit:    kernel.NewConcurrencyLimit(limitStartPerEndpoint, 1, limitMostPerEndpoint),
+		limit:    kernel.NewConcurrencyLimit(initialLimitPerEndpoint, 1, maxLimitPerEndpoint),
 		queue:    kernel.NewFairQueue(),
 		budget:   kernel.NewRetryBudget(),
 	}
@@ -117,40 +117,40 @@
 		e := known[endpoint.Name]
 		if e == nil || e.candidate.Endpoint.Address != endpoint.Address {
 			e = &endpointState{name: endpoint.Name, address: endpoint.Address}
-			e.bounds = p.boundsOf(endpoint)
+			e.pacing = p.pacingOf(endpoint)
 		}
-		if e.bounds.coldUntil.After(endpoint.ColdUntil) {
-			endpoint.ColdUntil = e.bounds.coldUntil
+		if e.pacing.coldUntil.After(endpoint.ColdUntil) {
+			endpoint.ColdUntil = e.pacing.coldUntil
 		}
 		e.candidate.Endpoint = endpoint
-		e.listed = endpoint.State
-		p.setState(e)
+		e.listedState = endpoint.State
+		p.updateState(e)
 		p.endpoints = append(p.endpoints, e)
 		delete(known, endpoint.Name)
 	}
-	p.noteUnlisted(now, known)
+	p.rememberUnlisted(now, known)
 	n := float64(max(1, len(listed)))
 	if first {
-		p.limit = kernel.NewConcurrencyLimit(limitStartPerEndpoint*n, 1, limitMostPerEndpoint*n)
+		p.limit = kernel.NewConcurrencyLimit(initialLimitPerEndpoint*n, 1, maxLimitPerEndpoint*n)
 	}
-	p.limit.Max = limitMostPerEndpoint * n
+	p.limit.Max = maxLimitPerEndpoint * n
 }
 
-// boundsOf returns what bounds the calls to an endpoint that the list names again.
-func (p *pool) boundsOf(endpoint model.Endpoint) endpointBounds {
+// pacingOf returns what bounds the calls to an endpoint that the list names again.
+func (p *pool) pacingOf(endpoint model.Endpoint) endpointPacing {
 	unlisted := p.unlisted[endpoint.Name]
 	if unlisted.address != endpoint.Address {
-		return endpointBounds{}
+		return endpointPacing{}
 	}
-	return unlisted.bounds
+	return unlisted.pacing
 }
 
-// noteUnlisted remembers the bounds of endpoints that the list leaves out: one entry that is missed must not have all
+// rememberUnlisted remembers the bounds of endpoints that the list leaves out: one entry that is missed must not have all
 // nodes call its endpoint at once.
-func (p *pool) noteUnlisted(now time.Time, left map[string]*endpointState) {
-	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.since) >= unlistedMemory })
+func (p *pool) rememberUnlisted(now time.Time, left map[string]*endpointState) {
+	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedTTL })
 	for name, e := range left {
-		p.unlisted[name] = unlistedEndpoint{address: e.address, bounds: e.bounds, since: now}
+		p.unlisted[name] = unlistedEndpoint{address: e.address, pacing: e.pacing, unlistedAt: now}
 	}
 }
 
@@ -163,7 +163,7 @@
 		return false
 	}
 	e.leaving = true
-	p.setState(e)
+	p.updateState(e)
 	return true
 }
 
@@ -173,31 +173,31 @@
 	defer p.mu.Unlock()
 	p.evacuations = evacuations
 	for _, e := range p.endpoints {
-		p.setState(e)
+		p.updateState(e)
 	}
 }
 
-// setState gives an endpoint the state that follows from the list, its own word and the evacuations.
-func (p *pool) setState(e *endpointState) {
-	state := e.listed
+// updateState gives an endpoint the state that follows from the list, its own word and the evacuations.
+func (p *pool) updateState(e *endpointState) {
+	state := e.listedState
 	switch {
 	case e.leaving:
 		state = model.Leaving
-	case state == model.Live && p.evacuations.Holds(e.candidate.Endpoint.FailureDomain):
+	case state == model.Live && p.evacuations.Contains(e.candidate.Endpoint.FailureDomain):
 		state = model.Evacuated
 	}
 	e.candidate.Endpoint.State = state
 }
 
-// calledAt returns the pool's endpoints, and when each last got a call.
-func (p *pool) calledAt() ([]model.Endpoint, map[string]time.Time) {
+// lastCalls returns the pool's endpoints, and when each last got a call.
+func (p *pool) lastCalls() ([]model.Endpoint, map[string]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	endpoints := make([]model.Endpoint, 0, len(p.endpoints))
 	called := make(map[string]time.Time, len(p.endpoints))
 	for _, e := range p.endpoints {
 		endpoints = append(endpoints, e.candidate.Endpoint)
-		called[e.candidate.Endpoint.Incarnation()] = e.bounds.calledAt
+		called[e.candidate.Endpoint.Incarnation()] = e.pacing.calledAt
 	}
 	return endpoints, called
 }
@@ -219,7 +219,7 @@
 }
 
 // succeeded records a good reply.
-func (p *pool) succeeded(now time.Time, e *endpointState, elapsed time.Duration, load *model.Load) {
+func (p *pool) recordSuccess(now time.Time, e *endpointState, elapsed time.Duration, load *model.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
@@ -229,37 +229,37 @@
 		e.candidate.LoadAt = now
 	}
 	reported := kernel.SumPoolLoad(now, p.candidates())
-	median := p.service.Quantile(medianQuantile, fallbackLatency)
-	p.limit = p.limit.WithSlots(p.slots()).WithReply(now, elapsed, median, reported, p.inFlight)
-	p.service.Observe(elapsed)
+	median := p.serviceTimes.Quantile(medianQuantile, fallbackLatency)
+	p.limit = p.limit.WithSlots(p.totalSlots()).WithReply(now, elapsed, median, reported, p.inFlight)
+	p.serviceTimes.Observe(elapsed)
 	p.budget = p.budget.WithSuccess()
 }
 
 // reported takes a load in that came before the end of a call.
-func (p *pool) reported(now time.Time, e *endpointState, load model.Load) {
+func (p *pool) recordLoad(now time.Time, e *endpointState, load model.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.Load = load
 	e.candidate.LoadAt = now
 }
 
-// noteCold takes in an endpoint's own word on how long it stays cold, in the answer to a call that began at a time. That it is
+// recordCold takes in an endpoint's own word on how long it stays cold, in the answer to a call that began at a time. That it is
 // warm counts only if it was asked for after it last said that it is cold.
-func (p *pool) noteCold(asked, now time.Time, e *endpointState, coldFor time.Duration) {
+func (p *pool) recordCold(asked, now time.Time, e *endpointState, coldFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if coldFor == 0 && asked.Before(e.bounds.coldSaidAt) {
+	if coldFor == 0 && asked.Before(e.pacing.coldReportedAt) {
 		return
 	}
 	if coldFor > 0 {
-		e.bounds.coldSaidAt = now
+		e.pacing.coldReportedAt = now
 	}
-	e.bounds.coldUntil = now.Add(coldFor)
-	e.candidate.Endpoint.ColdUntil = e.bounds.coldUntil
+	e.pacing.coldUntil = now.Add(coldFor)
+	e.candidate.Endpoint.ColdUntil = e.pacing.coldUntil
 }
 
 // failed records a fault; blamed tells whether the endpoint is held to be its cause.
-func (p *pool) failed(now time.Time, e *endpointState, blamed bool) {
+func (p *pool) recordFailure(now time.Time, e *endpointState, blamed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
@@ -271,8 +271,8 @@
 	e.candidate.Health = e.candidate.Health.WithFailure(now)
 }
 
-// mayRetry takes one retry out of the budget.
-func (p *pool) mayRetry() bool {
+// takeRetry takes one retry out of the budget.
+func (p *pool) takeRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.plain {
--- a/dispatch/poolpick.go
+++ b/dispatch/poolpick.go
@@ -14,9 +14,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.plain {
-		return p.pickPlain(), false
+		return p.pickRoundRobin(), false
 	}
-	candidates := p.admitted(now, asks)
+	candidates := p.admittedCandidates(now, asks)
 	usable := kernel.Usable(now, candidates, excluded)
 	if len(usable) == 0 {
 		usable = kernel.Usable(now, candidates, nil)
@@ -33,32 +33,32 @@
 	e = p.find(usable[i].Endpoint.Name)
 	e.candidate.InFlight++
 	e.calls++
-	if !p.admits(now, e.candidate.Endpoint, e.bounds.calledAt) {
+	if !p.admits(now, e.candidate.Endpoint, e.pacing.calledAt) {
 		return e, true
 	}
-	e.bounds.calledAt = now
+	e.pacing.calledAt = now
 	if e.candidate.Health.Ejected() {
 		e.candidate.Health = e.candidate.Health.WithProbe()
 	}
 	return e, false
 }
 
-// noteLack notes that an engine lacks an adapter.
-func (p *pool) noteLack(now time.Time, e *endpointState, adapter string) {
+// recordMissingAdapter notes that an engine lacks an adapter.
+func (p *pool) recordMissingAdapter(now time.Time, e *endpointState, adapter string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
 	e.candidate.Health.Probing = false
-	p.onDemand = true
-	if e.lacks == nil {
-		e.lacks = map[string]time.Time{}
+	p.adaptersOnDemand = true
+	if e.missingAdapters == nil {
+		e.missingAdapters = map[string]time.Time{}
 	}
-	e.lacks[adapter] = now
+	e.missingAdapters[adapter] = now
 }
 
 // lacking returns the engines that said a moment ago that they lack an adapter, and whether
 // these are all that could get the call.
-func (p *pool) lacking(now time.Time, adapter string) (names []string, all bool) {
+func (p *pool) enginesWithout(now time.Time, adapter string) (names []string, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	staying := 0
@@ -67,11 +67,11 @@
 			continue
 		}
 		staying++
-		at, lacks := e.lacks[adapter]
-		if lacks && now.Sub(at) < lackMemory {
+		at, lacks := e.missingAdapters[adapter]
+		if lacks && now.Sub(at) < missingAdapterTTL {
 			names = append(names, e.candidate.Endpoint.Name)
 		} else if lacks {
-			delete(e.lacks, adapter)
+			delete(e.missingAdapters, adapter)
 		}
 	}
 	return names, len(names) > 0 && len(names) == staying
@@ -81,16 +81,16 @@
 func (p *pool) loadsOnDemand() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.onDemand
+	return p.adaptersOnDemand
 }
 
-// pickPlain is the baseline: round robin over all that the list names.
-func (p *pool) pickPlain() *endpointState {
+// pickRoundRobin is the baseline: round robin over all that the list names.
+func (p *pool) pickRoundRobin() *endpointState {
 	if len(p.endpoints) == 0 {
 		return nil
 	}
-	e := p.endpoints[p.turn%len(p.endpoints)]
-	p.turn++
+	e := p.endpoints[p.nextRoundRobin%len(p.endpoints)]
+	p.nextRoundRobin++
 	e.candidate.InFlight++
 	e.calls++
 	return e
@@ -101,21 +101,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.endpoints, func(e *endpointState) bool {
-		return e.candidate.Endpoint.TakesWork() && p.mayGet(now, e, true)
+		return e.candidate.Endpoint.TakesWork() && p.mayCall(now, e, true)
 	})
 }
 
-// mayGet tells whether an endpoint may get a call now, with another node's permit where these may be asked for.
-func (p *pool) mayGet(now time.Time, e *endpointState, asks bool) bool {
+// mayCall tells whether an endpoint may get a call now, with another node's permit where these may be asked for.
+func (p *pool) mayCall(now time.Time, e *endpointState, asks bool) bool {
 	endpoint := e.candidate.Endpoint
-	return p.admits(now, endpoint, e.bounds.calledAt) || asks && !e.candidate.Health.Ejected() && p.mayAsk(now, endpoint, e.bounds.calledAt)
+	return p.admits(now, endpoint, e.pacing.calledAt) || asks && !e.candidate.Health.Ejected() && p.mayRequestPermit(now, endpoint, e.pacing.calledAt)
 }
 
 // admitted returns the endpoints that may get a call now.
-func (p *pool) admitted(now time.Time, asks bool) []kernel.Candidate {
+func (p *pool) admittedCandidates(now time.Time, asks bool) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(p.endpoints))
 	for _, e := range p.endpoints {
-		if p.mayGet(now, e, asks) {
+		if p.mayCall(now, e, asks) {
 			out = append(out, e.candidate)
 		}
 	}
@@ -132,7 +132,7 @@
 
 // slots sums up the slots of the endpoints that have ever reported any; those that have not
 // are taken to have as many as the others.
-func (p *pool) slots() int {
+func (p *pool) totalSlots() int {
 	known, sum := 0, 0
 	for _, e := range p.endpoints {
 		if e.candidate.Load.Slots > 0 {
--- a/dispatch/poolplaces.go
+++ b/dispatch/poolplaces.go
@@ -13,15 +13,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := kernel.StageEstimate{
-		Median:      p.service.Quantile(medianQuantile, 0),
-		Tail:        p.service.Quantile(longQuantile, 0),
+		Median:      p.serviceTimes.Quantile(medianQuantile, 0),
+		Tail:        p.serviceTimes.Quantile(tailQuantile, 0),
 		MaxInFlight: p.limit.Value,
 	}
-	gap := p.gap.Quantile(medianQuantile, 0)
+	gap := p.tokenGaps.Quantile(medianQuantile, 0)
 	if tokens > 0 && gap > 0 {
 		generation := time.Duration(tokens) * gap
-		e.Median = p.first.Quantile(medianQuantile, 0) + generation
-		e.Tail = p.first.Quantile(longQuantile, 0) + generation
+		e.Median = p.firstTokenTimes.Quantile(medianQuantile, 0) + generation
+		e.Tail = p.firstTokenTimes.Quantile(tailQuantile, 0) + generation
 	}
 	w.Cost = e.Cost()
 	e.QueuedCost = p.queue.CostAhead(w)
@@ -30,7 +30,7 @@
 
 // enter waits for a place at the pool. It gives up when ctx ends or starting has become
 // useless, and reports whether the caller has a place, to be given back with leave.
-func (p *pool) enter(ctx context.Context, now time.Time, w kernel.Waiter) bool {
+func (p *pool) acquire(ctx context.Context, now time.Time, w kernel.Waiter) bool {
 	p.mu.Lock()
 	if p.plain || (p.queue.Len() == 0 && p.limit.Allows(p.inFlight)) {
 		p.inFlight++
@@ -63,7 +63,7 @@
 }
 
 // leave gives a place back and lets the next waiters in.
-func (p *pool) leave() {
+func (p *pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight--
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -14,60 +14,60 @@
 )
 
 const (
-	// leastTokenTimeout keeps a short pause of an engine from moving its streams.
-	leastTokenTimeout = 400 * time.Millisecond
-	fallbackFirst     = time.Second
-	fallbackGap       = 100 * time.Millisecond
-	// adapterPoll is how often a request looks whether its adapter is loaded.
-	adapterPoll = 50 * time.Millisecond
+	// minTokenTimeout keeps a short pause of an engine from moving its streams.
+	minTokenTimeout    = 400 * time.Millisecond
+	fallbackFirstToken = time.Second
+	fallbackTokenGap   = 100 * time.Millisecond
+	// adapterPollInterval is how often a request looks whether its adapter is loaded.
+	adapterPollInterval = 50 * time.Millisecond
 )
 
-var errGap = errors.New("a token is missing")
+var errMissingToken = errors.New("a token is missing")
 
 // stream makes calls until the last token is in: after a fault the next call asks for the
 // rest, so that the caller sees neither a gap nor a repeat.
-func (a *attempts) stream(ctx context.Context) error {
+func (a *attempts) runStream(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, a.deadline)
 	defer cancel()
 	var output strings.Builder
 	for {
-		if err := a.heldBack(); err != nil {
+		if err := a.checkRequest(); err != nil {
 			return err
 		}
 		lacking, ok := a.awaitAdapter(ctx)
 		if !ok {
-			return a.refuse(model.AdapterNotLoaded, errors.New("the adapter is not loaded in time"))
+			return a.newRefusal(model.AdapterNotLoaded, errors.New("the adapter is not loaded in time"))
 		}
-		e := a.choose(ctx, a.prefix(), append(lacking, a.excluded...))
+		e := a.chooseEndpoint(ctx, a.routingPrefix(), append(lacking, a.excluded...))
 		if e == nil {
-			return a.noEndpoint(errors.New("no endpoint"))
+			return a.noEndpointRefusal(errors.New("no endpoint"))
 		}
-		err := a.streamOnce(ctx, e, &output)
+		err := a.streamCall(ctx, e, &output)
 		if err == nil {
-			a.endpoint = e.name
+			a.endpointName = e.name
 			a.carry.Output = output.String()
-			a.tellAdapter(false)
+			a.reportAdapterDemand(false)
 			return nil
 		}
-		if refusal := a.afterStreamFault(ctx, e, asFault(err)); refusal != nil {
+		if refusal := a.handleStreamFault(ctx, e, asFault(err)); refusal != nil {
 			return refusal
 		}
 	}
 }
 
-// afterStreamFault returns the refusal that ends the stage, or nil where another call follows.
-func (a *attempts) afterStreamFault(ctx context.Context, e *endpointState, fault *endpoint.Fault) error {
+// handleStreamFault returns the refusal that ends the stage, or nil where another call follows.
+func (a *attempts) handleStreamFault(ctx context.Context, e *endpointState, fault *endpoint.Fault) error {
 	if fault.Kind == endpoint.NotLoaded {
 		return nil
 	}
 	if ctx.Err() != nil {
-		return a.refuse(model.StageTimeout, fault)
+		return a.newRefusal(model.StageTimeout, fault)
 	}
-	if !a.mayRepeat(fault) {
-		return a.refuse(model.StageFailed, fault)
+	if !a.takeRetry(fault) {
+		return a.newRefusal(model.StageFailed, fault)
 	}
 	if a.carry.Tokens > 0 {
-		a.d.metrics.Retried(model.RetryResume, a.pool.name)
+		a.dispatcher.metrics.Retried(model.RetryResume, a.pool.name)
 	}
 	// A silent connection is not yet the endpoint's fault: it gets one more try.
 	if fault.Kind != endpoint.Silent || !fault.Reused {
@@ -80,22 +80,22 @@
 // be in time. It returns those that lack it.
 func (a *attempts) awaitAdapter(ctx context.Context) ([]string, bool) {
 	adapter := adapterName(a.job.Work.Stage)
-	latest := a.d.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
+	latest := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
 	for {
-		names, all := a.pool.lacking(time.Now(), adapter)
+		names, all := a.pool.enginesWithout(time.Now(), adapter)
 		if !all {
 			return names, true
 		}
-		a.tellAdapter(true)
-		if !time.Now().Before(latest) || !clock.Sleep(ctx, adapterPoll) {
+		a.reportAdapterDemand(true)
+		if !time.Now().Before(latest) || !clock.Sleep(ctx, adapterPollInterval) {
 			return nil, false
 		}
 	}
 }
 
-func (a *attempts) tellAdapter(waiting bool) {
+func (a *attempts) reportAdapterDemand(waiting bool) {
 	if a.pool.loadsOnDemand() {
-		a.d.OnAdapter(a.pool.name, adapterName(a.job.Work.Stage), a.deadline, waiting)
+		a.dispatcher.OnAdapterDemand(a.pool.name, adapterName(a.job.Work.Stage), a.deadline, waiting)
 	}
 }
 
@@ -104,33 +104,33 @@
 	return s.Model + "/" + s.Adapter
 }
 
-// streamOnce makes one call for the tokens from the next one on.
-func (a *attempts) streamOnce(ctx context.Context, e *endpointState, output *strings.Builder) error {
+// streamCall makes one call for the tokens from the next one on.
+func (a *attempts) streamCall(ctx context.Context, e *endpointState, output *strings.Builder) error {
 	start := time.Now()
-	a.made++
-	call := a.call()
+	a.callCount++
+	call := a.prepareCall()
 	call.From = a.carry.Tokens
 	target := a.target(e)
 	target.Timeout = a.tokenTimeout(start)
 	last := start
 	var load *model.Load
-	a.d.OnCall(a.pool.endpointOf(e))
-	err := a.d.client.Stream(ctx, target, call, func(event model.TokenEvent) error {
+	a.dispatcher.OnCall(a.pool.endpointOf(e))
+	err := a.dispatcher.client.Stream(ctx, target, call, func(event model.TokenEvent) error {
 		now := time.Now()
 		if event.Load != nil {
 			load = event.Load
-			a.noteBounds(start, now, e, *load, true)
-			a.pool.reported(now, e, *load)
+			a.recordPacing(start, now, e, *load, true)
+			a.pool.recordLoad(now, e, *load)
 		}
 		if event.Final {
-			return a.checkCount(event)
+			return a.checkTokenCount(event)
 		}
 		if event.Index < a.carry.Tokens {
-			a.d.metrics.Event("TokenRepeated")
+			a.dispatcher.metrics.Event("TokenRepeated")
 			return nil
 		}
 		if event.Index > a.carry.Tokens {
-			return errGap
+			return errMissingToken
 		}
 		a.observeToken(start, last, now)
 		last = now
@@ -143,48 +143,48 @@
 	})
 	now := time.Now()
 	a.busy += now.Sub(start)
-	a.noteLoad(e, load)
+	a.reportLeaving(e, load)
 	if err == nil {
-		a.reached = true
-		a.pool.succeeded(now, e, now.Sub(start), load)
+		a.mayHaveRun = true
+		a.pool.recordSuccess(now, e, now.Sub(start), load)
 		return nil
 	}
 	fault := asFault(err)
 	if fault.Kind == endpoint.Silent {
 		a.observeSilence(start, last, now)
 	}
-	a.noteStreamFault(now, e, fault)
+	a.recordStreamFault(now, e, fault)
 	return fault
 }
 
-func (a *attempts) noteStreamFault(now time.Time, e *endpointState, fault *endpoint.Fault) {
+func (a *attempts) recordStreamFault(now time.Time, e *endpointState, fault *endpoint.Fault) {
 	if fault.Kind == endpoint.NotLoaded {
-		a.unloaded++
-		a.pool.noteLack(now, e, adapterName(a.job.Work.Stage))
+		a.notLoadedCount++
+		a.pool.recordMissingAdapter(now, e, adapterName(a.job.Work.Stage))
 		return
 	}
 	if fault.Kind == endpoint.Silent && fault.Reused {
-		a.reached = true
-		a.pool.failed(now, e, false)
-		a.d.metrics.Event("ConnectionsRetired")
+		a.mayHaveRun = true
+		a.pool.recordFailure(now, e, false)
+		a.dispatcher.metrics.Event("ConnectionsRetired")
 		return
 	}
-	a.noteFault(now, e, fault)
+	a.recordFault(now, e, fault)
 }
 
-func (a *attempts) checkCount(event model.TokenEvent) error {
+func (a *attempts) checkTokenCount(event model.TokenEvent) error {
 	if event.Count != a.carry.Tokens {
-		return errGap
+		return errMissingToken
 	}
 	return nil
 }
 
 func (a *attempts) observeToken(start, last, now time.Time) {
 	if last.Equal(start) {
-		a.pool.observe(&a.pool.first, now.Sub(start))
+		a.pool.observe(&a.pool.firstTokenTimes, now.Sub(start))
 		return
 	}
-	a.pool.observe(&a.pool.gap, now.Sub(last))
+	a.pool.observe(&a.pool.tokenGaps, now.Sub(last))
 }
 
 // observeSilence lets the quantiles learn from a timeout: if the whole pool became slower
@@ -195,9 +195,9 @@
 
 // tokenTimeout covers both the first token and the pauses between tokens.
 func (a *attempts) tokenTimeout(now time.Time) time.Duration {
-	first := a.pool.quantile(&a.pool.first, timeoutQuantile, fallbackFirst)
-	gap := a.pool.quantile(&a.pool.gap, timeoutQuantile, fallbackGap)
-	d := max(leastTokenTimeout, kernel.ProgressTimeout(now, a.deadline, max(first, gap)))
+	first := a.pool.quantile(&a.pool.firstTokenTimes, timeoutQuantile, fallbackFirstToken)
+	gap := a.pool.quantile(&a.pool.tokenGaps, timeoutQuantile, fallbackTokenGap)
+	d := max(minTokenTimeout, kernel.ProgressTimeout(now, a.deadline, max(first, gap)))
 	if !a.pool.canRetry() {
 		return a.deadline.Sub(now)
 	}
@@ -206,7 +206,7 @@
 }
 
 // prefix returns what the routing hashes: the caller's prefix, or the adapter and model.
-func (a *attempts) prefix() string {
+func (a *attempts) routingPrefix() string {
 	w := a.job.Work
 	if w.Request.Input.Prefix != "" {
 		return w.Stage.Model + "/" + w.Request.Input.Prefix
--- a/dispatch/verdict_test.go
+++ b/dispatch/verdict_test.go
@@ -22,7 +22,7 @@
 // connection is not open yet when the deadline passes. That one ends as NotRun by its own time-out, which is the same
 // moment; where its end was looked at first, the verdict rested on it alone, and the call still under way was counted
 // only after. The order of the two is chance, so the test asks many times.
-func TestACallUnderWayAtTheDeadlineMayHaveRun(t *testing.T) {
+func TestRunningCallAtDeadlineMayHaveRun(t *testing.T) {
 	for range 200 {
 		synctest.Test(t, func(t *testing.T) {
 			var calls atomic.Int32
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -24,12 +24,12 @@
 	// maxReplyBytes bounds a unary reply.
 	maxReplyBytes = 4 << 20
 	idleTimeout   = 30 * time.Second
-	// idleConnections bounds the idle connections to one endpoint.
-	idleConnections = 32
+	// maxIdleConnections bounds the idle connections to one endpoint.
+	maxIdleConnections = 32
 )
 
 var (
-	errSilent       = errors.New("no progress within the timeout")
+	errNoProgress   = errors.New("no progress within the timeout")
 	errNotConnected = errors.New("no connection in the time for which the call was permitted")
 )
 
@@ -41,7 +41,7 @@
 		// be retired together.
 		transports map[string]*http.Transport
 		// fresh opens a connection for each call.
-		fresh *http.Transport
+		singleUse *http.Transport
 	}
 
 	// Target says where and how a call goes.
@@ -50,7 +50,7 @@
 		Path    string
 		// Fresh demands a new connection. A call that must not be repeated asks for it: one
 		// that was swallowed by a silent connection could never be resolved.
-		Fresh bool
+		NewConnection bool
 		// Timeout bounds the time without progress.
 		Timeout time.Duration
 		// ConnectBy is when the call must have its connection, or is not made; zero for no such bound.
@@ -58,10 +58,10 @@
 	}
 
 	// evidence is what the connection showed of one call.
-	evidence struct {
+	callTrace struct {
 		connected atomic.Bool
 		reused    atomic.Bool
-		silent    atomic.Bool
+		timedOut  atomic.Bool
 	}
 )
 
@@ -69,22 +69,22 @@
 func NewClient() *Client {
 	return &Client{
 		transports: map[string]*http.Transport{},
-		fresh:      newTransport(false),
+		singleUse:  newTransport(false),
 	}
 }
 
 // Unary makes a call and returns the whole reply; the error is a *Fault.
 func (c *Client) Unary(ctx context.Context, target Target, call model.StageCall) (model.StageReply, error) {
-	ctx, seen, watch := begin(ctx, target)
+	ctx, seen, watch := startWatchdog(ctx, target)
 	defer watch.stop()
 	res, err := c.send(ctx, target, call, seen)
 	if err != nil {
-		return model.StageReply{}, c.fault(ctx, target, seen, err)
+		return model.StageReply{}, c.newFault(ctx, target, seen, err)
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
-		return model.StageReply{}, c.fault(ctx, target, seen, err)
+		return model.StageReply{}, c.newFault(ctx, target, seen, err)
 	}
 	var reply model.StageReply
 	if err := json.Unmarshal(body, &reply); err != nil {
@@ -103,11 +103,11 @@
 // Stream makes a call and hands each event that belongs to it to accept, in the order of
 // arrival, up to the final one; the error is a *Fault. The timeout holds between events.
 func (c *Client) Stream(ctx context.Context, target Target, call model.StageCall, accept func(model.TokenEvent) error) error {
-	ctx, seen, watch := begin(ctx, target)
+	ctx, seen, watch := startWatchdog(ctx, target)
 	defer watch.stop()
 	res, err := c.send(ctx, target, call, seen)
 	if err != nil {
-		return c.fault(ctx, target, seen, err)
+		return c.newFault(ctx, target, seen, err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode == StatusNotLoaded {
@@ -120,9 +120,9 @@
 	for {
 		var event model.TokenEvent
 		if err := events.Decode(&event); err != nil {
-			return c.fault(ctx, target, seen, err)
+			return c.newFault(ctx, target, seen, err)
 		}
-		watch.progress()
+		watch.reset()
 		if !event.Answers(call) {
 			c.Retire(target.Address)
 			return &Fault{Kind: Mismatch, Verdict: model.MayHaveRun, Err: errors.Errorf("event of %s/%s/%d", event.Request, event.Stage, event.Attempt)}
@@ -158,21 +158,21 @@
 	for _, t := range c.transports {
 		t.CloseIdleConnections()
 	}
-	c.fresh.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
 
-func (c *Client) send(ctx context.Context, target Target, call model.StageCall, seen *evidence) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, target Target, call model.StageCall, seen *callTrace) (*http.Response, error) {
 	body, err := json.Marshal(call)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode call")
 	}
 	// The key travels in the body: net/http repeats a request by itself if it carries an
 	// Idempotency-Key header. Without GetBody it cannot repeat one at all.
-	req, err := http.NewRequestWithContext(seen.trace(ctx), http.MethodPost, "http://"+target.Address+target.Path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(seen.withTrace(ctx), http.MethodPost, "http://"+target.Address+target.Path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
 	}
-	if target.Fresh {
+	if target.NewConnection {
 		req.GetBody = nil
 	}
 	req.Header.Set("Content-Type", "application/json")
@@ -180,8 +180,8 @@
 }
 
 func (c *Client) transport(target Target) *http.Transport {
-	if target.Fresh {
-		return c.fresh
+	if target.NewConnection {
+		return c.singleUse
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,12 +193,12 @@
 	return t
 }
 
-func (c *Client) fault(ctx context.Context, target Target, seen *evidence, err error) *Fault {
+func (c *Client) newFault(ctx context.Context, target Target, seen *callTrace, err error) *Fault {
 	f := &Fault{Kind: Cut, Verdict: model.MayHaveRun, Reused: seen.reused.Load(), Err: err}
 	switch {
-	case seen.silent.Load():
+	case seen.timedOut.Load():
 		f.Kind = Silent
-		f.Err = errSilent
+		f.Err = errNoProgress
 		c.Retire(target.Address)
 	case ctx.Err() != nil:
 		f.Kind = Cancelled
@@ -213,7 +213,7 @@
 }
 
 // trace records whether the call was given a connection: before that, nothing was written.
-func (e *evidence) trace(ctx context.Context) context.Context {
+func (e *callTrace) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			e.connected.Store(true)
@@ -235,28 +235,28 @@
 		DialContext:         dialer.DialContext,
 		DisableKeepAlives:   !keep,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     idleTimeout,
 	}
 }
 
 // watch ends a call that makes no progress for the timeout, or has no connection by the time that it must.
-type watch struct {
-	timer   *time.Timer
-	connect *time.Timer
-	timeout time.Duration
-	cancel  context.CancelCauseFunc
+type watchdog struct {
+	progressTimer *time.Timer
+	connectTimer  *time.Timer
+	timeout       time.Duration
+	cancel        context.CancelCauseFunc
 }
 
 // begin returns the context of a call, what its connection will show, and the watch over its
 // progress, which must be stopped.
-func begin(ctx context.Context, target Target) (context.Context, *evidence, watch) {
+func startWatchdog(ctx context.Context, target Target) (context.Context, *callTrace, watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	seen := &evidence{}
-	w := watch{timeout: target.Timeout, cancel: cancel}
-	w.timer = time.AfterFunc(target.Timeout, func() {
-		seen.silent.Store(true)
-		cancel(errSilent)
+	seen := &callTrace{}
+	w := watchdog{timeout: target.Timeout, cancel: cancel}
+	w.progressTimer = time.AfterFunc(target.Timeout, func() {
+		seen.timedOut.Store(true)
+		cancel(errNoProgress)
 	})
 	if target.ConnectBy.IsZero() {
 		return ctx, seen, w
@@ -266,7 +266,7 @@
 		cancel(errNotConnected)
 		return ctx, seen, w
 	}
-	w.connect = time.AfterFunc(left, func() {
+	w.connectTimer = time.AfterFunc(left, func() {
 		if !seen.connected.Load() {
 			cancel(errNotConnected)
 		}
@@ -274,14 +274,14 @@
 	return ctx, seen, w
 }
 
-func (w watch) progress() {
-	w.timer.Reset(w.timeout)
+func (w watchdog) reset() {
+	w.progressTimer.Reset(w.timeout)
 }
 
-func (w watch) stop() {
-	w.timer.Stop()
-	if w.connect != nil {
-		w.connect.Stop()
+func (w watchdog) stop() {
+	w.progressTimer.Stop()
+	if w.connectTimer != nil {
+		w.connectTimer.Stop()
 	}
 	w.cancel(nil)
 }
--- a/endpoint/client_test.go
+++ b/endpoint/client_test.go
@@ -18,7 +18,7 @@
 
 // A call that may be made for a moment only is not made without a connection by then, and the refusal says that it has not
 // run; one that has its connection in time takes as long as it takes.
-func TestACallMustBeConnectedInTime(t *testing.T) {
+func TestCallHasConnectDeadline(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		left time.Duration
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// exchangeDial bounds the opening of a connection: several times a lost opening packet's
+	// dialTimeout bounds the opening of a connection: several times a lost opening packet's
 	// detection on a healthy network, and short beside any objective worth a second endpoint.
-	exchangeDial = 700 * time.Millisecond
-	// exchangeBuffer holds a typical reply's head and small body in one read.
-	exchangeBuffer = 4 << 10
-	// smallBody is written before the reply is awaited; a longer one is written beside, since
+	dialTimeout = 700 * time.Millisecond
+	// readBufferBytes holds a typical reply's head and small body in one read.
+	readBufferBytes = 4 << 10
+	// maxInlineBody is written before the reply is awaited; a longer one is written beside, since
 	// an endpoint may answer before it has read the body.
-	smallBody = 2 << 10
-	// writeLag is how long the end of a write may lag behind the reply to it.
-	writeLag = 2 * time.Millisecond
-	// mostStrays is how many replies to earlier requests are skipped before a connection is
+	maxInlineBody = 2 << 10
+	// maxWriteLag is how long the end of a write may lag behind the reply to it.
+	maxWriteLag = 2 * time.Millisecond
+	// maxStrayReplies is how many replies to earlier requests are skipped before a connection is
 	// given up.
-	mostStrays = 2
-	// mostHead bounds a reply's status line and header fields.
-	mostHead = 64 << 10
+	maxStrayReplies = 2
+	// maxHeaderBytes bounds a reply's status line and header fields.
+	maxHeaderBytes = 64 << 10
 )
 
-var errStray = errors.New("endpoint: the reply belongs to another request")
+var errStrayReply = errors.New("endpoint: the reply belongs to another request")
 
 type (
 	// Exchange is one request, sent as it stands on a connection that carries nothing else
@@ -49,10 +49,10 @@
 		// EchoField and EchoValue name a field that the reply must repeat; none if empty.
 		EchoField string
 		EchoValue string
-		// FreshAfter is how long a connection may have been idle for this request to use it.
-		FreshAfter time.Duration
-		// MostIdle is how many idle connections there may be to the address afterwards.
-		MostIdle int
+		// MaxConnIdleTime is how long a connection may have been idle for this request to use it.
+		MaxConnIdleTime time.Duration
+		// MaxIdleConns is how many idle connections there may be to the address afterwards.
+		MaxIdleConns int
 		// BeforeSend decides, when a connection is open, whether the request is still to be
 		// sent; nil means yes. Its error is returned as it is.
 		BeforeSend func() error
@@ -64,83 +64,83 @@
 		Header http.Header
 		Body   io.Reader
 
-		conn *exchangeConn
-		stop func() bool
+		conn        *exchangeConn
+		cancelClose func() bool
 		// whole is true once Body returned io.EOF.
-		whole bool
+		complete bool
 		// dirty is true where the connection must not be used again.
-		dirty bool
-		idle  time.Duration
-		owner *Exchanger
+		notReusable bool
+		idleTimeout time.Duration
+		exchanger   *Exchanger
 	}
 
-	// limitedHead counts what may still be read of a reply's head.
-	limitedHead struct {
-		conn net.Conn
-		left atomic.Int64
+	// headerLimiter counts what may still be read of a reply's head.
+	headerLimiter struct {
+		conn      net.Conn
+		remaining atomic.Int64
 	}
 )
 
-func (l *limitedHead) Read(p []byte) (int, error) {
-	if l.left.Load() <= 0 {
+func (l *headerLimiter) Read(p []byte) (int, error) {
+	if l.remaining.Load() <= 0 {
 		return 0, errors.New("endpoint: the reply's head is too long")
 	}
 	n, err := l.conn.Read(p)
-	l.left.Add(-int64(n))
+	l.remaining.Add(-int64(n))
 	return n, err
 }
 
 // Send carries one exchange out. The context bounds the whole exchange, its body included;
 // its end closes the connection. The error is a *Fault, but for that of BeforeSend.
 func (x *Exchanger) Send(ctx context.Context, e Exchange) (*ExchangeReply, error) {
-	conn, fault := x.connection(ctx, e)
+	conn, fault := x.getConn(ctx, e)
 	if fault != nil {
 		return nil, fault
 	}
-	conn.mostIdle = e.MostIdle
+	conn.maxIdleConns = e.MaxIdleConns
 	if e.BeforeSend != nil {
 		if err := e.BeforeSend(); err != nil {
-			x.keep(conn, conn.idleFor)
+			x.putIdle(conn, conn.idleTimeout)
 			return nil, err
 		}
 	}
 	stop := context.AfterFunc(ctx, conn.close)
-	reply, err := conn.exchange(e)
+	reply, err := conn.roundTrip(e)
 	if err != nil {
 		stop()
 		conn.close()
-		return nil, conn.fault(ctx, err)
+		return nil, conn.newFault(ctx, err)
 	}
-	reply.stop = stop
-	reply.owner = x
+	reply.cancelClose = stop
+	reply.exchanger = x
 	return reply, nil
 }
 
-func (c *exchangeConn) exchange(e Exchange) (*ExchangeReply, error) {
-	c.wrote.Store(false)
-	c.head.left.Store(mostHead)
-	written := c.write(e)
-	for range mostStrays + 1 {
-		reply, err := c.read(e)
+func (c *exchangeConn) roundTrip(e Exchange) (*ExchangeReply, error) {
+	c.maybeSent.Store(false)
+	c.limiter.remaining.Store(maxHeaderBytes)
+	written := c.writeRequest(e)
+	for range maxStrayReplies + 1 {
+		reply, err := c.readReply(e)
 		if err != nil {
 			return nil, err
 		}
 		if e.EchoField != "" && reply.Header.Get(e.EchoField) != e.EchoValue {
-			if err := skip(reply); err != nil {
+			if err := discardReply(reply); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		reply.dirty = reply.dirty || !allWritten(written)
+		reply.notReusable = reply.notReusable || !allWritten(written)
 		return reply, nil
 	}
-	return nil, errStray
+	return nil, errStrayReply
 }
 
 // allWritten tells whether all of the request has left. If not, the endpoint answered before it
 // had read the request, and what is still to be written would be taken for the next one.
 func allWritten(written <-chan error) bool {
-	timer := time.NewTimer(writeLag)
+	timer := time.NewTimer(maxWriteLag)
 	defer timer.Stop()
 	select {
 	case err := <-written:
@@ -152,25 +152,25 @@
 
 // skip reads a reply to an earlier request to its end; this is only possible where its end
 // does not end the connection.
-func skip(reply *ExchangeReply) error {
-	if reply.dirty {
-		return errStray
+func discardReply(reply *ExchangeReply) error {
+	if reply.notReusable {
+		return errStrayReply
 	}
 	if _, err := io.Copy(io.Discard, reply.Body); err != nil {
-		return errStray
+		return errStrayReply
 	}
 	return nil
 }
 
 // write sends the request; the channel gets one error, nil where all of it was written.
-func (c *exchangeConn) write(e Exchange) <-chan error {
+func (c *exchangeConn) writeRequest(e Exchange) <-chan error {
 	done := make(chan error, 1)
 	send := func() {
-		c.wrote.Store(true)
-		_, err := c.conn.Write(requestBytes(e))
+		c.maybeSent.Store(true)
+		_, err := c.conn.Write(encodeRequest(e))
 		done <- err
 	}
-	if len(e.Body) <= smallBody {
+	if len(e.Body) <= maxInlineBody {
 		send()
 	} else {
 		go send()
@@ -178,7 +178,7 @@
 	return done
 }
 
-func (c *exchangeConn) read(e Exchange) (*ExchangeReply, error) {
+func (c *exchangeConn) readReply(e Exchange) (*ExchangeReply, error) {
 	for {
 		res, err := http.ReadResponse(c.reader, &http.Request{Method: e.Method})
 		if err != nil {
@@ -190,24 +190,24 @@
 		if res.StatusCode < http.StatusOK {
 			continue
 		}
-		c.head.left.Store(1 << 62)
-		reply := &ExchangeReply{Status: res.StatusCode, Header: res.Header, conn: c, dirty: res.Close}
-		reply.idle = keepAlive(res.Header)
-		reply.Body = &wholeBody{reply: reply, body: res.Body}
+		c.limiter.remaining.Store(1 << 62)
+		reply := &ExchangeReply{Status: res.StatusCode, Header: res.Header, conn: c, notReusable: res.Close}
+		reply.idleTimeout = keepAliveTimeout(res.Header)
+		reply.Body = &replyBody{reply: reply, body: res.Body}
 		return reply, nil
 	}
 }
 
-// wholeBody notes whether a body was read to its proper end.
-type wholeBody struct {
+// replyBody notes whether a body was read to its proper end.
+type replyBody struct {
 	reply *ExchangeReply
 	body  io.Reader
 }
 
-func (b *wholeBody) Read(p []byte) (int, error) {
+func (b *replyBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if err == io.EOF {
-		b.reply.whole = true
+		b.reply.complete = true
 	}
 	return n, err
 }
@@ -219,15 +219,15 @@
 	}
 	conn := r.conn
 	r.conn = nil
-	alive := r.stop()
-	if alive && r.whole && !r.dirty && conn.reader.Buffered() == 0 {
-		r.owner.keep(conn, r.idle)
+	alive := r.cancelClose()
+	if alive && r.complete && !r.notReusable && conn.reader.Buffered() == 0 {
+		r.exchanger.putIdle(conn, r.idleTimeout)
 		return
 	}
 	conn.close()
 }
 
-func requestBytes(e Exchange) []byte {
+func encodeRequest(e Exchange) []byte {
 	var b strings.Builder
 	b.Grow(512 + len(e.Body))
 	b.WriteString(e.Method + " " + e.URI + " HTTP/1.1\r\nHost: " + e.Host + "\r\n")
@@ -240,8 +240,8 @@
 	return []byte(b.String())
 }
 
-// keepAlive returns how long the endpoint keeps an idle connection, as it says.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the endpoint keeps an idle connection, as it says.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -251,13 +251,13 @@
 			return time.Duration(seconds) * time.Second
 		}
 	}
-	return unstatedIdle
+	return defaultIdleTimeout
 }
 
 // fault says what the connection shows of a failed exchange.
-func (c *exchangeConn) fault(ctx context.Context, err error) *Fault {
+func (c *exchangeConn) newFault(ctx context.Context, err error) *Fault {
 	f := &Fault{Kind: Cut, Verdict: model.MayHaveRun, Reused: c.used, Err: err}
-	if !c.wrote.Load() {
+	if !c.maybeSent.Load() {
 		f.Verdict = model.NotRun
 	}
 	switch {
@@ -265,7 +265,7 @@
 		f.Kind = Cancelled
 	case ctx.Err() != nil:
 		f.Kind = Silent
-	case errors.Is(err, errStray):
+	case errors.Is(err, errStrayReply):
 		f.Kind = Mismatch
 	}
 	return f
--- a/endpoint/exchange_test.go
+++ b/endpoint/exchange_test.go
@@ -18,22 +18,22 @@
 	"basilstall.example/basilstall/model"
 )
 
-const plainReply = "HTTP/1.1 200 OK\r\nX-Id: %\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
+const okReply = "HTTP/1.1 200 OK\r\nX-Id: %\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
 
 // scripted is an endpoint that answers each request on a connection by a script: the text to send
 // for the request of that number, with % for its ID. An empty text closes the connection.
-type scripted struct {
+type scriptedServer struct {
 	address  string
 	conns    atomic.Int64
 	requests atomic.Int64
 }
 
-func newScripted(t *testing.T, script func(conn, request int) string) *scripted {
+func newScriptedServer(t *testing.T, script func(conn, request int) string) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &scripted{address: listener.Addr().String()}
+	s := &scriptedServer{address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -46,7 +46,7 @@
 	return s
 }
 
-func (s *scripted) serve(conn net.Conn, number int, script func(conn, request int) string) {
+func (s *scriptedServer) serve(conn net.Conn, number int, script func(conn, request int) string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for request := 1; ; request++ {
@@ -74,9 +74,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	reply, err := x.Send(ctx, endpoint.Exchange{
-		MostIdle: 8,
-		Address:  address, Method: http.MethodPost, URI: "/run", Host: "h", Header: http.Header{"X-Id": {id}},
-		Body: []byte("body"), EchoField: "X-Id", EchoValue: id, FreshAfter: time.Hour,
+		MaxIdleConns: 8,
+		Address:      address, Method: http.MethodPost, URI: "/run", Host: "h", Header: http.Header{"X-Id": {id}},
+		Body: []byte("body"), EchoField: "X-Id", EchoValue: id, MaxConnIdleTime: time.Hour,
 	})
 	if err != nil {
 		return "", err
@@ -86,8 +86,8 @@
 	return string(body), err
 }
 
-func TestAConnectionIsUsedAgainAfterAWholeReply(t *testing.T) {
-	s := newScripted(t, func(int, int) string { return plainReply })
+func TestConnectionIsReusedAfterCompleteReply(t *testing.T) {
+	s := newScriptedServer(t, func(int, int) string { return okReply })
 	x := endpoint.NewExchanger(time.Now)
 	for _, id := range []string{"1", "2", "3"} {
 		body, err := send(t, x, s.address, id)
@@ -97,8 +97,8 @@
 	must.Eq(t, 1, s.conns.Load())
 }
 
-func TestAReplyToAnotherRequestIsNeverTaken(t *testing.T) {
-	stray := strings.ReplaceAll(plainReply, "%", "old")
+func TestReplyToAnotherRequestIsNotAccepted(t *testing.T) {
+	stray := strings.ReplaceAll(okReply, "%", "old")
 	for _, tc := range []struct {
 		name   string
 		script func(conn, request int) string
@@ -106,20 +106,20 @@
 	}{
 		{"a late second reply comes before the own one", func(_, request int) string {
 			if request == 2 {
-				return stray + plainReply
+				return stray + okReply
 			}
-			return plainReply
+			return okReply
 		}, true},
 		{"only another's reply", func(int, int) string { return stray + stray + stray }, false},
 		{"a second reply right after the first", func(conn, _ int) string {
 			if conn == 1 {
-				return plainReply + plainReply
+				return okReply + okReply
 			}
-			return plainReply
+			return okReply
 		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newScripted(t, tc.script)
+			s := newScriptedServer(t, tc.script)
 			x := endpoint.NewExchanger(time.Now)
 			for _, id := range []string{"1", "2"} {
 				body, err := send(t, x, s.address, id)
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestABrokenReplyNeverLooksWhole(t *testing.T) {
+func TestBrokenReplyIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"shorter than it says":      "HTTP/1.1 200 OK\r\nX-Id: %\r\nContent-Length: 9\r\n\r\nok!close",
 		"no last chunk":             "HTTP/1.1 200 OK\r\nX-Id: %\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n!close",
@@ -147,7 +147,7 @@
 		"a connection that is shut": "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScripted(t, func(int, int) string { return text })
+			s := newScriptedServer(t, func(int, int) string { return text })
 			_, err := send(t, endpoint.NewExchanger(time.Now), s.address, "1")
 			must.Error(t, err)
 			must.Eq(t, 1, s.requests.Load(), must.Sprint("nothing is sent twice"))
@@ -155,8 +155,8 @@
 	}
 }
 
-func TestAReplyWithoutLengthEndsWithItsConnection(t *testing.T) {
-	s := newScripted(t, func(int, int) string { return "HTTP/1.1 200 OK\r\nX-Id: %\r\n\r\nok!close" })
+func TestReplyWithoutLengthEndsWithItsConnection(t *testing.T) {
+	s := newScriptedServer(t, func(int, int) string { return "HTTP/1.1 200 OK\r\nX-Id: %\r\n\r\nok!close" })
 	x := endpoint.NewExchanger(time.Now)
 	for range 2 {
 		body, err := send(t, x, s.address, "1")
@@ -166,7 +166,7 @@
 	must.Eq(t, 2, s.conns.Load())
 }
 
-func TestAnEarlyReplyEndsTheConnection(t *testing.T) {
+func TestEarlyReplyClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer listener.Close()
@@ -179,16 +179,16 @@
 			}
 			conns.Add(1)
 			// It answers without reading the body.
-			go func() { _, _ = io.WriteString(conn, strings.ReplaceAll(plainReply, "%", "1")) }()
+			go func() { _, _ = io.WriteString(conn, strings.ReplaceAll(okReply, "%", "1")) }()
 		}
 	}()
 	x := endpoint.NewExchanger(time.Now)
 	for range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		reply, err := x.Send(ctx, endpoint.Exchange{
-			MostIdle: 8,
-			Address:  listener.Addr().String(), Method: http.MethodPost, URI: "/run", Host: "h", Header: http.Header{},
-			Body: make([]byte, 8<<20), EchoField: "X-Id", EchoValue: "1", FreshAfter: time.Hour,
+			MaxIdleConns: 8,
+			Address:      listener.Addr().String(), Method: http.MethodPost, URI: "/run", Host: "h", Header: http.Header{},
+			Body: make([]byte, 8<<20), EchoField: "X-Id", EchoValue: "1", MaxConnIdleTime: time.Hour,
 		})
 		must.NoError(t, err)
 		_, err = io.ReadAll(reply.Body)
@@ -199,7 +199,7 @@
 	must.Eq(t, 2, conns.Load(), must.Sprint("the rest of the body would be taken for the next request"))
 }
 
-func TestARefusedConnectionIsNotRun(t *testing.T) {
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	address := listener.Addr().String()
@@ -211,14 +211,14 @@
 	must.Eq(t, endpoint.Refused, fault.Kind)
 }
 
-func TestAConnectionThatWasClosedMeanwhileIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
-	s := newScripted(t, func(conn, _ int) string {
+	s := newScriptedServer(t, func(conn, _ int) string {
 		if conn == 1 {
 			defer close(closed)
-			return plainReply + "!close"
+			return okReply + "!close"
 		}
-		return plainReply
+		return okReply
 	})
 	x := endpoint.NewExchanger(time.Now)
 	_, err := send(t, x, s.address, "1")
@@ -230,26 +230,26 @@
 	must.Eq(t, 2, s.requests.Load())
 }
 
-func TestBeforeSendKeepsARequestBack(t *testing.T) {
-	s := newScripted(t, func(int, int) string { return plainReply })
+func TestBeforeSendErrorPreventsSending(t *testing.T) {
+	s := newScriptedServer(t, func(int, int) string { return okReply })
 	x := endpoint.NewExchanger(time.Now)
 	refusal := errors.New("no longer wanted")
 	_, err := x.Send(context.Background(), endpoint.Exchange{
-		MostIdle: 8,
-		Address:  s.address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{},
+		MaxIdleConns: 8,
+		Address:      s.address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{},
 		BeforeSend: func() error { return refusal },
 	})
 	must.ErrorIs(t, err, refusal)
 	must.Eq(t, 0, s.requests.Load())
 }
 
-func TestTheEndOfTheContextEndsTheExchange(t *testing.T) {
-	s := newScripted(t, func(int, int) string { time.Sleep(time.Hour); return "" })
+func TestContextCancellationEndsExchange(t *testing.T) {
+	s := newScriptedServer(t, func(int, int) string { time.Sleep(time.Hour); return "" })
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(10*time.Millisecond, cancel)
 	_, err := endpoint.NewExchanger(time.Now).Send(ctx, endpoint.Exchange{
-		MostIdle: 8,
-		Address:  s.address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{},
+		MaxIdleConns: 8,
+		Address:      s.address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{},
 	})
 	var fault *endpoint.Fault
 	must.True(t, errors.As(err, &fault))
@@ -258,17 +258,17 @@
 }
 
 // As many connections stay open as each exchange says, those used last; the next exchanges open the others.
-func TestNoMoreConnectionsStayIdleThanAllowed(t *testing.T) {
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	for mostIdle, want := range map[int]int64{0: 6, 2: 4, 8: 3} {
-		s := newScripted(t, func(int, int) string { return plainReply })
+		s := newScriptedServer(t, func(int, int) string { return okReply })
 		x := endpoint.NewExchanger(time.Now)
 		for range 2 {
 			var replies []*endpoint.ExchangeReply
 			for range 3 {
 				reply, err := x.Send(t.Context(), endpoint.Exchange{
-					MostIdle: mostIdle,
-					Address:  s.address, Method: http.MethodPost, URI: "/run", Host: "h", Header: http.Header{"X-Id": {"1"}},
-					EchoField: "X-Id", EchoValue: "1", FreshAfter: time.Hour,
+					MaxIdleConns: mostIdle,
+					Address:      s.address, Method: http.MethodPost, URI: "/run", Host: "h", Header: http.Header{"X-Id": {"1"}},
+					EchoField: "X-Id", EchoValue: "1", MaxConnIdleTime: time.Hour,
 				})
 				must.NoError(t, err)
 				_, err = io.ReadAll(reply.Body)
--- a/endpoint/exchanger.go
+++ b/endpoint/exchanger.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// unstatedIdle is how long a connection is kept whose endpoint states no idle timeout.
-	unstatedIdle = 900 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept whose endpoint states no idle timeout.
+	defaultIdleTimeout = 900 * time.Millisecond
 	// idleMargin is taken off a stated idle timeout: the endpoint's end of it may be on its way.
 	idleMargin = 500 * time.Millisecond
 	// userTimeout ends a connection whose written bytes nobody acknowledges: a partition.
@@ -41,19 +41,19 @@
 	exchangeConn struct {
 		conn    net.Conn
 		raw     syscall.RawConn
-		head    *limitedHead
+		limiter *headerLimiter
 		reader  *bufio.Reader
 		address string
-		// mostIdle is how many idle connections there may be to the address.
-		mostIdle int
+		// maxIdleConns is how many idle connections there may be to the address.
+		maxIdleConns int
 		// used is true once it has carried an exchange.
 		used bool
 		// wrote is true once bytes of the current request may have left.
-		wrote     atomic.Bool
+		maybeSent atomic.Bool
 		idleSince time.Time
-		// idleFor is how long it may stay idle.
-		idleFor time.Duration
-		once    sync.Once
+		// idleTimeout is how long it may stay idle.
+		idleTimeout time.Duration
+		closeOnce   sync.Once
 	}
 )
 
@@ -61,16 +61,16 @@
 func NewExchanger(now func() time.Time) *Exchanger {
 	x := &Exchanger{Now: now, OnConnect: func() {}, idle: map[string][]*exchangeConn{}}
 	x.dialer = net.Dialer{
-		Timeout:         exchangeDial,
-		Control:         BoundSilence(userTimeout),
+		Timeout:         dialTimeout,
+		Control:         TCPUserTimeout(userTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveIdle, Count: 2},
 	}
 	return x
 }
 
-// BoundSilence returns a control function for dialers that makes the system give a connection up
+// TCPUserTimeout returns a control function for dialers that makes the system give a connection up
 // whose written bytes nobody acknowledges for a time.
-func BoundSilence(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+func TCPUserTimeout(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
@@ -84,7 +84,7 @@
 }
 
 // connection returns an idle connection that shows no sign of its end, or a new one.
-func (x *Exchanger) connection(ctx context.Context, e Exchange) (*exchangeConn, *Fault) {
+func (x *Exchanger) getConn(ctx context.Context, e Exchange) (*exchangeConn, *Fault) {
 	now := x.Now()
 	for {
 		c := x.takeIdle(e.Address)
@@ -92,7 +92,7 @@
 			break
 		}
 		age := now.Sub(c.idleSince)
-		if age < c.idleFor && age <= e.FreshAfter && c.quiet() {
+		if age < c.idleTimeout && age <= e.MaxConnIdleTime && c.usable() {
 			return c, nil
 		}
 		c.close()
@@ -115,8 +115,8 @@
 		return nil, err
 	}
 	x.OnConnect()
-	c := &exchangeConn{conn: conn, head: &limitedHead{conn: conn}, address: address}
-	c.reader = bufio.NewReaderSize(c.head, exchangeBuffer)
+	c := &exchangeConn{conn: conn, limiter: &headerLimiter{conn: conn}, address: address}
+	c.reader = bufio.NewReaderSize(c.limiter, readBufferBytes)
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		c.raw, _ = tcp.SyscallConn()
 	}
@@ -130,8 +130,8 @@
 	if err != nil {
 		return err
 	}
-	c.mostIdle = 1
-	x.keep(c, unstatedIdle)
+	c.maxIdleConns = 1
+	x.putIdle(c, defaultIdleTimeout)
 	return nil
 }
 
@@ -154,17 +154,17 @@
 }
 
 // keep puts a connection back for the next exchange.
-func (x *Exchanger) keep(c *exchangeConn, idle time.Duration) {
+func (x *Exchanger) putIdle(c *exchangeConn, idle time.Duration) {
 	c.used = true
 	c.idleSince = x.Now()
-	c.idleFor = idle
-	if idle > unstatedIdle {
-		c.idleFor = idle - idleMargin
+	c.idleTimeout = idle
+	if idle > defaultIdleTimeout {
+		c.idleTimeout = idle - idleMargin
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	conns := append(x.idle[c.address], c)
-	for len(conns) > c.mostIdle {
+	for len(conns) > c.maxIdleConns {
 		conns[0].close()
 		conns = conns[1:]
 	}
@@ -176,14 +176,14 @@
 }
 
 // Sweep closes the connections that have been idle for too long.
-func (x *Exchanger) Sweep() {
+func (x *Exchanger) CloseExpired() {
 	now := x.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for address, conns := range x.idle {
 		kept := conns[:0:0]
 		for _, c := range conns {
-			if now.Sub(c.idleSince) < c.idleFor {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -209,7 +209,7 @@
 
 // quiet tells whether nothing can be read: neither the connection's end nor bytes that belong
 // to no request.
-func (c *exchangeConn) quiet() bool {
+func (c *exchangeConn) usable() bool {
 	if c.reader.Buffered() > 0 || c.raw == nil {
 		return false
 	}
@@ -224,5 +224,5 @@
 }
 
 func (c *exchangeConn) close() {
-	c.once.Do(func() { _ = c.conn.Close() })
+	c.closeOnce.Do(func() { _ = c.conn.Close() })
 }
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -85,7 +85,7 @@
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i := range 9 {
-		n := f.start(fmt.Sprint("joined-", i))
+		n := f.startNode(fmt.Sprint("joined-", i))
 		f.nodes = append(f.nodes, n)
 		wg.Go(func() {
 			for time.Since(began) < rankSettleTime {
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -19,7 +19,7 @@
 // change is in force on all nodes. It returns the new revision.
 func (f *fleet) setFleetSettings(base uint64, yaml string) uint64 {
 	f.t.Helper()
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: base, Operation: uuid.NewString(), Author: "test", YAML: yaml}
 	result, err := client.Set(f.t.Context(), "fleet", change)
 	must.NoError(f.t, err)
@@ -79,7 +79,7 @@
 	for _, n := range f.nodes {
 		must.EqOp(t, domain, evacuatedDomains(n))
 	}
-	f.nodes = append(f.nodes, f.start("late"))
+	f.nodes = append(f.nodes, f.startNode("late"))
 	f.await("the new node serves", func() bool { ready, _ := f.nodes[2].Ready(); return ready })
 	sendAll()
 	must.EqOp(t, before, f.runsInDomain(domain))
--- a/node/node.go
+++ b/node/node.go
@@ -47,13 +47,13 @@
 	records     *records
 	rateLimiter *rateLimiter
 	fleet       *fleet
-	claims      *claimsCoordinator
+	claims      *claimsState
 	// keys decides on requests with keys that this node owns. durableKeys remembers the durable keys whose rows in the
 	// table name this process as the writer.
-	keys        *keyOwner
-	durableKeys *keyOwner
+	keys        *keyLedger
+	durableKeys *keyLedger
 	committer   *committer
-	orderer     *orderer
+	orderer     *orderController
 	// quarantine holds back requests that crash the endpoints that process them. rateCaps limits the calls to endpoints
 	// that state a rate cap. notices follows the table's row that publishes both to all nodes.
 	quarantine *quarantine.Coordinator
@@ -105,30 +105,30 @@
 		dispatcher:  dispatch.NewDispatcher(options.FailureDomain, options.Plain, metrics),
 		records:     newRecords(),
 		rateLimiter: newRateLimiter(),
-		keys:        newKeyOwner(),
-		durableKeys: newKeyOwner(),
+		keys:        newKeyLedger(),
+		durableKeys: newKeyLedger(),
 		committer:   newCommitter(store),
-		orderer:     newOrderer(),
+		orderer:     newOrderController(),
 		notices:     newNotices(),
 		coldRoles:   newColdRoleCache(now),
 	}
-	n.claims = newClaimsCoordinator(n.member)
-	n.fleet = &fleet{m: kernel.NewMembership(now, n.member, options.FailureDomain)}
+	n.claims = newClaimsState(n.member)
+	n.fleet = &fleet{membership: kernel.NewMembership(now, n.member, options.FailureDomain)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.quarantine = n.newQuarantine()
+	n.quarantine = n.newQuarantineCoordinator()
 	n.rateCaps = n.newRateCapLimiter()
 	settings := kernel.NewSettings()
 	n.settings.Store(&settings)
-	n.dispatcher.OnLeaving = n.noteLeaving
-	n.dispatcher.OnAdapter = n.noteAdapter
-	n.dispatcher.OnBrokeOff = n.brokeOff
-	n.dispatcher.MayCall = n.mayCall
+	n.dispatcher.OnLeaving = n.markLeaving
+	n.dispatcher.OnAdapterDemand = n.recordAdapterUse
+	n.dispatcher.OnDisconnect = n.recordDisconnect
+	n.dispatcher.CheckRequest = n.checkQuarantine
 	n.dispatcher.OnCall = n.rateCaps.RecordSend
-	n.dispatcher.OnAnswered = n.rateCaps.RecordAnswer
-	n.dispatcher.MayAsk = n.mayRequestPermit
-	n.dispatcher.AskPermit = n.rateCaps.RequestPermit
+	n.dispatcher.OnAnswer = n.rateCaps.RecordAnswer
+	n.dispatcher.MayRequestPermit = n.mayRequestPermit
+	n.dispatcher.RequestPermit = n.rateCaps.RequestPermit
 	n.dispatcher.Admits = n.mayCallEndpoint
-	n.dispatcher.Refuses = n.admitPool
+	n.dispatcher.AdmitPool = n.admitPool
 	if err := n.listen(); err != nil {
 		n.Close()
 		return nil, err
@@ -153,14 +153,14 @@
 	}
 	handlers := n.quarantine.Handlers()
 	maps.Copy(handlers, map[peer.Kind]peer.Handler{
-		peer.KindHeartbeat:  n.answerHeartbeat,
-		peer.KindForward:    n.answerForward,
+		peer.KindHeartbeat:  n.handleHeartbeat,
+		peer.KindForward:    n.handleForward,
 		peer.KindSettings:   n.handleSettings,
-		peer.KindHandover:   n.answerHandover,
+		peer.KindHandover:   n.handleHandover,
 		peer.KindExplain:    n.handleExplain,
-		peer.KindDemand:     n.answerDemand,
-		peer.KindGrant:      n.answerGrant,
-		peer.KindSeal:       n.answerSeal,
+		peer.KindDemand:     n.handleDemand,
+		peer.KindGrant:      n.handleGrant,
+		peer.KindSeal:       n.handleSeal,
 		peer.KindCapPermit:  n.handleCapPermit,
 		peer.KindRatePermit: n.handleRatePermit,
 	})
@@ -169,7 +169,7 @@
 }
 
 func (n *Node) startLoops() {
-	for _, loop := range []func(){n.pollSettings, n.followFleet, n.followList, n.announceHost, n.keepClaims, n.keepGrants, n.giveOrders, n.followNotices} {
+	for _, loop := range []func(){n.pollSettings, n.sendHeartbeats, n.pollList, n.announceHost, n.maintainClaims, n.maintainGrants, n.maintainAdapters, n.followNotices} {
 		n.loops.Add(1)
 		go func() {
 			defer n.loops.Done()
@@ -269,7 +269,7 @@
 	n.metrics.Gauge("keys_remembered", func() float64 { return float64(n.keys.len()) })
 	n.metrics.Gauge("requests_held_back", func() float64 { return float64(n.quarantine.Len()) })
 	n.metrics.Gauge("endpoints_with_rate_cap", func() float64 { return float64(n.rateCaps.Len()) })
-	n.metrics.Gauge("members_alive", func() float64 { return float64(n.fleet.size()) })
+	n.metrics.Gauge("members_alive", func() float64 { return float64(n.fleet.aliveCount()) })
 	n.metrics.Gauge("table_reads", func() float64 { return float64(n.store.Reads()) })
 	n.metrics.Gauge("table_writes", func() float64 { return float64(n.store.Writes()) })
 }
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -50,7 +50,7 @@
 	f.t.Helper()
 	served := 0
 	began := time.Now()
-	for time.Since(began) < length || time.Since(began) < patience && (served == 0 || len(f.callTimes(endpoint, began)) == 0) {
+	for time.Since(began) < length || time.Since(began) < awaitTimeout && (served == 0 || len(f.callTimes(endpoint, began)) == 0) {
 		reasons := f.sendToAll(pipeline)
 		served += len(f.nodes) - len(reasons)
 		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeoutReasons, r) })
--- a/node/ratecaps.go
+++ b/node/ratecaps.go
@@ -13,9 +13,9 @@
 func (n *Node) newRateCapLimiter() *ratecap.Limiter {
 	return ratecap.NewLimiter(n.ctx, n.member.Node, ratecap.Dependencies{
 		Announced: n.announcedPeers,
-		Listed:    n.dispatcher.Lists,
+		Listed:    n.dispatcher.Listed,
 		Publish: func(ctx context.Context, incarnation string, stated model.RateCap) error {
-			return n.noteNotice(n.store.ChangeRateCap(ctx, incarnation, stated))
+			return n.recordNoticeWrite(n.store.ChangeRateCap(ctx, incarnation, stated))
 		},
 		RequestPermit: n.requestCapPermit,
 		Changed:       func() {},
--- a/node/rates.go
+++ b/node/rates.go
@@ -123,7 +123,7 @@
 // sweep removes idle customers.
 func (r *rateLimiter) sweep(now time.Time) {
 	for account, c := range r.customers {
-		idle := c.bucket.At.IsZero() || c.bucket.Full(now)
+		idle := c.bucket.UpdatedAt.IsZero() || c.bucket.Full(now)
 		if idle && now.Sub(c.holdersAt) >= rateHoldersTTL {
 			delete(r.customers, account)
 		}
@@ -158,7 +158,7 @@
 		}
 	}
 	if n.rateLimiter.recordHolderResult(now, req.Account(), len(waits) > 0) {
-		granted, wait := n.rateLimiter.take(now, req.Account(), rate, n.fleet.size())
+		granted, wait := n.rateLimiter.take(now, req.Account(), rate, n.fleet.aliveCount())
 		if granted {
 			n.metrics.Event("RateServedAlone")
 			return nil
--- a/node/rates_test.go
+++ b/node/rates_test.go
@@ -29,7 +29,7 @@
 	token := "    Token: " + sample.BilbaoToken + "\n"
 	yaml := strings.Replace(document.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
 	must.StrContains(f.t, yaml, "RequestsPerSecond")
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: document.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
 	result, err := client.Set(f.t.Context(), document.Path, change)
 	must.NoError(f.t, err)
@@ -49,7 +49,7 @@
 	f.setCustomerRate("0.2")
 	served := 0
 	began := time.Now()
-	for time.Since(began) < length || served == 0 && time.Since(began) < patience {
+	for time.Since(began) < length || served == 0 && time.Since(began) < awaitTimeout {
 		reasons := f.sendToAll("renewal")
 		served += len(f.nodes) - len(reasons)
 		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeoutReasons, r) })
--- a/node/runner.go
+++ b/node/runner.go
@@ -38,10 +38,10 @@
 	var carry model.Carry
 	for i, stage := range pipeline.Stages {
 		job := dispatch.Job{
-			Work:   kernel.StageContext{Request: req, Stage: stage, Carry: carry},
-			Later:  n.dispatcher.Estimates(req, customer.Weight, pipeline.Stages[i+1:]),
-			Weight: customer.Weight,
-			Trial:  trial,
+			Work:        kernel.StageContext{Request: req, Stage: stage, Carry: carry},
+			LaterStages: n.dispatcher.Estimates(req, customer.Weight, pipeline.Stages[i+1:]),
+			Weight:      customer.Weight,
+			Trial:       trial,
 		}
 		job.Plugin, _ = kernel.PluginFor(stage.Kind)
 		if i == len(pipeline.Stages)-1 {
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -10,13 +10,13 @@
 	"basilstall.example/basilstall/peer"
 )
 
-func (r *Relay) askBatcher(ctx context.Context, node string, g *batcher, req batchRequest) (batchResult, error) {
+func (r *Relay) callBatcher(ctx context.Context, node string, g *batcher, req batchRequest) (batchResult, error) {
 	if node == r.options.Name {
-		return g.batch(ctx, req.group(r.groups.Add(1)), req.passedOver), nil
+		return g.runGroup(ctx, req.pieceGroup(r.lastGroupID.Add(1)), req.excluded), nil
 	}
 	address := r.addressOf(node)
 	message := r.batchMessage(req)
-	callCtx, cancel := context.WithTimeout(ctx, max(batchGrace, message.UntilIn+batchGrace))
+	callCtx, cancel := context.WithTimeout(ctx, max(batchReplyGrace, message.UntilIn+batchReplyGrace))
 	defer cancel()
 	var reply peer.BatchReply
 	err := r.peers.Call(callCtx, address, peer.KindBatch, message, &reply)
@@ -45,21 +45,21 @@
 	first := req.pieces[0]
 	message := peer.Batch{
 		Pool:         req.pool,
-		Group:        fmt.Sprintf("%s/%d", r.options.Name, r.groups.Add(1)),
+		Group:        fmt.Sprintf("%s/%d", r.options.Name, r.lastGroupID.Add(1)),
 		Request:      first.Request,
 		Digest:       first.Digest,
 		Stage:        first.Stage,
 		Key:          first.Key,
 		Inputs:       req.inputs,
 		FreeInputs:   req.freeInputs,
-		ResultBytes:  req.bytes,
+		ResultBytes:  req.resultBytes,
 		Domain:       req.domain,
 		LocalityWait: req.localityWait,
 		Rank:         req.rank,
 		AskedAgo:     now.Sub(req.askedAt),
 		DueIn:        req.due.Sub(now),
 		UntilIn:      req.until.Sub(now),
-		PassedOver:   req.passedOver,
+		PassedOver:   req.excluded,
 	}
 	for _, p := range req.pieces {
 		message.Numbers = append(message.Numbers, p.Number)
@@ -70,7 +70,7 @@
 // cancelGroup withdraws a group whose request was given up.
 func (r *Relay) cancelGroup(address string, m peer.Batch) {
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, releaseTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
 		defer cancel()
 		var empty peer.Empty
 		if r.peers.Call(ctx, address, peer.KindBatchCancel, peer.BatchCancel{Pool: m.Pool, Group: m.Group}, &empty) != nil {
@@ -86,9 +86,9 @@
 		peer.KindBatchCancel: r.answerBatchCancel,
 		peer.KindRelease:     r.answerRelease,
 		peer.KindProbe:       r.answerProbe,
-		peer.KindReturn:      r.answerReturn,
+		peer.KindReturn:      r.handleReturn,
 		peer.KindTakeOver:    r.answerTakeOver,
-		peer.KindCapPermit:   r.answerCapPermit,
+		peer.KindCapPermit:   r.handleCapPermit,
 	}
 	maps.Copy(handlers, r.quarantine.Handlers())
 	return handlers
@@ -99,24 +99,24 @@
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
-	g := r.hub.find(m.Pool)
+	g := r.batchers.find(m.Pool)
 	if g == nil || r.Leaving() {
 		return peer.BatchReply{Leaving: true}, nil
 	}
 	now := r.now()
 	group := kernel.PieceGroup{
-		ID:           r.groups.Add(1),
+		ID:           r.lastGroupID.Add(1),
 		Inputs:       m.Inputs,
 		FreeInputs:   m.FreeInputs,
 		ResultBytes:  m.ResultBytes,
 		Domain:       m.Domain,
 		LocalityWait: m.LocalityWait,
 		Rank:         m.Rank,
-		AskedAt:      now.Add(-m.AskedAgo),
+		FirstSentAt:  now.Add(-m.AskedAgo),
 		Due:          now.Add(m.DueIn),
 		Until:        now.Add(m.UntilIn),
 	}
-	handles := handlesOf(m.Inputs)
+	handles := resultHandles(m.Inputs)
 	for _, n := range m.Numbers {
 		group.Pieces = append(group.Pieces, model.Piece{
 			Request: m.Request, Digest: m.Digest, Stage: m.Stage, Number: n, Key: m.Key, Inputs: handles, Deadline: group.Until,
@@ -128,9 +128,9 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.remote.add(m.Group, cancel)
-	defer r.remote.remove(m.Group)
-	result := g.batch(ctx, group, m.PassedOver)
+	r.remoteGroups.add(m.Group, cancel)
+	defer r.remoteGroups.remove(m.Group)
+	result := g.runGroup(ctx, group, m.PassedOver)
 	return peer.BatchReply{
 		MovedTo:    result.movedTo,
 		Moved:      result.moved,
@@ -147,7 +147,7 @@
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
-	r.remote.cancel(m.Group)
+	r.remoteGroups.cancel(m.Group)
 	return peer.Empty{}, nil
 }
 
@@ -156,7 +156,7 @@
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
-	g := r.hub.find(m.Pool)
+	g := r.batchers.find(m.Pool)
 	if g == nil {
 		return peer.Empty{}, nil
 	}
@@ -167,7 +167,7 @@
 			return peer.Empty{}, nil
 		}
 	}
-	g.free(m.Made)
+	g.freeResults(m.Made)
 	return peer.Empty{}, nil
 }
 
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -14,20 +14,20 @@
 
 // A request may be chosen an endpoint for, and then wait for a connection while the endpoint's failure domain is
 // evacuated. It goes elsewhere, and the endpoint's health is not blamed.
-func TestARequestWhoseEndpointIsEvacuatedBeforeItIsSent(t *testing.T) {
-	b := newBed(t)
+func TestEvacuationBeforeSendMovesRequest(t *testing.T) {
+	b := newTestBed(t)
 	now := time.Now()
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
 		{Name: "plain-0", Pool: "plain", FailureDomain: "a", State: model.Live},
 		{Name: "plain-1", Pool: "plain", FailureDomain: "b", State: model.Live},
 	}, nil, nil)
-	b.relay.ChangeRegistry(func(kernel.Registry) kernel.Registry { return registry })
+	b.relay.UpdateRegistry(func(kernel.Registry) kernel.Registry { return registry })
 	var sent []string
 	evacuate := true
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if evacuate {
 			evacuate = false
-			b.relay.SetEvacuations(kernel.EvacuationChange{Evacuated: []string{s.Endpoint.FailureDomain}})
+			b.relay.ApplyEvacuationChange(kernel.EvacuationChange{Evacuated: []string{s.Endpoint.FailureDomain}})
 		}
 		if err := s.BeforeSend(); err != nil {
 			return nil, err
@@ -37,9 +37,9 @@
 	}
 	outcome := b.serve("/get/one")
 	must.Nil(t, outcome.Refusal)
-	must.True(t, outcome.Whole)
+	must.True(t, outcome.Complete)
 	must.SliceLen(t, 1, sent)
-	must.False(t, b.relay.Registry().Evacuations().Holds(sent[0]))
-	b.relay.SetEvacuations(kernel.EvacuationChange{Restored: b.relay.Registry().Evacuations().Domains()})
+	must.False(t, b.relay.Registry().Evacuations().Contains(sent[0]))
+	b.relay.ApplyEvacuationChange(kernel.EvacuationChange{Restored: b.relay.Registry().Evacuations().Domains()})
 	must.Nil(t, b.serve("/get/two").Refusal)
 }
--- a/relay/events.go
+++ b/relay/events.go
@@ -6,45 +6,45 @@
 	"github.com/go-faster/errors"
 )
 
-// mostEvent bounds one event of a stream.
-const mostEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 var errEventTooLong = errors.New("relay: an event is too long")
 
 // events cuts a stream into whole events, so that a caller never gets a part of one that another
 // endpoint might then repeat.
-type events struct {
-	rest []byte
+type eventSplitter struct {
+	partial []byte
 	// last is the ID of the last whole event.
-	last string
+	lastID string
 	// count counts whole events.
 	count int
 }
 
 // add takes bytes in and returns those that end with a whole event; they are valid until the
 // next call.
-func (e *events) add(p []byte) ([]byte, error) {
-	e.rest = append(e.rest, p...)
+func (e *eventSplitter) add(p []byte) ([]byte, error) {
+	e.partial = append(e.partial, p...)
 	end := 0
 	for {
-		n := eventEnd(e.rest[end:])
+		n := eventEnd(e.partial[end:])
 		if n < 0 {
 			break
 		}
-		e.note(e.rest[end : end+n])
+		e.record(e.partial[end : end+n])
 		end += n
 	}
-	whole := bytes.Clone(e.rest[:end])
-	e.rest = append(e.rest[:0], e.rest[end:]...)
-	if len(e.rest) > mostEvent {
+	whole := bytes.Clone(e.partial[:end])
+	e.partial = append(e.partial[:0], e.partial[end:]...)
+	if len(e.partial) > maxEventBytes {
 		return nil, errEventTooLong
 	}
 	return whole, nil
 }
 
 // clean tells whether no part of an event is left.
-func (e *events) clean() bool {
-	return len(e.rest) == 0
+func (e *eventSplitter) atEventBoundary() bool {
+	return len(e.partial) == 0
 }
 
 // eventEnd returns the length of the first event with the blank line that ends it, or -1.
@@ -61,11 +61,11 @@
 	}
 }
 
-func (e *events) note(event []byte) {
+func (e *eventSplitter) record(event []byte) {
 	e.count++
 	for line := range bytes.Lines(event) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -10,7 +10,7 @@
 
 type (
 	// gate keeps what a pool's endpoints get of all nodes within what they bear. All sends of requests pass it.
-	gate struct {
+	sendLimits struct {
 		self string
 		// startedAt is when this node started; leaving tells that it is on its way out.
 		startedAt time.Time
@@ -21,25 +21,25 @@
 		// caps holds the endpoints that bound what they take.
 		caps *ratecap.Limiter
 		// permits is true where endpoints may be chosen that need another node's permit.
-		permits bool
+		allowPermits bool
 	}
 
-	// gateState is what a node knows of its own sends to an endpoint.
-	gateState struct {
+	// sendState is what a node knows of its own sends to an endpoint.
+	sendState struct {
 		sentAt time.Time
 		// cold is whether it may send while the endpoint is cold.
-		cold kernel.ColdRole
+		coldRole kernel.ColdRole
 	}
 )
 
-func (r *Relay) gate(pool string) gate {
+func (r *Relay) sendLimits(pool string) sendLimits {
 	table := r.View().Table
 	traits, _ := table.Pool(pool)
-	return gate{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.Cold.FractionalShare(table.Share(pool), traits.ColdRate), announced: r.announced, caps: r.rateCaps}
+	return sendLimits{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.ColdLimits.FractionalShare(table.CapacityShare(pool), traits.ColdRate), announced: r.announcedPeers, caps: r.rateCaps}
 }
 
 // admits tells whether an endpoint may get a request from this node now, and whether only with another node's permit.
-func (g gate) admits(now time.Time, e model.Endpoint, s *endpointState) (admitted, needsPermit bool) {
+func (g sendLimits) admits(now time.Time, e model.Endpoint, s *endpointState) (admitted, needsPermit bool) {
 	switch {
 	case !g.admitsCold(now, e, &s.gate):
 		return false, false
@@ -47,16 +47,16 @@
 		return true, false
 	default:
 		// An ejected endpoint gets a probe now and then: that needs no other node.
-		return g.permits && !s.health.Ejected() && g.caps.MayRequestPermit(now, e.Incarnation()), true
+		return g.allowPermits && !s.health.Ejected() && g.caps.MayRequestPermit(now, e.Incarnation()), true
 	}
 }
 
-func (g gate) admitsCold(now time.Time, e model.Endpoint, s *gateState) bool {
+func (g sendLimits) admitsCold(now time.Time, e model.Endpoint, s *sendState) bool {
 	if g.cold.Senders == 0 || !kernel.IsCold(now, e) {
 		return true
 	}
-	if s.cold.Expired(now) {
-		s.cold = s.cold.With(now, g.startedAt, !g.leaving && g.cold.IsSender(g.self, e, g.announced()))
+	if s.coldRole.Expired(now) {
+		s.coldRole = s.coldRole.With(now, g.startedAt, !g.leaving && g.cold.IsSender(g.self, e, g.announced()))
 	}
-	return g.cold.DueForRole(now, s.cold, s.sentAt)
+	return g.cold.DueForRole(now, s.coldRole, s.sentAt)
 }
--- a/relay/held.go
+++ b/relay/held.go
@@ -6,7 +6,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func (s *stageRun) hold(stage int, made []kernel.ResultRef) {
+func (s *stageRun) holdResults(stage int, made []kernel.ResultRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(made) > 0 {
@@ -15,33 +15,33 @@
 }
 
 // crowding tells whether what a stage is made from lies where room is scarce.
-func (j *job) crowding(run *stageRun, stage int) bool {
+func (j *job) inputRoomScarce(run *stageRun, stage int) bool {
 	if !j.relay.options.Policy.Uses(kernel.FreeInputsOnceFetched) {
 		return false
 	}
-	return slices.ContainsFunc(run.stages[stage].After, func(before int) bool { return run.scarce(before) })
+	return slices.ContainsFunc(run.stages[stage].After, func(before int) bool { return run.roomScarce(before) })
 }
 
 // scarce tells whether the room where a stage's results lie is scarce.
-func (s *stageRun) scarce(stage int) bool {
-	return s.relay.hub.lastEstimate(s.queue(stage)).Scarce()
+func (s *stageRun) roomScarce(stage int) bool {
+	return s.relay.batchers.lastEstimate(s.queueName(stage)).Scarce()
 }
 
-// firstEvent gives the engine's inputs up where nothing is likely to need them again: no other engine
+// handleFirstEvent gives the engine's inputs up where nothing is likely to need them again: no other engine
 // may be asked, or their room is scarce. Held for the length of a stream they would take several times
 // the room; the price is that a stream that breaks off can't go on at another engine. Its caller is served
 // as soon by asking again.
-func (j *job) firstEvent(run *stageRun) {
-	early := j.relay.options.Policy.Uses(kernel.FreeInputsAtFirstEvent) && slices.ContainsFunc(run.plan.FinalStages, run.scarce)
+func (j *job) handleFirstEvent(run *stageRun) {
+	early := j.relay.options.Policy.Uses(kernel.FreeInputsAtFirstEvent) && slices.ContainsFunc(run.plan.FinalStages, run.roomScarce)
 	if j.admission.Route.Resumable && !early {
 		return
 	}
-	run.released = len(run.plan.FinalStages) > 0
-	run.release()
+	run.inputsReleased = len(run.plan.FinalStages) > 0
+	run.releaseAll()
 }
 
-// soleConsumer tells whether no other stage needs what a stage is made from.
-func (s *stageRun) soleConsumer(stage int) bool {
+// isSoleConsumer tells whether no other stage needs what a stage is made from.
+func (s *stageRun) isSoleConsumer(stage int) bool {
 	for _, before := range s.stages[stage].After {
 		for k, other := range s.stages {
 			if k != stage && slices.Contains(other.After, before) {
@@ -64,14 +64,14 @@
 // releaseConsumed frees the results of stages whose followers are all done.
 func (s *stageRun) releaseConsumed() {
 	for i := range s.stages {
-		if _, done := s.results[i]; done && !slices.Contains(s.plan.FinalStages, i) && s.consumed(i) {
+		if _, done := s.results[i]; done && !slices.Contains(s.plan.FinalStages, i) && s.isConsumed(i) {
 			s.releaseStage(i)
 		}
 	}
 }
 
 // consumed tells whether all stages that follow one are done.
-func (s *stageRun) consumed(stage int) bool {
+func (s *stageRun) isConsumed(stage int) bool {
 	for k, follower := range s.stages {
 		if _, done := s.results[k]; !done && slices.Contains(follower.After, stage) {
 			return false
@@ -86,12 +86,12 @@
 	delete(s.held, stage)
 	s.mu.Unlock()
 	if len(made) > 0 {
-		s.relay.release(made)
+		s.relay.releaseResults(made)
 	}
 }
 
 // release frees all results that are still held; it may be called again.
-func (s *stageRun) release() {
+func (s *stageRun) releaseAll() {
 	s.mu.Lock()
 	var stages []int
 	for stage := range s.held {
@@ -103,11 +103,11 @@
 	}
 }
 
-// drainAfter frees what stages still make for a request that was given up.
-func (s *stageRun) drainAfter(done <-chan stageDone, running int) {
+// drain frees what stages still make for a request that was given up.
+func (s *stageRun) drain(done <-chan stageResult, running int) {
 	for range running {
 		d := <-done
-		s.hold(d.stage, d.made)
+		s.holdResults(d.stage, d.results)
 	}
-	s.release()
+	s.releaseAll()
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// answersBurst and answersPeriod bound the lines on answers that were whole: refusals and
+	// answerLogBurst and logSamplePeriod bound the lines on answers that were whole: refusals and
 	// failures are all logged, successes are a sample under load.
-	answersBurst  = 10
-	answersPeriod = time.Second
-	// lateBurst bounds the lines on answers that came late, in the same period.
-	lateBurst = 50
+	answerLogBurst  = 10
+	logSamplePeriod = time.Second
+	// lateAnswerLogBurst bounds the lines on answers that came late, in the same period.
+	lateAnswerLogBurst = 50
 )
 
 func sampled(log zerolog.Logger, burst uint32) zerolog.Logger {
-	return log.Sample(&zerolog.BurstSampler{Burst: burst, Period: answersPeriod})
+	return log.Sample(&zerolog.BurstSampler{Burst: burst, Period: logSamplePeriod})
 }
 
-// logEnd writes the line that ends a request: what it was admitted under and how it ended.
-func (r *Relay) logEnd(f model.Forward, a kernel.Admission, view kernel.RoutingView, o Outcome) {
+// logOutcome writes the line that ends a request: what it was admitted under and how it ended.
+func (r *Relay) logOutcome(f model.Forward, a kernel.Admission, view kernel.RoutingView, o Outcome) {
 	now := r.now()
 	log := &r.log
 	switch {
-	case o.Refusal != nil || !o.Whole:
+	case o.Refusal != nil || !o.Complete:
 	case o.Late:
-		log = &r.lateAnswers
+		log = &r.lateAnswersLog
 	default:
-		log = &r.answers
+		log = &r.answersLog
 	}
 	line := log.Info().Str("Request", f.ID).Str("Digest", string(f.Digest)).Str("Route", a.Route.Name).Str("Customer", a.Customer).Int("Rank", a.Rank).
 		Uint64("Routing", view.Table.Version()).Dur("RoutingAge", now.Sub(view.ProvenAt)).
@@ -45,60 +45,60 @@
 	if o.Endpoint != "" {
 		line = line.Str("Endpoint", o.Endpoint)
 	}
-	if o.First > 0 {
-		line = line.Dur("First", o.First)
+	if o.FirstEventTime > 0 {
+		line = line.Dur("First", o.FirstEventTime)
 	}
 	if o.Late {
 		line = line.Bool("Late", true)
 	}
 	if len(o.Estimates) > 0 {
-		line = line.Array("Estimates", stageEstimates(o.Estimates))
+		line = line.Array("Estimates", stageEstimateArray(o.Estimates))
 	}
 	if len(o.Stages) > 0 {
-		line = line.Array("Stages", stageTimes(o.Stages))
+		line = line.Array("Stages", stageTimeArray(o.Stages))
 	}
 	switch {
 	case o.Refusal != nil:
 		line.Str("Outcome", "Refused").Str("Verdict", string(o.Refusal.Verdict)).
 			Str("Reason", string(o.Refusal.Reason)).Dur("RetryAfter", o.Refusal.RetryAfter).
 			Msg(o.Refusal.Detail)
-	case o.Whole:
+	case o.Complete:
 		line.Str("Outcome", "Answered").Int("Status", o.Status).Msg("request answered")
 	default:
 		line.Str("Outcome", "BrokenOff").Int("Status", o.Status).Msg("answer broken off")
 	}
 }
 
-// stageTimes marshals what became of a request's stages.
-type stageTimes []StageTime
+// stageTimeArray marshals what became of a request's stages.
+type stageTimeArray []StageTiming
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (times stageTimes) MarshalZerologArray(a *zerolog.Array) {
+func (times stageTimeArray) MarshalZerologArray(a *zerolog.Array) {
 	for _, t := range times {
 		a.Dict(zerolog.Dict().Int("Stage", t.Stage).Str("Pool", t.Pool).Str("Batcher", t.Batcher).
 			Dur("Elapsed", t.Elapsed).Dur("Waited", t.Waited).Dur("Estimate", t.Estimate).Str("Fault", string(t.Fault)))
 	}
 }
 
-// stageEstimates marshals what was expected of pools.
-type stageEstimates []StageEstimate
+// stageEstimateArray marshals what was expected of pools.
+type stageEstimateArray []StageEstimate
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (all stageEstimates) MarshalZerologArray(a *zerolog.Array) {
+func (all stageEstimateArray) MarshalZerologArray(a *zerolog.Array) {
 	for _, o := range all {
 		a.Dict(zerolog.Dict().Str("Pool", o.Pool).Dur("Wait", o.Wait).Float64("RoomTaken", o.RoomTaken))
 	}
 }
 
-// logAttempt writes a line on a send that did not bring the answer.
-func (r *Relay) logAttempt(f model.Forward, e model.Endpoint, attempt int, reason model.Reason, err error) {
+// logFailedAttempt writes a line on a send that did not bring the answer.
+func (r *Relay) logFailedAttempt(f model.Forward, e model.Endpoint, attempt int, reason model.Reason, err error) {
 	r.log.Info().Str("Request", f.ID).Str("Digest", string(f.Digest)).Str("Endpoint", e.Incarnation()).Str("Pool", e.Pool).Int("Attempt", attempt).
 		Dur("RegistryAge", r.Registry().Age(r.now())).Str("Reason", string(reason)).AnErr("Error", err).
 		Msg("attempt failed")
 }
 
-// logRegistry writes a line for each endpoint that came, went or began to leave.
-func (r *Relay) logRegistry(changes []kernel.RegistryChange) {
+// logRegistryChanges writes a line for each endpoint that came, went or began to leave.
+func (r *Relay) logRegistryChanges(changes []kernel.RegistryChange) {
 	for _, change := range changes {
 		r.log.Info().Str("Endpoint", change.Endpoint.Incarnation()).Str("Pool", change.Endpoint.Pool).
 			Str("Address", change.Endpoint.Address).Str("State", string(change.Endpoint.State)).
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -14,9 +14,9 @@
 // themselves.
 func (r *Relay) SetNodes(nodes []Node, announced []string) {
 	r.nodes.Store(&nodes)
-	r.knowsNodes.Store(true)
+	r.nodesKnown.Store(true)
 	for _, name := range announced {
-		r.suspects.announced(name)
+		r.suspects.probeNow(name)
 	}
 }
 
@@ -36,7 +36,7 @@
 }
 
 // announced returns the nodes that have announced themselves and are not leaving, whether they answer or not.
-func (r *Relay) announced() []kernel.Peer {
+func (r *Relay) announcedPeers() []kernel.Peer {
 	var out []kernel.Peer
 	for _, n := range *r.nodes.Load() {
 		if !n.Leaving {
@@ -47,7 +47,7 @@
 }
 
 // reachable tells whether another node is not leaving and answers, as far as is known.
-func (r *Relay) reachable(node string) bool {
+func (r *Relay) isReachable(node string) bool {
 	for _, n := range *r.nodes.Load() {
 		if n.Name == node {
 			return !n.Leaving && !r.suspects.suspected(node)
@@ -58,7 +58,7 @@
 
 // Ask calls another node by its name, for a reply that may be large: it ends where nothing comes from the
 // node for a time.
-func (r *Relay) Ask(ctx context.Context, silence time.Duration, node string, kind peer.Kind, message, reply any) error {
+func (r *Relay) CallUnlessSilent(ctx context.Context, silence time.Duration, node string, kind peer.Kind, message, reply any) error {
 	return r.peers.CallUnlessSilent(ctx, silence, r.addressOf(node), kind, message, reply)
 }
 
@@ -79,15 +79,15 @@
 	}
 }
 
-// MostIdle returns how many idle connections this node may keep to an endpoint of a pool.
-func (r *Relay) MostIdle(pool string) int {
+// MaxIdleConnections returns how many idle connections this node may keep to an endpoint of a pool.
+func (r *Relay) MaxIdleConnections(pool string) int {
 	traits, _ := r.View().Table.Pool(pool)
-	return kernel.MaxIdleConnections(traits.MaxConns, r.live())
+	return kernel.MaxIdleConnections(traits.MaxConns, r.fleetSize())
 }
 
 // live returns how many nodes share the fleet's budgets; 0 while that is not known.
-func (r *Relay) live() int {
-	if !r.knowsNodes.Load() {
+func (r *Relay) fleetSize() int {
+	if !r.nodesKnown.Load() {
 		return 0
 	}
 	return max(1, len(*r.nodes.Load()))
--- a/relay/panic.go
+++ b/relay/panic.go
@@ -7,7 +7,7 @@
 
 // guard keeps a panic of one request's work from ending the process, and with it all others'. It is
 // deferred at the head of each goroutine; then ends what the goroutine was to end.
-func (r *Relay) guard(then func()) {
+func (r *Relay) recoverPanic(then func()) {
 	v := recover()
 	if v == nil {
 		return
--- a/relay/permits_test.go
+++ b/relay/permits_test.go
@@ -14,22 +14,22 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// permitBed is a relay that has to ask another node before it may send to any endpoint of the pool, and that node's answers.
-type permitBed struct {
-	*bed
-	granted atomic.Bool
-	asked   atomic.Int64
-	sent    []string
+// permitHarness is a relay that has to ask another node before it may send to any endpoint of the pool, and that node's answers.
+type permitHarness struct {
+	*testBed
+	granted        atomic.Bool
+	permitRequests atomic.Int64
+	sent           []string
 }
 
-func newPermitBed(t *testing.T) *permitBed {
-	b := &permitBed{bed: newBed(t)}
+func newPermitHarness(t *testing.T) *permitHarness {
+	b := &permitHarness{testBed: newTestBed(t)}
 	sharer, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
 	t.Cleanup(func() { sharer.Close() })
 	sharer.Serve(kernel.Member{Node: "other"}, map[peer.Kind]peer.Handler{
 		peer.KindCapPermit: func(context.Context, []byte) (any, error) {
-			b.asked.Add(1)
+			b.permitRequests.Add(1)
 			return peer.CapPermitReply{Granted: b.granted.Load(), Wait: 3 * time.Second}, nil
 		},
 	})
@@ -37,7 +37,7 @@
 	for _, name := range []string{"plain-0", "plain-1"} {
 		b.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
 	}
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if err := s.BeforeSend(); err != nil {
 			return nil, err
 		}
@@ -45,7 +45,7 @@
 		return reply("answer"), nil
 	}
 	// The relay looks each second which nodes there are.
-	for end := time.Now().Add(20 * time.Second); b.asked.Load() == 0; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); b.permitRequests.Load() == 0; time.Sleep(50 * time.Millisecond) {
 		must.True(t, time.Now().Before(end))
 		b.serve("/get/one")
 	}
@@ -55,17 +55,17 @@
 
 // A request that only another node may let through is sent once that node grants it, and refused with when to come back
 // while it does not; what was denied is not asked again before its turn.
-func TestARequestIsSentWithThePermitOfAnotherNode(t *testing.T) {
+func TestRequestIsSentWithPermitOfAnotherNode(t *testing.T) {
 	t.Parallel()
-	b := newPermitBed(t)
+	b := newPermitHarness(t)
 	refusal := b.serve("/get/one").Refusal
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.EndpointsCapped, refusal.Reason)
 	must.EqOp(t, model.NotRun, refusal.Verdict)
 	must.Between(t, time.Second, refusal.RetryAfter, 4*time.Second)
-	asked := b.asked.Load()
+	asked := b.permitRequests.Load()
 	must.NotNil(t, b.serve("/get/one").Refusal)
-	must.EqOp(t, asked, b.asked.Load())
+	must.EqOp(t, asked, b.permitRequests.Load())
 	must.SliceEmpty(t, b.sent)
 
 	b.granted.Store(true)
@@ -76,14 +76,14 @@
 
 // A permit counts for a moment only: a request whose connection took longer to open is not sent with it. Guards against
 // sends that arrive together with those of the node that granted them.
-func TestAPermitThatIsTooOldIsNotUsed(t *testing.T) {
+func TestExpiredPermitIsNotUsed(t *testing.T) {
 	t.Parallel()
-	b := newPermitBed(t)
+	b := newPermitHarness(t)
 	b.granted.Store(true)
 	time.Sleep(3 * time.Second)
 	late := 0
-	forward := b.wire.Forward
-	b.wire.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
+	forward := b.deps.Forward
+	b.deps.Forward = func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) {
 		late++
 		time.Sleep(kernel.PermitLifetime)
 		return forward(ctx, s)
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// fallbackFirstEvent stands in for the time to a stream's first event while too few were
+	// defaultFirstEventTime stands in for the time to a stream's first event while too few were
 	// seen: a long prompt read beside others.
-	fallbackFirstEvent = 300 * time.Millisecond
-	firstEventQuantile = 0.7
+	defaultFirstEventTime = 300 * time.Millisecond
+	firstEventQuantile    = 0.7
 )
 
 type (
@@ -25,18 +25,18 @@
 		budget *kernel.FleetRetryBudget
 		// states is by the incarnations of endpoints.
 		states map[string]*endpointState
-		// firstEvent is the time until a stream's first event.
+		// handleFirstEvent is the time until a stream's first event.
 		firstEvent kernel.Quantiles
 	}
 
 	endpointState struct {
 		inFlight int
 		// reading is how many prompt tokens of requests without a first event it has.
-		reading int
-		load    model.Load
-		loadAt  time.Time
-		health  kernel.Health
-		gate    gateState
+		pendingPrefillTokens int
+		load                 model.Load
+		loadAt               time.Time
+		health               kernel.Health
+		gate                 sendState
 	}
 
 	// choice is an endpoint chosen for one send, counted as in flight.
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.Budget, r.startedAt), states: map[string]*endpointState{}}
+		p = &pool{name: name, budget: kernel.NewFleetRetryBudget(r.options.RetryLimits, r.startedAt), states: map[string]*endpointState{}}
 		r.pools[name] = p
 	}
 	return p
@@ -69,7 +69,7 @@
 
 // candidates returns the listed endpoints with what is known of them, but for those that this node may not send to now,
 // and forgets those that are gone.
-func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate gate) []kernel.Candidate {
+func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate sendLimits) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(listed))
 	for _, e := range listed {
 		s := p.state(e.Incarnation())
@@ -89,7 +89,7 @@
 }
 
 // pick chooses one of the listed endpoints for a unary request and counts it as in flight.
-func (p *pool) pick(now time.Time, listed []model.Endpoint, gate gate, domain string, excluded []string) (choice, bool) {
+func (p *pool) pick(now time.Time, listed []model.Endpoint, gate sendLimits, domain string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
@@ -97,33 +97,33 @@
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.take(now, gate, usable[i], 0), true
+	return p.reserve(now, gate, usable[i], 0), true
 }
 
 // pickEngine chooses one of the listed engines for a prompt and counts it as in flight.
-func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate gate, prompt model.Prompt, key string, excluded []string) (choice, bool) {
+func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate sendLimits, prompt model.Prompt, key string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
 	choices := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
-		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).reading})
+		choices = append(choices, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).pendingPrefillTokens})
 	}
 	i := kernel.PickEngine(now, choices, key)
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.take(now, gate, usable[i], prompt.TokensIn), true
+	return p.reserve(now, gate, usable[i], prompt.TokensIn), true
 }
 
-func (p *pool) take(now time.Time, gate gate, c kernel.Candidate, reading int) choice {
+func (p *pool) reserve(now time.Time, gate sendLimits, c kernel.Candidate, reading int) choice {
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
 		s.gate.sentAt = now
 	}
 	s.inFlight++
-	s.reading += reading
+	s.pendingPrefillTokens += reading
 	if c.Health.Ejected() {
 		s.health = s.health.WithProbe()
 	}
@@ -131,14 +131,14 @@
 }
 
 // permitted notes that an endpoint is sent to with another node's permit.
-func (p *pool) permitted(now time.Time, incarnation string) {
+func (p *pool) recordPermittedSend(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).gate.sentAt = now
 }
 
 // permit has it decided whether another node may send to an endpoint in this one's place.
-func (p *pool) permit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
+func (p *pool) grantPermit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
@@ -149,8 +149,8 @@
 	return granted, wait
 }
 
-// sentAt returns when something was last sent to an endpoint.
-func (p *pool) sentAt(incarnation string) time.Time {
+// lastSentAt returns when something was last sent to an endpoint.
+func (p *pool) lastSentAt(incarnation string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.states[incarnation]; s != nil {
@@ -159,36 +159,36 @@
 	return time.Time{}
 }
 
-// readPrompt notes that an engine has read a prompt.
-func (p *pool) readPrompt(incarnation string, tokens int, took time.Duration) {
+// recordFirstEvent notes that an engine has read a prompt.
+func (p *pool) recordFirstEvent(incarnation string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).reading -= tokens
+	p.state(incarnation).pendingPrefillTokens -= tokens
 	p.firstEvent.Observe(took)
 }
 
-// dropPrompt notes that a prompt will not be read.
-func (p *pool) dropPrompt(incarnation string, tokens int) {
+// dropPendingPrefill notes that a prompt will not be read.
+func (p *pool) dropPendingPrefill(incarnation string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).reading -= tokens
+	p.state(incarnation).pendingPrefillTokens -= tokens
 }
 
 // leave counts a request as no longer in flight.
-func (p *pool) leave(incarnation string) {
+func (p *pool) release(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).inFlight--
 }
 
-func (p *pool) succeeded(incarnation string) {
+func (p *pool) recordSuccess(incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithSuccess()
 }
 
-func (p *pool) failed(now time.Time, incarnation string) {
+func (p *pool) recordFailure(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
@@ -196,14 +196,14 @@
 }
 
 // unreachable notes that an endpoint could not be connected to.
-func (p *pool) unreachable(now time.Time, incarnation string) {
+func (p *pool) recordUnreachable(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
 	s.health = s.health.WithUnreachable(now)
 }
 
-func (p *pool) reported(now time.Time, incarnation string, load *model.Load) {
+func (p *pool) recordLoad(now time.Time, incarnation string, load *model.Load) {
 	if load == nil {
 		return
 	}
@@ -214,20 +214,20 @@
 	s.loadAt = now
 }
 
-func (p *pool) request(now time.Time) {
+func (p *pool) recordRequest(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.Request(now)
+	p.budget.CountRequest(now)
 }
 
-func (p *pool) takeRepeat(now time.Time, nodes int) bool {
+func (p *pool) takeRetry(now time.Time, nodes int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.TakeRetry(now, nodes)
 }
 
-func (p *pool) expectFirstEvent() time.Duration {
+func (p *pool) estimateFirstEventTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.firstEvent.Quantile(firstEventQuantile, fallbackFirstEvent)
+	return p.firstEvent.Quantile(firstEventQuantile, defaultFirstEventTime)
 }
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// quickProbe is how long a node may take to say that it is there when a batcher was lost: many
+	// quickProbeTimeout is how long a node may take to say that it is there when a batcher was lost: many
 	// round trips between hosts.
-	quickProbe = 100 * time.Millisecond
-	// probedAtOnce is how many nodes are asked at once. With three of five nodes lost at one moment,
+	quickProbeTimeout = 100 * time.Millisecond
+	// maxParallelProbes is how many nodes are asked at once. With three of five nodes lost at one moment,
 	// one of these answers nine times in ten; asked one after the other, a request would wait for the
 	// silence of each.
-	probedAtOnce = 5
+	maxParallelProbes = 5
 )
 
-var errNoProbe = errors.New("relay: no answer to a probe")
+var errProbeUnanswered = errors.New("relay: no answer to a probe")
 
-// answeringBatcher returns the first node for a pool that answers at once, of those that were not passed
+// probeForBatcher returns the first node for a pool that answers at once, of those that were not passed
 // over; this node where none does.
-func (r *Relay) answeringBatcher(ctx context.Context, g *batcher, passedOver []string) string {
+func (r *Relay) probeForBatcher(ctx context.Context, g *batcher, passedOver []string) string {
 	if known := g.knownBatcher(passedOver); known != "" || !r.options.Policy.Uses(kernel.ProbeSuccessors) {
-		return r.batcherOf(g, passedOver)
+		return r.selectBatcher(g, passedOver)
 	}
-	candidates := slices.DeleteFunc(kernel.NodesByHash(g.name, g.peers(r.Reachable())), func(node string) bool { return slices.Contains(passedOver, node) })
-	candidates = candidates[:min(probedAtOnce, len(candidates))]
+	candidates := slices.DeleteFunc(kernel.NodesByHash(g.queueName, g.eligiblePeers(r.Reachable())), func(node string) bool { return slices.Contains(passedOver, node) })
+	candidates = candidates[:min(maxParallelProbes, len(candidates))]
 	there := r.probeAll(ctx, candidates)
 	for i, node := range candidates {
 		if there[i] {
@@ -44,7 +44,7 @@
 // probeAll tells which of several nodes answer at once and are not leaving. Those that do not answer are
 // suspected.
 func (r *Relay) probeAll(ctx context.Context, nodes []string) []bool {
-	ctx, cancel := context.WithTimeout(ctx, quickProbe)
+	ctx, cancel := context.WithTimeout(ctx, quickProbeTimeout)
 	defer cancel()
 	there := make([]bool, len(nodes))
 	var asked sync.WaitGroup
@@ -58,7 +58,7 @@
 			err := r.peers.Call(ctx, r.addressOf(node), peer.KindProbe, peer.Empty{}, &reply)
 			there[i] = err == nil && !reply.Leaving
 			if err != nil {
-				r.Suspect(node, errNoProbe)
+				r.Suspect(node, errProbeUnanswered)
 			}
 		})
 	}
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -18,9 +18,9 @@
 
 // A process may end and be back without a word on its connections: the list alone says that another start of it is
 // there. What was under way is counted as at any other end.
-func TestCallsToAFormerIncarnationCountAgainstTheirRequest(t *testing.T) {
-	b := newBed(t)
-	b.wire.Forward = func(ctx context.Context, _ relay.Send) (*model.ForwardReply, error) {
+func TestCallsToFormerIncarnationCountAsCrash(t *testing.T) {
+	b := newTestBed(t)
+	b.deps.Forward = func(ctx context.Context, _ relay.Send) (*model.ForwardReply, error) {
 		<-ctx.Done()
 		return nil, &endpoint.Fault{Kind: endpoint.Silent, Verdict: model.MayHaveRun, Err: context.Cause(ctx)}
 	}
@@ -30,7 +30,7 @@
 		registry = registry.WithChanges(now, now, []model.Endpoint{
 			{Name: "plain-0", Started: time.UnixMilli(starts), Address: "a", Pool: "plain", State: model.Live},
 		}, nil, nil)
-		b.relay.ChangeRegistry(func(kernel.Registry) kernel.Registry { return registry })
+		b.relay.UpdateRegistry(func(kernel.Registry) kernel.Registry { return registry })
 		ended := make(chan relay.Outcome, 1)
 		go func() { ended <- b.serve("/get/same") }()
 		select {
@@ -45,20 +45,20 @@
 }
 
 // What an endpoint cuts as it leaves was announced, and says nothing of the requests.
-func TestAnEndpointThatLeavesIsNotEndedByItsRequests(t *testing.T) {
-	b := newBed(t)
+func TestConnectionCutByLeavingEndpointIsNoCrash(t *testing.T) {
+	b := newTestBed(t)
 	var leave func()
-	b.wire.Forward = func(context.Context, relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(context.Context, relay.Send) (*model.ForwardReply, error) {
 		leave()
 		return nil, &endpoint.Fault{Kind: endpoint.Cut, Verdict: model.MayHaveRun, Err: io.ErrUnexpectedEOF}
 	}
-	b.wire.Connect = func(context.Context, string) error { return syscall.ECONNREFUSED }
+	b.deps.Connect = func(context.Context, string) error { return syscall.ECONNREFUSED }
 	registry := kernel.NewRegistry()
 	for i := range 2 * kernel.CrashThreshold {
 		now := time.Now()
 		e := model.Endpoint{Name: fmt.Sprint("plain-", i), Address: "a", Pool: "plain", State: model.Live}
 		registry = registry.WithChanges(now, now, []model.Endpoint{e}, nil, nil)
-		b.relay.ChangeRegistry(func(kernel.Registry) kernel.Registry { return registry })
+		b.relay.UpdateRegistry(func(kernel.Registry) kernel.Registry { return registry })
 		leave = func() {
 			e.State = model.Leaving
 			removed := []string{e.Name}
@@ -66,7 +66,7 @@
 				removed = nil
 			}
 			registry = registry.WithChanges(now, now, []model.Endpoint{e}, nil, nil).WithChanges(now, now, nil, removed, nil)
-			b.relay.ChangeRegistry(func(kernel.Registry) kernel.Registry { return registry })
+			b.relay.UpdateRegistry(func(kernel.Registry) kernel.Registry { return registry })
 		}
 		outcome := b.serve("/get/same")
 		must.EqOp(t, model.StageFailed, outcome.Refusal.Reason)
--- a/relay/ratecaps_test.go
+++ b/relay/ratecaps_test.go
@@ -13,11 +13,11 @@
 
 // An endpoint may be chosen for a request, and be known to state a rate cap by the time that a connection to it is open. The
 // request goes elsewhere, and that is no repeat.
-func TestARequestWhoseEndpointStatesARateCapBeforeItIsSent(t *testing.T) {
-	b := newBed(t)
+func TestRequestMovesOnIfRateCapArrivesBeforeSend(t *testing.T) {
+	b := newTestBed(t)
 	var sent []string
 	capped := ""
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		if capped == "" {
 			capped = s.Endpoint.Name
 			b.relay.SetRateCap(s.Endpoint.Incarnation(), model.NewRateCap(1))
@@ -35,14 +35,14 @@
 
 // The trial of a request that is held back is a send like any other: it goes to no endpoint beyond its rate cap, and is
 // still there once an endpoint takes it. Guards against a trial that passes the caps by.
-func TestATrialKeepsWithinRateCaps(t *testing.T) {
-	b := newBed(t)
+func TestTrialObeysRateCaps(t *testing.T) {
+	b := newTestBed(t)
 	var sent []string
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		sent = append(sent, s.Endpoint.Name)
 		return reply("answer"), nil
 	}
-	b.relay.SetHeldBack(kernel.QuarantineChange{Hold: []kernel.HeldRequest{{Digest: model.NewDigest("", "h", "/get/one", ""), Pool: "plain"}}})
+	b.relay.ApplyQuarantineChange(kernel.QuarantineChange{Hold: []kernel.HeldRequest{{Digest: model.NewDigest("", "h", "/get/one", ""), Pool: "plain"}}})
 	for _, name := range []string{"plain-0", "plain-1"} {
 		b.relay.SetRateCap(model.Endpoint{Name: name}.Incarnation(), model.NewRateCap(1))
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -20,58 +20,58 @@
 )
 
 const (
-	// sweepEvery is how often idle connections and what waits too long are looked over.
-	sweepEvery = 200 * time.Millisecond
-	// peerSilence is after which time a node that does not answer is held lost, with the pieces that
+	// sweepInterval is how often idle connections and what waits too long are looked over.
+	sweepInterval = 200 * time.Millisecond
+	// peerSilenceTimeout is after which time a node that does not answer is held lost, with the pieces that
 	// wait for it: several times what a collection of garbage or a used-up processor quota takes, and
 	// a third of the slack of a usual objective.
-	peerSilence = 600 * time.Millisecond
+	peerSilenceTimeout = 600 * time.Millisecond
 )
 
 type (
 	// Relay serves callers' requests. It is safe for concurrent use.
 	Relay struct {
 		options Options
-		wire    Wire
+		deps    Dependencies
 		now     func() time.Time
 		// startedAt is when the node started.
 		startedAt time.Time
 		log       zerolog.Logger
-		// answers and lateAnswers are samples of log.
-		answers     zerolog.Logger
-		lateAnswers zerolog.Logger
-		metrics     *metric.Set
-		peers       *peer.Client
+		// answers and lateAnswersLog are samples of log.
+		answersLog     zerolog.Logger
+		lateAnswersLog zerolog.Logger
+		metrics        *metric.Set
+		peers          *peer.Client
 
-		// registryChange is held while the registry changes: several tables of the store bear on it.
-		registryChange sync.Mutex
+		// registryMu is held while the registry changes: several tables of the store bear on it.
+		registryMu sync.Mutex
 
 		mu       sync.Mutex
 		view     atomic.Pointer[kernel.RoutingView]
 		registry atomic.Pointer[kernel.Registry]
 		nodes    atomic.Pointer[[]Node]
-		// knowsNodes is true once it was told which nodes there are.
-		knowsNodes atomic.Bool
+		// nodesKnown is true once it was told which nodes there are.
+		nodesKnown atomic.Bool
 		pools      map[string]*pool
-		hub        *hub
+		batchers   *batcherSet
 		// suspects are nodes that did not answer; remote holds other nodes' groups here.
-		suspects *suspects
-		remote   *remoteGroups
+		suspects     *suspects
+		remoteGroups *remoteGroups
 		// incarnations ends the calls to endpoints that have started again.
-		incarnations *incarnations
+		activeCalls *callTracker
 		// returning holds the refused requests of the pools that this node batches for.
-		returning *returning
+		refusedRequests *refusedRequests
 		// quarantine holds back the requests that end the endpoints that run them.
 		quarantine *quarantine.Coordinator
 		// rateCaps holds the endpoints that bound what they take.
 		rateCaps *ratecap.Limiter
 
-		// goneAt is when a leaving node will be gone; nil while it is not leaving.
-		goneAt   atomic.Pointer[time.Time]
-		inFlight atomic.Int64
-		groups   atomic.Uint64
-		ctx      context.Context
-		cancel   context.CancelFunc
+		// stopsAt is when a leaving node will be gone; nil while it is not leaving.
+		stopsAt     atomic.Pointer[time.Time]
+		inFlight    atomic.Int64
+		lastGroupID atomic.Uint64
+		ctx         context.Context
+		cancel      context.CancelFunc
 	}
 
 	// Node is another node, or this one, as a batcher of pieces.
@@ -87,27 +87,27 @@
 
 // NewRelay returns a relay that knows no routing and no endpoint yet. The clock must count the
 // time in which the process was suspended.
-func NewRelay(options Options, wire Wire, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Relay {
+func NewRelay(options Options, wire Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Relay {
 	r := &Relay{
-		options:     options,
-		wire:        wire,
-		now:         now,
-		startedAt:   now(),
-		log:         log,
-		answers:     sampled(log, answersBurst),
-		lateAnswers: sampled(log, lateBurst),
-		metrics:     metrics,
-		peers:       peer.NewClient(options.Name, ""),
-		pools:       map[string]*pool{},
+		options:        options,
+		deps:           wire,
+		now:            now,
+		startedAt:      now(),
+		log:            log,
+		answersLog:     sampled(log, answerLogBurst),
+		lateAnswersLog: sampled(log, lateAnswerLogBurst),
+		metrics:        metrics,
+		peers:          peer.NewClient(options.Name, ""),
+		pools:          map[string]*pool{},
 	}
-	r.peers.SetSilence(peerSilence)
+	r.peers.SetSilence(peerSilenceTimeout)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	r.hub = newHub(r)
-	r.remote = newRemoteGroups()
-	r.incarnations = newIncarnations()
-	r.returning = newReturning()
+	r.batchers = newBatcherSet(r)
+	r.remoteGroups = newRemoteGroups()
+	r.activeCalls = newCallTracker()
+	r.refusedRequests = newRefusedRequests()
 	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
-		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.HoldBack,
+		Peers: r.Reachable, Call: r.callNode, Connect: wire.Connect, Store: wire.StoreQuarantine,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
 	metrics.Gauge("endpoints_with_rate_cap", func() float64 { return float64(r.rateCaps.Len()) })
@@ -118,14 +118,14 @@
 	r.registry.Store(&registry)
 	r.view.Store(&kernel.RoutingView{})
 	r.nodes.Store(&[]Node{})
-	r.rateCaps = r.newRateCaps()
+	r.rateCaps = r.newRateCapLimiter()
 	go func() {
-		ticker := time.NewTicker(sweepEvery)
+		ticker := time.NewTicker(sweepInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				r.hub.expire()
+				r.batchers.expireGroups()
 			case <-r.ctx.Done():
 				return
 			}
@@ -143,12 +143,12 @@
 // Leave makes the relay batch no more pieces for other nodes and take no more requests that
 // might not end before a time.
 func (r *Relay) Leave(gone time.Time) {
-	r.goneAt.Store(&gone)
+	r.stopsAt.Store(&gone)
 }
 
 // Leaving tells whether callers are to open their next connection elsewhere.
 func (r *Relay) Leaving() bool {
-	return r.goneAt.Load() != nil
+	return r.stopsAt.Load() != nil
 }
 
 // Ready tells whether callers should open new connections here, and why not.
@@ -161,7 +161,7 @@
 		return false, "no routing yet"
 	case r.Registry().Len() == 0:
 		return false, "no endpoints yet"
-	case r.options.KeyTrust > 0 && !view.Fresh(r.now(), r.options.KeyTrust):
+	case r.options.MaxRoutingAge > 0 && !view.Fresh(r.now(), r.options.MaxRoutingAge):
 		return false, "the routing is too old"
 	default:
 		return true, ""
@@ -196,31 +196,31 @@
 	}
 	r.metrics.Event("RoutingChanged")
 	r.log.Info().Uint64("Version", view.Table.Version()).Uint64("Before", old.Table.Version()).Msg("routing in force")
-	r.hub.setTraits(view.Table)
-	r.hub.setEndpoints(r.Registry())
+	r.batchers.applyRouting(view.Table)
+	r.batchers.setEndpoints(r.Registry())
 }
 
-// ChangeRegistry takes over what is newly known of endpoints.
-func (r *Relay) ChangeRegistry(change func(before kernel.Registry) kernel.Registry) {
-	r.registryChange.Lock()
-	defer r.registryChange.Unlock()
+// UpdateRegistry takes over what is newly known of endpoints.
+func (r *Relay) UpdateRegistry(change func(before kernel.Registry) kernel.Registry) {
+	r.registryMu.Lock()
+	defer r.registryMu.Unlock()
 	before := *r.registry.Load()
 	registry := change(before)
 	r.registry.Store(&registry)
 	changes := registry.Changes(before)
-	r.logRegistry(changes)
-	r.hub.setEndpoints(registry)
-	r.endFormerIncarnations(changes)
+	r.logRegistryChanges(changes)
+	r.batchers.setEndpoints(registry)
+	r.cancelStaleCalls(changes)
 	r.quarantine.ApplyEndpointList(registry.Endpoints)
 }
 
-// SetEvacuations takes over which failure domains are evacuated, and which no longer.
-func (r *Relay) SetEvacuations(change kernel.EvacuationChange) {
+// ApplyEvacuationChange takes over which failure domains are evacuated, and which no longer.
+func (r *Relay) ApplyEvacuationChange(change kernel.EvacuationChange) {
 	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
 	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
 		return
 	}
-	r.ChangeRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
+	r.UpdateRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
 	for _, domain := range news.Evacuated {
 		r.metrics.Event("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
@@ -231,8 +231,8 @@
 	}
 }
 
-// SetHeldBack takes over which requests the store says are held back, and which no longer.
-func (r *Relay) SetHeldBack(change kernel.QuarantineChange) {
+// ApplyQuarantineChange takes over which requests the store says are held back, and which no longer.
+func (r *Relay) ApplyQuarantineChange(change kernel.QuarantineChange) {
 	r.quarantine.ApplyChange(change)
 }
 
@@ -242,37 +242,37 @@
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	view := r.View()
-	admission, refusal := kernel.Admit(r.now(), view, r.options.KeyTrust, f)
-	if gone := r.goneAt.Load(); refusal == nil && gone != nil {
+	admission, refusal := kernel.Admit(r.now(), view, r.options.MaxRoutingAge, f)
+	if gone := r.stopsAt.Load(); refusal == nil && gone != nil {
 		refusal = kernel.AdmitWhileLeaving(r.now(), *gone, admission.Route)
 	}
 	if refusal == nil {
 		refusal = kernel.AdmitPools(r.Registry(), f, admission)
 	}
 	if refusal == nil {
-		refusal = r.refusesCapped(admission)
+		refusal = r.admitRateCaps(admission)
 	}
 	if refusal != nil {
-		return r.refuseAtTheDoor(f, admission, view, refusal)
+		return r.refuseUnstarted(f, admission, view, refusal)
 	}
 	f = f.WithDigest(model.NewDigest(admission.Customer, f.Host, f.URI, string(f.Body)))
 	trial, refusal := r.quarantine.Admit(ctx, f.Digest)
 	if refusal != nil {
-		return r.refuseAtTheDoor(f, admission, view, refusal)
+		return r.refuseUnstarted(f, admission, view, refusal)
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, admission.Deadline.Sub(r.now()), context.DeadlineExceeded)
 	defer cancel()
-	job := &job{relay: r, forward: f, admission: admission, out: out, began: r.now(), trial: trial}
+	job := &job{relay: r, forward: f, admission: admission, responder: out, startedAt: r.now(), trial: trial}
 	var outcome Outcome
 	if admission.Route.Kind == model.Stream {
-		outcome = job.stream(ctx)
+		outcome = job.serveStream(ctx)
 	} else {
-		outcome = job.unary(ctx)
+		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stages
+	outcome.Stages = job.stageTimes
 	f = job.forward
-	outcome.Late = f.Waited+outcome.First > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stages) == 0 {
+	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
@@ -280,9 +280,9 @@
 		r.metrics.Refused(outcome.Refusal)
 		r.metrics.RefusedAfter(outcome.Refusal, r.now().Sub(f.ReceivedAt))
 		if outcome.Refusal.Verdict == model.NotRun && outcome.Refusal.RetryAfter > 0 {
-			r.noteRefused(job.forward, admission)
+			r.recordRefused(job.forward, admission)
 		}
-	case !outcome.Whole:
+	case !outcome.Complete:
 		r.metrics.Event("AnswerBrokenOff")
 	default:
 		r.quarantine.RecordAnswer(f.Digest)
@@ -291,14 +291,14 @@
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
 		r.quarantine.CancelTrial(f.Digest)
 	}
-	r.logEnd(f, admission, view, outcome)
+	r.logOutcome(f, admission, view, outcome)
 	return outcome
 }
 
-// refuseAtTheDoor ends a request for which nothing was begun.
-func (r *Relay) refuseAtTheDoor(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
+// refuseUnstarted ends a request for which nothing was begun.
+func (r *Relay) refuseUnstarted(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
 	r.metrics.Refused(refusal)
 	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
-	r.logEnd(f, a, view, Outcome{Refusal: refusal})
+	r.logOutcome(f, a, view, Outcome{Refusal: refusal})
 	return Outcome{Refusal: refusal}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,21 +21,21 @@
 )
 
 // bed is a relay whose endpoints are functions.
-type bed struct {
+type testBed struct {
 	relay *relay.Relay
-	wire  relay.Wire
+	deps  relay.Dependencies
 	body  strings.Builder
 	freed chan []string
 	// version is the routing's.
-	version uint64
+	routingVersion uint64
 	// clock is the relay's made-up time in nanoseconds since 1970; 0 while it goes by the time of the machine.
-	clock atomic.Int64
+	fakeNow atomic.Int64
 }
 
-func newBed(t *testing.T) *bed {
+func newTestBed(t *testing.T) *testBed {
 	t.Helper()
-	b := &bed{freed: make(chan []string, 16)}
-	b.wire = relay.Wire{
+	b := &testBed{freed: make(chan []string, 16)}
+	b.deps = relay.Dependencies{
 		Forward: func(context.Context, relay.Send) (*model.ForwardReply, error) {
 			return reply("id: 1\ndata: x\n\n"), nil
 		},
@@ -46,28 +46,28 @@
 			}
 			return out, nil
 		},
-		Free: func(_ context.Context, _ model.Endpoint, handles []string) error {
+		FreeResults: func(_ context.Context, _ model.Endpoint, handles []string) error {
 			b.freed <- handles
 			return nil
 		},
-		Room:    func(context.Context, model.Endpoint) (int64, error) { return 18_000_000, nil },
-		Connect: func(context.Context, string) error { return nil },
+		FreeRoom: func(context.Context, model.Endpoint) (int64, error) { return 18_000_000, nil },
+		Connect:  func(context.Context, string) error { return nil },
 	}
-	wire := relay.Wire{
-		Forward: func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) { return b.wire.Forward(ctx, s) },
+	wire := relay.Dependencies{
+		Forward: func(ctx context.Context, s relay.Send) (*model.ForwardReply, error) { return b.deps.Forward(ctx, s) },
 		RunPieces: func(ctx context.Context, e model.Endpoint, p []model.Piece) (relay.PieceReply, error) {
-			return b.wire.RunPieces(ctx, e, p)
+			return b.deps.RunPieces(ctx, e, p)
 		},
-		Free:           b.wire.Free,
-		Room:           b.wire.Room,
-		Retire:         func(string) {},
-		Connect:        func(ctx context.Context, address string) error { return b.wire.Connect(ctx, address) },
-		HoldBack:       func(context.Context, kernel.QuarantineChange) error { return nil },
-		PublishRateCap: func(context.Context, string, model.RateCap) error { return nil },
+		FreeResults:     b.deps.FreeResults,
+		FreeRoom:        b.deps.FreeRoom,
+		CloseIdle:       func(string) {},
+		Connect:         func(ctx context.Context, address string) error { return b.deps.Connect(ctx, address) },
+		StoreQuarantine: func(context.Context, kernel.QuarantineChange) error { return nil },
+		PublishRateCap:  func(context.Context, string, model.RateCap) error { return nil },
 	}
-	options := relay.Options{Name: "node", Domain: "d", Budget: kernel.FleetRetryLimits{Ratio: 1, Slack: 100, Window: 10 * time.Second}}
+	options := relay.Options{Name: "node", Domain: "d", RetryLimits: kernel.FleetRetryLimits{Ratio: 1, Slack: 100, Window: 10 * time.Second}}
 	now := func() time.Time {
-		if madeUp := b.clock.Load(); madeUp != 0 {
+		if madeUp := b.fakeNow.Load(); madeUp != 0 {
 			return time.Unix(0, madeUp)
 		}
 		return time.Now()
@@ -83,26 +83,26 @@
 		{Name: "engine-0", Pool: "engines", State: model.Live},
 		{Name: "worker-0", Pool: "workers", State: model.Live},
 	}, nil, nil)
-	b.relay.ChangeRegistry(func(kernel.Registry) kernel.Registry { return registry })
+	b.relay.UpdateRegistry(func(kernel.Registry) kernel.Registry { return registry })
 	return b
 }
 
 // setObjective puts a routing in force whose routes have an objective; each call is the next version.
-func (b *bed) setObjective(objective time.Duration) {
+func (b *testBed) setObjective(objective time.Duration) {
 	b.setRoutes(objective)
 }
 
 // route puts a routing in force that has a route more.
-func (b *bed) route(route model.Route) {
+func (b *testBed) addRoute(route model.Route) {
 	b.setRoutes(time.Minute, route)
 }
 
-func (b *bed) setRoutes(objective time.Duration, more ...model.Route) {
-	b.version++
+func (b *testBed) setRoutes(objective time.Duration, more ...model.Route) {
+	b.routingVersion++
 	now := time.Now()
 	stages := []model.StageNode{{Pool: "workers", ResultBytes: 1000}}
 	b.relay.SetRouting(now, kernel.NewRouteTable(model.Routing{
-		Version: b.version,
+		Version: b.routingVersion,
 		Routes: append(more, []model.Route{
 			{Name: "get", Host: "h", Prefix: "/get/", Kind: model.Safe, Timeout: time.Minute, Objective: objective, MaxAttempts: 2, Split: []model.WeightedPool{{Pool: "plain"}}},
 			{Name: "gen", Host: "h", Prefix: "/gen/", Kind: model.Stream, Timeout: time.Minute, Objective: objective, MaxAttempts: 1, Split: []model.WeightedPool{{Pool: "engines"}}, Stages: stages},
@@ -117,7 +117,7 @@
 	return &model.ForwardReply{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader(body), Authentic: true, Close: func() {}}
 }
 
-func (b *bed) serve(path string, pieces ...int) relay.Outcome {
+func (b *testBed) serve(path string, pieces ...int) relay.Outcome {
 	f := model.Forward{ID: "id", Method: "POST", URI: path, Path: path, Host: "h", ReceivedAt: time.Now(), Pieces: pieces}
 	return b.relay.Serve(context.Background(), f, relay.Responder{
 		Begin: func(int, http.Header) {},
@@ -125,40 +125,40 @@
 	})
 }
 
-func TestAPanicCostsOneRequest(t *testing.T) {
-	b := newBed(t)
-	forward := b.wire.Forward
-	b.wire.Forward = func(context.Context, relay.Send) (*model.ForwardReply, error) { panic("forward") }
+func TestPanicFailsOnlyItsRequest(t *testing.T) {
+	b := newTestBed(t)
+	forward := b.deps.Forward
+	b.deps.Forward = func(context.Context, relay.Send) (*model.ForwardReply, error) { panic("forward") }
 	outcome := b.serve("/get/1")
 	must.NotNil(t, outcome.Refusal)
 	must.Eq(t, model.MayHaveRun, outcome.Refusal.Verdict)
-	b.wire.Forward = forward
+	b.deps.Forward = forward
 
-	run := b.wire.RunPieces
-	b.wire.RunPieces = func(context.Context, model.Endpoint, []model.Piece) (relay.PieceReply, error) { panic("pieces") }
+	run := b.deps.RunPieces
+	b.deps.RunPieces = func(context.Context, model.Endpoint, []model.Piece) (relay.PieceReply, error) { panic("pieces") }
 	outcome = b.serve("/gen/1", 2)
 	must.NotNil(t, outcome.Refusal)
 	must.Eq(t, model.NotRun, outcome.Refusal.Verdict)
-	b.wire.RunPieces = run
-	must.True(t, b.serve("/get/2").Whole)
+	b.deps.RunPieces = run
+	must.True(t, b.serve("/get/2").Complete)
 }
 
-func TestResultsAreFreedWhateverBecomesOfTheRequest(t *testing.T) {
+func TestResultsAreFreedForEveryOutcome(t *testing.T) {
 	for name, forward := range map[string]func(context.Context, relay.Send) (*model.ForwardReply, error){
 		"answered":   func(context.Context, relay.Send) (*model.ForwardReply, error) { return reply("id: 1\n\n"), nil },
 		"failed":     func(context.Context, relay.Send) (*model.ForwardReply, error) { return nil, errors.New("broken") },
 		"broken off": func(context.Context, relay.Send) (*model.ForwardReply, error) { return reply("id: 1\n\nid"), nil },
 		"cut": func(context.Context, relay.Send) (*model.ForwardReply, error) {
 			r := reply("")
-			r.Body = io.MultiReader(strings.NewReader("id: 1\n\n"), &broken{})
+			r.Body = io.MultiReader(strings.NewReader("id: 1\n\n"), &brokenReader{})
 			return r, nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.wire.Forward = forward
+			b := newTestBed(t)
+			b.deps.Forward = forward
 			outcome := b.serve("/gen/1", 1)
-			must.Eq(t, name == "answered", outcome.Whole)
+			must.Eq(t, name == "answered", outcome.Complete)
 			must.Len(t, 1, <-b.freed)
 		})
 	}
@@ -166,17 +166,17 @@
 
 // A pool may be handed over to a node that can't be reached from here. Groups that were to move there are
 // refused, and no engine gets a request without its inputs.
-func TestAGroupThatCannotMoveIsRefused(t *testing.T) {
-	b := newBed(t)
+func TestGroupIsRefusedIfNextBatcherIsUnreachable(t *testing.T) {
+	b := newTestBed(t)
 	started, proceed := make(chan struct{}, 8), make(chan struct{})
-	run := b.wire.RunPieces
-	b.wire.RunPieces = func(ctx context.Context, e model.Endpoint, pieces []model.Piece) (relay.PieceReply, error) {
+	run := b.deps.RunPieces
+	b.deps.RunPieces = func(ctx context.Context, e model.Endpoint, pieces []model.Piece) (relay.PieceReply, error) {
 		started <- struct{}{}
 		<-proceed
 		return run(ctx, e, pieces)
 	}
 	inputs := make(chan int, 8)
-	b.wire.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
+	b.deps.Forward = func(_ context.Context, s relay.Send) (*model.ForwardReply, error) {
 		inputs <- len(s.Inputs)
 		return reply("id: 1\n\n"), nil
 	}
@@ -199,15 +199,15 @@
 	must.NotNil(t, refused.Refusal)
 	must.EqOp(t, model.NotRun, refused.Refusal.Verdict)
 	close(proceed)
-	must.True(t, (<-first).Whole, must.Sprint("what was under way is brought to its end"))
+	must.True(t, (<-first).Complete, must.Sprint("what was under way is brought to its end"))
 	must.EqOp(t, 1, <-inputs)
 	must.EqOp(t, 0, len(inputs))
 }
 
 // A batcher may answer late because a call takes long. Only silence says that it is lost: taken for lost,
 // another node would batch beside it.
-func TestAGroupThatIsLateAccusesNobody(t *testing.T) {
-	b := newBed(t)
+func TestLateGroupDoesNotSuspectBatcher(t *testing.T) {
+	b := newTestBed(t)
 	batcher, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
 	defer batcher.Close()
@@ -229,11 +229,11 @@
 // Seen: a request waited for its pieces until its caller left, though they could long no longer be on time and
 // nothing told the caller. How: the batcher ended such pieces by the request's deadline alone. Proved by the
 // batcher's queue as the caller left. The endpoint here never comes free, and the request has a minute.
-func TestARequestWhosePiecesStarveIsRefused(t *testing.T) {
-	b := newBed(t)
+func TestRequestWithStarvedPiecesIsRefused(t *testing.T) {
+	b := newTestBed(t)
 	started, over := make(chan struct{}, 1), make(chan struct{})
 	defer close(over)
-	b.wire.RunPieces = func(context.Context, model.Endpoint, []model.Piece) (relay.PieceReply, error) {
+	b.deps.RunPieces = func(context.Context, model.Endpoint, []model.Piece) (relay.PieceReply, error) {
 		started <- struct{}{}
 		<-over
 		return relay.PieceReply{NotRun: true}, nil
@@ -253,6 +253,6 @@
 	must.EqOp(t, model.PieceStarved, outcome.Stages[0].Fault)
 }
 
-type broken struct{}
+type brokenReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/relay/resume.go
+++ b/relay/resume.go
@@ -6,13 +6,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-// streamAgain decides whether another engine is asked.
-func (j *job) streamAgain(p *pool, state *streamState, stages *stageRun, end streamEnd) bool {
+// allowStreamRetry decides whether another engine is asked.
+func (j *job) allowStreamRetry(p *pool, state *streamState, stages *stageRun, end streamResult) bool {
 	var refusal *model.Refusal
 	if errors.As(end.err, &refusal) {
 		return false
 	}
-	if stages.released || (end.reply != nil && end.reply.InputsGone) {
+	if stages.inputsReleased || (end.reply != nil && end.reply.InputsGone) {
 		// Another engine would find the inputs gone.
 		return false
 	}
@@ -21,21 +21,21 @@
 		fault := asFault(end.err)
 		reason = fault.RetryReason()
 		if fault.Verdict == model.NotRun {
-			j.asked--
+			j.attempts--
 		}
 	} else if end.reply != nil && end.reply.Misdirected {
-		j.asked--
+		j.attempts--
 	}
 	if j.mayHaveRun && !j.admission.Route.Resumable {
 		return false
 	}
-	if state.begun && state.events.last == "" {
+	if state.headerSent && state.splitter.lastID == "" {
 		return false
 	}
-	if j.asked >= j.admission.Route.MaxAttempts || !j.takeRepeat(p, end.err) {
+	if j.attempts >= j.admission.Route.MaxAttempts || !j.takeRetry(p, end.err) {
 		return false
 	}
-	if state.begun {
+	if state.headerSent {
 		reason = model.RetryResume
 	}
 	j.relay.metrics.Retried(reason, p.name)
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -13,38 +13,38 @@
 // returning guards a kernel.Returning, which one node holds for each pool of stages: its batcher,
 // whom all nodes talk to anyway. It is soft state: with the batcher lost, callers that come back
 // count as new ones.
-type returning struct {
-	mu     sync.Mutex
-	memory *kernel.RefusedRequests
+type refusedRequests struct {
+	mu       sync.Mutex
+	requests *kernel.RefusedRequests
 }
 
-func newReturning() *returning {
-	return &returning{memory: kernel.NewRefusedRequests()}
+func newRefusedRequests() *refusedRequests {
+	return &refusedRequests{requests: kernel.NewRefusedRequests()}
 }
 
-func (m *returning) refused(now time.Time, identity string, waited time.Duration) {
+func (m *refusedRequests) add(now time.Time, identity string, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.memory.Add(now, identity, waited)
+	m.requests.Add(now, identity, waited)
 }
 
-func (m *returning) waited(now time.Time, identity string) time.Duration {
+func (m *refusedRequests) takeWaited(now time.Time, identity string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.memory.TakeWaited(now, identity)
+	return m.requests.TakeWaited(now, identity)
 }
 
-// waitedBefore returns how long the caller of a request has waited since its first attempt.
-func (r *Relay) waitedBefore(ctx context.Context, f model.Forward, a kernel.Admission) time.Duration {
+// previousWait returns how long the caller of a request has waited since its first attempt.
+func (r *Relay) previousWait(ctx context.Context, f model.Forward, a kernel.Admission) time.Duration {
 	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" {
 		return 0
 	}
-	coordinator := r.returnCoordinator(a.Route.Stages)
+	coordinator := r.refusedRequestsCoordinator(a.Route.Stages)
 	if coordinator == r.options.Name {
-		return r.returning.waited(r.now(), identity)
+		return r.refusedRequests.takeWaited(r.now(), identity)
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
 	var reply peer.ReturnReply
 	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindReturn, peer.Return{Identity: identity}, &reply) != nil {
@@ -57,21 +57,21 @@
 	return reply.Waited
 }
 
-// noteRefused tells the coordinator that a request with stages was refused and may come back.
-func (r *Relay) noteRefused(f model.Forward, a kernel.Admission) {
+// recordRefused tells the coordinator that a request with stages was refused and may come back.
+func (r *Relay) recordRefused(f model.Forward, a kernel.Admission) {
 	identity := kernel.RequestIdentity(a.Customer, f.Prompt)
 	if identity == "" || len(a.Route.Stages) == 0 {
 		return
 	}
 	waited := f.Waited + r.now().Sub(f.ReceivedAt)
-	coordinator := r.returnCoordinator(a.Route.Stages)
+	coordinator := r.refusedRequestsCoordinator(a.Route.Stages)
 	if coordinator == r.options.Name {
-		r.returning.refused(r.now(), identity, waited)
+		r.refusedRequests.add(r.now(), identity, waited)
 		return
 	}
 	address := r.addressOf(coordinator)
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, releaseTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
 		defer cancel()
 		var reply peer.ReturnReply
 		if r.peers.Call(ctx, address, peer.KindReturn, peer.Return{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
@@ -80,19 +80,19 @@
 	}()
 }
 
-// returnCoordinator returns the node that remembers the refused requests of a route.
-func (r *Relay) returnCoordinator(stages []model.StageNode) string {
+// refusedRequestsCoordinator returns the node that remembers the refused requests of a route.
+func (r *Relay) refusedRequestsCoordinator(stages []model.StageNode) string {
 	return kernel.NodesByHash(stages[0].Pool, r.Reachable())[0]
 }
 
-func (r *Relay) answerReturn(_ context.Context, body []byte) (any, error) {
+func (r *Relay) handleReturn(_ context.Context, body []byte) (any, error) {
 	var m peer.Return
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
 	if m.Refused {
-		r.returning.refused(r.now(), m.Identity, m.Waited)
+		r.refusedRequests.add(r.now(), m.Identity, m.Waited)
 		return peer.ReturnReply{}, nil
 	}
-	return peer.ReturnReply{Waited: r.returning.waited(r.now(), m.Identity)}, nil
+	return peer.ReturnReply{Waited: r.refusedRequests.takeWaited(r.now(), m.Identity)}, nil
 }
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -14,31 +14,31 @@
 		relay *Relay
 		plan  kernel.StagePlan
 		// inputs are what the engine needs; domain is where the prompt's prefix is cached.
-		inputs []string
-		domain string
+		inputs       []string
+		prefixDomain string
 
-		stages []model.StageNode
-		homes  kernel.AllowedRegions
+		stages  []model.StageNode
+		regions kernel.AllowedRegions
 		// results has an entry for each stage that is done. It, started and released belong to the
 		// goroutine that serves the request.
 		results map[int][]kernel.ResultRef
 		started map[int]bool
 		// released is true once the engine's inputs were given up.
-		released bool
+		inputsReleased bool
 
 		mu sync.Mutex
 		// held lists, by stage, the results that are still held.
 		held map[int][]kernel.ResultRef
 	}
 
-	// stageDone is how one stage ended.
-	stageDone struct {
-		stage int
-		made  []kernel.ResultRef
+	// stageResult is how one stage ended.
+	stageResult struct {
+		stage   int
+		results []kernel.ResultRef
 		// inputsFreed is true where the batcher freed what the stage was made from.
 		inputsFreed bool
 		refusal     *model.Refusal
-		time        StageTime
+		time        StageTiming
 	}
 )
 
@@ -51,22 +51,22 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan stageDone, len(run.stages))
+	done := make(chan stageResult, len(run.stages))
 	running := j.startStages(ctx, run, done)
 	for running > 0 {
 		d := <-done
 		running--
-		j.stages = append(j.stages, d.time)
-		run.hold(d.stage, d.made)
+		j.stageTimes = append(j.stageTimes, d.time)
+		run.holdResults(d.stage, d.results)
 		if d.inputsFreed {
 			run.forgetInputs(d.stage)
 		}
 		if d.refusal != nil {
 			cancel()
-			go run.drainAfter(done, running)
+			go run.drain(done, running)
 			return run, d.refusal
 		}
-		run.results[d.stage] = d.made
+		run.results[d.stage] = d.results
 		run.releaseConsumed()
 		running += j.startStages(ctx, run, done)
 	}
@@ -78,48 +78,48 @@
 func (j *job) planStages(ctx context.Context, p *pool) (*stageRun, *model.Refusal) {
 	r := j.relay
 	run := &stageRun{
-		relay:   r,
-		stages:  j.admission.Route.Stages,
-		homes:   j.admission.Homes,
-		domain:  kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
-		results: map[int][]kernel.ResultRef{},
-		started: map[int]bool{},
-		held:    map[int][]kernel.ResultRef{},
-	}
-	firstEvent := p.expectFirstEvent()
-	run.plan = kernel.PlanStages(j.forward, j.admission, r.hub.traitsOf(run.stages), firstEvent)
+		relay:        r,
+		stages:       j.admission.Route.Stages,
+		regions:      j.admission.Regions,
+		prefixDomain: kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Regions.AllowedEndpoints(r.Registry().Endpoints(p.name))),
+		results:      map[int][]kernel.ResultRef{},
+		started:      map[int]bool{},
+		held:         map[int][]kernel.ResultRef{},
+	}
+	firstEvent := p.estimateFirstEventTime()
+	run.plan = kernel.PlanStages(j.forward, j.admission, r.batchers.poolTraits(run.stages), firstEvent)
 	if len(run.plan.FinalStages) == 0 {
 		return run, nil
 	}
 	groups := map[int]batchRequest{}
 	for i := range run.stages {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			groups[i] = j.group(run, i)
+			groups[i] = j.newPieceGroup(run, i)
 		}
 	}
-	estimates := r.estimates(ctx, run.stages, groups)
+	estimates := r.estimateWaits(ctx, run.stages, groups)
 	for i, o := range estimates {
 		if kernel.PieceCount(j.forward, i) > 0 {
 			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: o.Wait, RoomTaken: o.RoomTaken})
 		}
 	}
-	if queued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
-		j.forward = j.forward.WithWaited(r.waitedBefore(ctx, j.forward, j.admission))
+	if anyQueued(estimates) && r.options.Policy.Uses(kernel.ObjectiveFromFirstAttempt) {
+		j.forward = j.forward.WithWaited(r.previousWait(ctx, j.forward, j.admission))
 	}
 	run.plan = kernel.PlanStages(j.forward, j.admission, estimates, firstEvent)
 	return run, kernel.AdmitStages(r.now(), j.forward, j.admission, run.plan, estimates)
 }
 
 // queue names the queue of a stage's pieces: that of a region that the request may be served in.
-func (s *stageRun) queue(stage int) string {
+func (s *stageRun) queueName(stage int) string {
 	options := s.relay.options
 	pool := s.stages[stage].Pool
-	region, _ := kernel.PieceRegion(s.relay.Registry(), pool, s.homes, options.Regions[options.Domain])
-	return s.relay.hub.queue(pool, region)
+	region, _ := kernel.PieceRegion(s.relay.Registry(), pool, s.regions, options.Regions[options.Domain])
+	return s.relay.batchers.queueName(pool, region)
 }
 
 // queued tells whether any of several pools has a queue: only then does it matter who is late.
-func queued(estimates []kernel.PoolEstimate) bool {
+func anyQueued(estimates []kernel.PoolEstimate) bool {
 	for _, o := range estimates {
 		if o.Queued() {
 			return true
@@ -129,7 +129,7 @@
 }
 
 // startStages starts the stages that are ready, and returns how many.
-func (j *job) startStages(ctx context.Context, run *stageRun, done chan<- stageDone) int {
+func (j *job) startStages(ctx context.Context, run *stageRun, done chan<- stageResult) int {
 	running := 0
 	for i := range run.stages {
 		if run.started[i] || !run.ready(i) {
@@ -141,10 +141,10 @@
 			continue
 		}
 		running++
-		group := j.group(run, i)
+		group := j.newPieceGroup(run, i)
 		go func() {
-			defer j.relay.guard(func() {
-				done <- stageDone{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
+			defer j.relay.recoverPanic(func() {
+				done <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
 			done <- j.runStage(ctx, i, group)
 		}()
@@ -164,7 +164,7 @@
 }
 
 // stale tells whether one of the engine's inputs went with an incarnation of its worker.
-func (s *stageRun) stale() bool {
+func (s *stageRun) inputsStale() bool {
 	for _, i := range s.plan.FinalStages {
 		if kernel.AnyStale(s.results[i], s.relay.Registry().Superseded) {
 			return true
@@ -184,16 +184,16 @@
 }
 
 // group prepares the pieces of a stage.
-func (j *job) group(run *stageRun, stage int) batchRequest {
+func (j *job) newPieceGroup(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	g := batchRequest{
-		pool:    run.queue(stage),
-		domain:  run.domain,
-		bytes:   node.ResultBytes,
-		askedAt: j.relay.now(),
-		due:     run.plan.Due[stage],
-		until:   run.plan.Until[stage],
-		rank:    j.admission.Rank,
+		pool:        run.queueName(stage),
+		domain:      run.prefixDomain,
+		resultBytes: node.ResultBytes,
+		askedAt:     j.relay.now(),
+		due:         run.plan.Due[stage],
+		until:       run.plan.Until[stage],
+		rank:        j.admission.Rank,
 	}
 	var inputBytes int64
 	piece := model.Piece{Request: j.forward.ID, Digest: j.forward.Digest, Stage: stage, Deadline: run.plan.Until[stage]}
@@ -205,9 +205,9 @@
 		inputs = append(inputs, run.results[before]...)
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
 	}
-	piece.Inputs = handlesOf(inputs)
+	piece.Inputs = resultHandles(inputs)
 	g.inputs = inputs
-	g.freeInputs = run.soleConsumer(stage) && j.crowding(run, stage)
+	g.freeInputs = run.isSoleConsumer(stage) && j.inputRoomScarce(run, stage)
 	if domain := kernel.MostCommonDomain(inputs); domain != "" {
 		g.domain = domain
 	}
@@ -217,7 +217,7 @@
 	if len(inputs) == 0 {
 		moved = node.ResultBytes * int64(pieces)
 	}
-	full := j.relay.hub.lastEstimate(run.queue(stage)).FullCall()
+	full := j.relay.batchers.lastEstimate(run.queueName(stage)).FullCall()
 	g.localityWait = kernel.LocalityWait(moved, full, g.due.Sub(j.relay.now())-full)
 	for n := range pieces {
 		piece.Number = n
@@ -226,9 +226,9 @@
 	return g
 }
 
-func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageDone {
+func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageResult {
 	began := j.relay.now()
-	done := j.relay.batch(ctx, group)
+	done := j.relay.runGroup(ctx, group)
 	done.stage = stage
 	done.time.Stage = stage
 	done.time.Pool = group.pool
--- a/relay/suspects.go
+++ b/relay/suspects.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// probeFirst and probeMost bound the time between two probes of a node that did not answer;
+	// minProbeInterval and maxProbeInterval bound the time between two probes of a node that did not answer;
 	// each is twice the one before. Probes keep the wait for a lost node away from requests.
-	probeFirst   = 250 * time.Millisecond
-	probeMost    = 4 * time.Second
-	probeTimeout = 600 * time.Millisecond
+	minProbeInterval = 250 * time.Millisecond
+	maxProbeInterval = 4 * time.Second
+	probeTimeout     = 600 * time.Millisecond
 )
 
 type (
@@ -23,7 +23,7 @@
 		ctx   context.Context
 		probe func(node string) bool
 		// back is called for a node that answers again.
-		back func(node string)
+		recovered func(node string)
 
 		mu    sync.Mutex
 		nodes map[string]bool
@@ -37,7 +37,7 @@
 )
 
 func newSuspects(ctx context.Context, probe func(string) bool, back func(string)) *suspects {
-	return &suspects{ctx: ctx, probe: probe, back: back, nodes: map[string]bool{}}
+	return &suspects{ctx: ctx, probe: probe, recovered: back, nodes: map[string]bool{}}
 }
 
 // suspect notes that a node did not answer; it reports whether that is news.
@@ -49,7 +49,7 @@
 	}
 	s.nodes[node] = true
 	go func() {
-		pause := probeFirst
+		pause := minProbeInterval
 		for clock.Sleep(s.ctx, pause) {
 			if !s.suspected(node) {
 				return
@@ -58,7 +58,7 @@
 				s.clear(node)
 				return
 			}
-			pause = min(2*pause, probeMost)
+			pause = min(2*pause, maxProbeInterval)
 		}
 	}()
 	return true
@@ -66,7 +66,7 @@
 
 // announced probes a node at once that has said that it started, where it is suspected: its next probe
 // may be seconds away, and until then it and others would work for the same pools.
-func (s *suspects) announced(node string) {
+func (s *suspects) probeNow(node string) {
 	if !s.suspected(node) {
 		return
 	}
@@ -83,7 +83,7 @@
 	delete(s.nodes, node)
 	s.mu.Unlock()
 	if known {
-		s.back(node)
+		s.recovered(node)
 	}
 }
 
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	// takeOverAfter is how long a node has not batched for a pool when another may have done it:
+	// batcherIdleTimeout is how long a node has not batched for a pool when another may have done it:
 	// a pool in use gets pieces far more often.
-	takeOverAfter = 1500 * time.Millisecond
+	batcherIdleTimeout = 1500 * time.Millisecond
 	// takeOverTimeout bounds the question to those that may batch; the first pieces wait for it,
 	// and a node that was lost does not answer.
 	takeOverTimeout = 60 * time.Millisecond
-	// confirmEvery is how often a node that batches asks whether another does too: after a cut or a
+	// confirmInterval is how often a node that batches asks whether another does too: after a cut or a
 	// freeze both may, until they hear of each other.
-	confirmEvery = 500 * time.Millisecond
-	// takeOverAsks is how many nodes are asked beside the one that batched last: those that come
+	confirmInterval = 500 * time.Millisecond
+	// takeOverCandidates is how many nodes are asked beside the one that batched last: those that come
 	// first for the pool. Any node that sent pieces lately knows who batches.
-	takeOverAsks = 2
+	takeOverCandidates = 2
 )
 
 // place decides where a group is to be batched: here, where the name is empty, or at another node. Two
 // nodes that batch for one pool would give the same room out twice and call workers that are busy, so a
 // node that does not batch yet sends groups on to the one that does, and begins only where there is none.
-func (g *batcher) place(ctx context.Context, passedOver []string) (elsewhere string) {
-	g.begins.Lock()
-	defer g.begins.Unlock()
-	if g.batches() {
+func (g *batcher) placeGroup(ctx context.Context, passedOver []string) (elsewhere string) {
+	g.claimMu.Lock()
+	defer g.claimMu.Unlock()
+	if g.recordGroup() {
 		return ""
 	}
-	if other := g.follows(passedOver); other != "" && g.relay.options.Policy.Uses(kernel.SingleBatcher) {
+	if other := g.expectedBatcher(passedOver); other != "" && g.relay.options.Policy.Uses(kernel.SingleBatcher) {
 		return other
 	}
-	return g.begin(ctx, passedOver)
+	return g.claimPool(ctx, passedOver)
 }
 
 // batches tells whether this node batches for the pool, and notes that a group came.
-func (g *batcher) batches() bool {
+func (g *batcher) recordGroup() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.relay.now()
-	g.active = g.active && now.Sub(g.batchedAt) < takeOverAfter
-	g.batchedAt = now
+	g.active = g.active && now.Sub(g.lastGroupAt) < batcherIdleTimeout
+	g.lastGroupAt = now
 	return g.active
 }
 
 // follows returns the other node that batches, as far as is known here, or that is to; empty where it
 // is this one.
-func (g *batcher) follows(passedOver []string) string {
+func (g *batcher) expectedBatcher(passedOver []string) string {
 	if other := g.knownBatcher(passedOver); other != "" {
 		return other
 	}
-	for _, node := range kernel.NodesByHash(g.name, g.peers(g.relay.Reachable())) {
+	for _, node := range kernel.NodesByHash(g.queueName, g.eligiblePeers(g.relay.Reachable())) {
 		if node == g.relay.options.Name {
 			return ""
 		}
@@ -71,84 +71,84 @@
 // knownBatcher returns the other node that was last seen to batch, while it is reachable.
 func (g *batcher) knownBatcher(passedOver []string) string {
 	g.mu.Lock()
-	known := g.current
+	known := g.currentBatcher
 	g.mu.Unlock()
-	if known == g.relay.options.Name || slices.Contains(passedOver, known) || !g.relay.reachable(known) {
+	if known == g.relay.options.Name || slices.Contains(passedOver, known) || !g.relay.isReachable(known) {
 		return ""
 	}
 	return known
 }
 
-func (g *batcher) noteBatcher(node string) {
+func (g *batcher) setCurrentBatcher(node string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.current = node
+	g.currentBatcher = node
 }
 
 // begin asks those that may batch for the pool to hand it over. It returns the node that goes on to
 // batch instead; empty where this one does from now on.
-func (g *batcher) begin(ctx context.Context, passedOver []string) (elsewhere string) {
+func (g *batcher) claimPool(ctx context.Context, passedOver []string) (elsewhere string) {
 	r := g.relay
 	g.mu.Lock()
-	g.g.TakeOver(r.now())
+	g.queue.TakeOver(r.now())
 	g.mu.Unlock()
-	yielded, other := g.askOthers(ctx, g.question(false))
+	yielded, other := g.requestTakeOver(ctx, g.takeOverRequest(false))
 	if other != "" && !slices.Contains(passedOver, other) && r.options.Policy.Uses(kernel.SingleBatcher) {
-		g.noteBatcher(other)
+		g.setCurrentBatcher(other)
 		return other
 	}
 	g.mu.Lock()
 	g.active = true
-	g.current = r.options.Name
-	g.begun++
-	begun := g.begun
-	worthAsking := g.traits.Room >= roomWorthAsking
+	g.currentBatcher = r.options.Name
+	g.claims++
+	begun := g.claims
+	worthAsking := g.traits.Room >= minPolledRoom
 	g.mu.Unlock()
 	r.metrics.Event("BatcherTookOver")
-	r.log.Info().Str("Pool", g.name).Bool("Yielded", yielded).Msg("batching begins here")
+	r.log.Info().Str("Pool", g.queueName).Bool("Yielded", yielded).Msg("batching begins here")
 	if worthAsking {
-		go g.askRooms()
+		go g.pollFreeRoom()
 	}
 	if r.options.Policy.Uses(kernel.SingleBatcher) {
-		go g.confirm(begun)
+		go g.confirmSole(begun)
 	}
 	return ""
 }
 
 // question is what other nodes are asked that may batch for the pool.
-func (g *batcher) question(batches bool) peer.TakeOver {
+func (g *batcher) takeOverRequest(batches bool) peer.TakeOver {
 	r := g.relay
-	return peer.TakeOver{Pool: g.name, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
+	return peer.TakeOver{Pool: g.queueName, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
 }
 
 // confirm asks from time to time whether another node batches too, until this one batches no more or has
 // begun anew.
-func (g *batcher) confirm(begun int) {
+func (g *batcher) confirmSole(begun int) {
 	r := g.relay
-	for clock.Sleep(r.ctx, confirmEvery) {
+	for clock.Sleep(r.ctx, confirmInterval) {
 		g.mu.Lock()
-		active := g.active && g.begun == begun && r.now().Sub(g.batchedAt) < takeOverAfter
+		active := g.active && g.claims == begun && r.now().Sub(g.lastGroupAt) < batcherIdleTimeout
 		g.mu.Unlock()
 		if !active {
 			return
 		}
-		if _, other := g.askOthers(r.ctx, g.question(true)); other != "" {
+		if _, other := g.requestTakeOver(r.ctx, g.takeOverRequest(true)); other != "" {
 			g.stepDown(other)
 			return
 		}
 	}
 }
 
-// askOthers asks those that may batch for the pool. It tells whether one yielded, and returns the node that
+// requestTakeOver asks those that may batch for the pool. It tells whether one yielded, and returns the node that
 // does not.
-func (g *batcher) askOthers(ctx context.Context, question peer.TakeOver) (yielded bool, other string) {
+func (g *batcher) requestTakeOver(ctx context.Context, question peer.TakeOver) (yielded bool, other string) {
 	ctx, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
-	asked := g.formerBatchers()
-	for _, reply := range g.ask(ctx, asked, question) {
+	asked := g.possibleBatchers()
+	for _, reply := range g.callAll(ctx, asked, question) {
 		if named := reply.MovedTo; named != "" && named != g.relay.options.Name && !slices.Contains(asked, named) {
 			// Only the node itself knows whether it batches still.
-			reply = g.ask(ctx, []string{named}, question)[0]
+			reply = g.callAll(ctx, []string{named}, question)[0]
 		}
 		switch {
 		case reply.Batched:
@@ -161,7 +161,7 @@
 }
 
 // ask asks several nodes at once; nodes that do not answer leave empty replies.
-func (g *batcher) ask(ctx context.Context, nodes []string, question peer.TakeOver) []peer.TakeOverReply {
+func (g *batcher) callAll(ctx context.Context, nodes []string, question peer.TakeOver) []peer.TakeOverReply {
 	r := g.relay
 	var asked sync.WaitGroup
 	replies := make([]peer.TakeOverReply, len(nodes))
@@ -176,37 +176,37 @@
 	return replies
 }
 
-// formerBatchers returns the other nodes that may batch for the pool, whether they are reachable or not:
+// possibleBatchers returns the other nodes that may batch for the pool, whether they are reachable or not:
 // a node that is leaving may still hold groups that wait.
-func (g *batcher) formerBatchers() []string {
+func (g *batcher) possibleBatchers() []string {
 	var peers []kernel.Peer
 	for _, n := range *g.relay.nodes.Load() {
 		if n.Name != g.relay.options.Name {
 			peers = append(peers, kernel.Peer{Name: n.Name, Domain: n.Domain, Capacity: n.Capacity})
 		}
 	}
-	order := kernel.NodesByHash(g.name, g.peers(peers))
-	nodes := order[:min(takeOverAsks, len(order))]
+	order := kernel.NodesByHash(g.queueName, g.eligiblePeers(peers))
+	nodes := order[:min(takeOverCandidates, len(order))]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if slices.Contains(order, g.current) && !slices.Contains(nodes, g.current) {
-		nodes = append(slices.Clone(nodes), g.current)
+	if slices.Contains(order, g.currentBatcher) && !slices.Contains(nodes, g.currentBatcher) {
+		nodes = append(slices.Clone(nodes), g.currentBatcher)
 	}
 	return nodes
 }
 
 // yield answers a node that batches or is about to: this one leaves the pool to it, or says who batches.
-func (g *batcher) yield(m peer.TakeOver) peer.TakeOverReply {
+func (g *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
 	r := g.relay
 	g.mu.Lock()
-	active := g.active && r.now().Sub(g.batchedAt) < takeOverAfter
+	active := g.active && r.now().Sub(g.lastGroupAt) < batcherIdleTimeout
 	g.mu.Unlock()
 	if !active {
 		return peer.TakeOverReply{MovedTo: g.knownBatcher([]string{m.Node})}
 	}
-	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
-	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
-	switch kernel.AnswerClaim(g.name, own, other) {
+	own := kernel.BatcherCandidate{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
+	other := kernel.BatcherCandidate{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
+	switch kernel.DecideTakeOver(g.queueName, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
 	case kernel.SharePool:
@@ -222,12 +222,12 @@
 func (g *batcher) stepDown(to string) {
 	r := g.relay
 	g.mu.Lock()
-	g.active, g.current = false, to
-	moved := g.g.HandOver()
+	g.active, g.currentBatcher = false, to
+	moved := g.queue.HandOver()
 	g.mu.Unlock()
-	g.finish(moved)
+	g.deliverOutcomes(moved)
 	r.metrics.Event("BatcherYielded")
-	r.log.Info().Str("Pool", g.name).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
+	r.log.Info().Str("Pool", g.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
 func (r *Relay) answerTakeOver(_ context.Context, body []byte) (any, error) {
@@ -235,9 +235,9 @@
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
-	g := r.hub.find(m.Pool)
+	g := r.batchers.find(m.Pool)
 	if g == nil {
 		return peer.TakeOverReply{}, nil
 	}
-	return g.yield(m), nil
+	return g.answerTakeOver(m), nil
 }
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -19,35 +19,35 @@
 		Regions map[string]string
 		// Capacity is what the host can carry relative to others.
 		Capacity float64
-		// KeyTrust is the greatest age of the routing that API keys are trusted by; zero means
+		// MaxRoutingAge is the greatest age of the routing that API keys are trusted by; zero means
 		// that keys are trusted however old the routing is.
-		KeyTrust time.Duration
+		MaxRoutingAge time.Duration
 		// Budget bounds the repeated sends of all nodes together to each pool.
-		Budget kernel.FleetRetryLimits
+		RetryLimits kernel.FleetRetryLimits
 		// Cold bounds what all nodes together send to cold endpoints.
-		Cold kernel.ColdLimits
+		ColdLimits kernel.ColdLimits
 		// Policy says which mechanisms decide.
 		Policy kernel.Policy
 	}
 
 	// Wire is how the relay reaches endpoints.
-	Wire struct {
+	Dependencies struct {
 		// Forward sends a request to an endpoint, once.
 		Forward func(ctx context.Context, send Send) (*model.ForwardReply, error)
 		// RunPieces makes one call for pieces. The results are in the order of the pieces.
 		RunPieces func(ctx context.Context, e model.Endpoint, pieces []model.Piece) (PieceReply, error)
 		// Free gives up results that an endpoint holds.
-		Free func(ctx context.Context, e model.Endpoint, handles []string) error
+		FreeResults func(ctx context.Context, e model.Endpoint, handles []string) error
 		// Room returns how many bytes of results an endpoint has room for now.
-		Room func(ctx context.Context, e model.Endpoint) (int64, error)
+		FreeRoom func(ctx context.Context, e model.Endpoint) (int64, error)
 		// Connect opens a connection to an address and keeps it for a later call.
 		Connect func(ctx context.Context, address string) error
-		// HoldBack writes into the store which requests are held back, and which no longer.
-		HoldBack func(ctx context.Context, change kernel.QuarantineChange) error
+		// StoreQuarantine writes into the store which requests are held back, and which no longer.
+		StoreQuarantine func(ctx context.Context, change kernel.QuarantineChange) error
 		// PublishRateCap writes into the store what an endpoint says of the requests that it takes, for all nodes to learn.
 		PublishRateCap func(ctx context.Context, incarnation string, stated model.RateCap) error
 		// Retire closes the idle connections to an address.
-		Retire func(address string)
+		CloseIdle func(address string)
 	}
 
 	// Send is one send of a request.
@@ -60,10 +60,10 @@
 		// Inputs are the results that the request needs.
 		Inputs []string
 		// After is the ID of the last event that the caller has of a resumed stream.
-		After string
+		LastEventID string
 		// Fresh asks for a connection that has not been idle for long: the request must not be
 		// repeated.
-		Fresh bool
+		FreshConnection bool
 		// BeforeSend decides, when a connection is open, whether the request is still to be sent.
 		BeforeSend func() error
 	}
@@ -90,16 +90,16 @@
 	// Outcome is how a request ended: with a refusal before Begin, else with an answer that is
 	// whole or was broken off.
 	Outcome struct {
-		Refusal *model.Refusal
-		Status  int
-		Whole   bool
+		Refusal  *model.Refusal
+		Status   int
+		Complete bool
 		// Endpoint and Attempts say who answered and how many endpoints were asked.
 		Endpoint string
 		Attempts int
 		// First is how long the request waited for the first event of its stream; zero where none came.
-		First time.Duration
+		FirstEventTime time.Duration
 		// Stages says what became of the stages that were begun.
-		Stages []StageTime
+		Stages []StageTiming
 		// Estimates is what was expected of the stages' pools where the request was refused for it.
 		Estimates []StageEstimate
 		// Late tells that the answer began after its objective.
@@ -114,9 +114,9 @@
 		RoomTaken float64
 	}
 
-	// StageTime says how long a stage took, how much of that its pieces waited for a call, and which
+	// StageTiming says how long a stage took, how much of that its pieces waited for a call, and which
 	// wait the batcher estimated when they came.
-	StageTime struct {
+	StageTiming struct {
 		Stage    int
 		Pool     string
 		Batcher  string
