--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -18,9 +18,9 @@
 // setFleet changes the fleet's document through the first node, and waits until all nodes have it in force.
 func (f *fleet) setFleet(base uint64, yaml string) uint64 {
 	f.t.Helper()
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{BaseURL: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
 	change := operator.Change{Base: base, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), "fleet", change)
+	result, err := client.SetDocument(f.t.Context(), "fleet", change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
--- a/node/node.go
+++ b/node/node.go
@@ -147,7 +147,7 @@
 	if n.operators, err = operator.NewServer(n.options.OperatorsListen, n.options.OperatorsToken, n.operatorSeams()); err != nil {
 		return err
 	}
-	n.peerServer.OnRefused = func(remote string) {
+	n.peerServer.OnTokenRefused = func(remote string) {
 		n.metrics.Event("PeerTokenRefused")
 		n.log.Warn().Str("Remote", remote).Msg("peer token refused")
 	}
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -102,11 +102,11 @@
 // send sends a request to a node and returns the reason of its refusal; empty for an answer.
 func (f *fleet) send(n *node.Node, pipeline, text string) model.Reason {
 	f.t.Helper()
-	client := &caller.Client{Base: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: patience}}
+	client := &caller.Client{BaseURL: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: patience}}
 	key, err := uuid.NewV7()
 	must.NoError(f.t, err)
 	result, err := client.Send(context.Background(), caller.Call{
-		Pipeline: pipeline, Key: key.String(), Body: caller.Body{Input: model.Input{Text: text, MaxTokens: 5}},
+		Pipeline: pipeline, Key: key.String(), Body: caller.RequestBody{Input: model.Input{Text: text, MaxTokens: 5}},
 	})
 	must.NoError(f.t, err)
 	if result.Refusal == nil {
--- a/node/rates_test.go
+++ b/node/rates_test.go
@@ -28,9 +28,9 @@
 	token := "    Token: " + sample.BilbaoToken + "\n"
 	yaml := strings.Replace(team.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
 	must.StrContains(f.t, yaml, "RequestsPerSecond")
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{BaseURL: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
 	change := operator.Change{Base: team.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), team.Path, change)
+	result, err := client.SetDocument(f.t.Context(), team.Path, change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
--- a/node/serve.go
+++ b/node/serve.go
@@ -14,30 +14,30 @@
 	"basilstall.example/basilstall/peer"
 )
 
-func (n *Node) callerSeams() caller.Seams {
-	return caller.Seams{
-		Caller:   func(token string) (kernel.Caller, bool) { return n.Settings().Caller(token) },
-		Pipeline: func(team, name string) (model.Pipeline, bool) { return n.Settings().Pipeline(team, name) },
-		Serve:    n.Serve,
-		NewID:    func() string { return n.options.Name + "." + uuid.NewString() },
-		Draining: n.Draining,
-		Ready:    n.Ready,
-		Count:    n.metrics.Event,
-		Refused:  n.metrics.Refused,
+func (n *Node) callerSeams() caller.Dependencies {
+	return caller.Dependencies{
+		Authenticate: func(token string) (kernel.Caller, bool) { return n.Settings().Caller(token) },
+		Pipeline:     func(team, name string) (model.Pipeline, bool) { return n.Settings().Pipeline(team, name) },
+		Serve:        n.Serve,
+		NewID:        func() string { return n.options.Name + "." + uuid.NewString() },
+		Draining:     n.Draining,
+		Ready:        n.Ready,
+		CountEvent:   n.metrics.Event,
+		CountRefusal: n.metrics.Refused,
 	}
 }
 
-func (n *Node) operatorSeams() operator.Seams {
-	return operator.Seams{
-		Settings:  n.Settings,
-		Store:     n.store,
-		OnApplied: n.readSettingsNow,
-		Status:    n.Status,
-		Endpoints: n.dispatcher.Status,
-		Explain:   n.Explain,
-		Ready:     n.Ready,
-		Metrics:   n.metrics.Write,
-		Count:     n.metrics.Event,
+func (n *Node) operatorSeams() operator.Dependencies {
+	return operator.Dependencies{
+		Settings:          n.Settings,
+		Store:             n.store,
+		OnSettingsChanged: n.readSettingsNow,
+		Status:            n.Status,
+		Endpoints:         n.dispatcher.Status,
+		Explain:           n.Explain,
+		Ready:             n.Ready,
+		WriteMetrics:      n.metrics.Write,
+		CountEvent:        n.metrics.Event,
 	}
 }
 
--- a/peer/message.go
+++ b/peer/message.go
@@ -27,12 +27,12 @@
 	KindRelease
 	KindProbe
 	KindFeed
-	KindReturn
+	KindCallerWait
 	KindTakeOver
 	KindCrash
 	KindTrial
 	KindClear
-	KindHold
+	KindStoreQuarantine
 	KindCapPermit
 	KindRatePermit
 )
@@ -229,16 +229,16 @@
 		Leaving bool
 	}
 
-	// Return asks how long the caller of a request has waited since its first attempt, or, with
+	// CallerWait asks how long the caller of a request has waited since its first attempt, or, with
 	// Refused, tells that an attempt was refused after the caller had waited for a time.
-	Return struct {
+	CallerWait struct {
 		Identity string
 		Refused  bool
 		Waited   time.Duration
 	}
 
-	// ReturnReply answers Return; Waited is zero for a request that is not known.
-	ReturnReply struct {
+	// CallerWaitReply answers Return; Waited is zero for a request that is not known.
+	CallerWaitReply struct {
 		Waited time.Duration
 	}
 
@@ -294,9 +294,9 @@
 		Digest model.Digest
 	}
 
-	// Hold has another node write into the store which requests are held back, and which no longer: the sender
+	// StoreQuarantine has another node write into the store which requests are held back, and which no longer: the sender
 	// can't reach it.
-	Hold struct {
+	StoreQuarantine struct {
 		Change kernel.QuarantineChange
 	}
 
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -87,7 +87,7 @@
 		peer.KindBatchCancel: r.answerBatchCancel,
 		peer.KindRelease:     r.answerRelease,
 		peer.KindProbe:       r.answerProbe,
-		peer.KindReturn:      r.handleReturn,
+		peer.KindCallerWait:  r.handleReturn,
 		peer.KindTakeOver:    r.answerTakeOver,
 		peer.KindCapPermit:   r.handleCapPermit,
 	}
