--- a/peer/client.go
+++ b/peer/client.go
@@ -15,36 +15,37 @@
 const (
 	dialTimeout  = time.Second
 	helloTimeout = 2 * time.Second
-	// defaultSilenceTimeout is after which time without a byte a connection with calls in flight is held silent, where the
-	// client is not told another.
+	// defaultSilenceTimeout is the silence timeout of a client on which SetSilenceTimeout is not called.
 	defaultSilenceTimeout = 1500 * time.Millisecond
 )
 
-// ErrTokenRefused is returned where the peer refused the token.
+// ErrTokenRefused is returned if the peer rejects the client's token.
 var ErrTokenRefused = errors.New("peer: the token was refused")
 
 type (
-	// Client calls peers. It opens a connection to a peer when one is needed and is safe for
+	// Client calls peers. It keeps one connection to each peer, which it opens on the first call. It is safe for
 	// concurrent use.
 	Client struct {
 		hello Hello
 		mu    sync.Mutex
 		conns map[string]*clientConn
-		// dialing keeps concurrent calls from opening several connections to one peer.
+		// dialLocks holds a lock for each address, so that concurrent calls do not open several connections to one
+		// peer.
 		dialLocks map[string]*sync.Mutex
 		closed    bool
-		// silenceTimeout is after which time without a byte a connection with calls in flight is
-		// held silent; helloTimeout bounds the first exchange on a new one.
+		// silenceTimeout is how long nothing may be received on a connection with calls in flight before it is
+		// closed. helloTimeout bounds the exchange of Hello and HelloReply on a new connection.
 		silenceTimeout time.Duration
 		helloTimeout   time.Duration
 	}
 
-	// CallError is the error of a call that got no reply.
+	// CallError is the error of a call that got no valid reply.
 	CallError struct {
-		// Verdict is NotRun only if nothing of the call was written.
+		// Verdict is NotRun only if no part of the call was written to the connection.
 		Verdict model.Verdict
 		Err     error
-		// Received is how many bytes came from the peer while the call waited, other calls' among them.
+		// Received is the number of bytes received on the connection during the call, including replies to other
+		// calls.
 		Received int64
 	}
 )
@@ -59,7 +60,7 @@
 	return e.Err
 }
 
-// NewClient returns a client that introduces itself as a node.
+// NewClient returns a client that identifies itself to peers with the name of its node and a token.
 func NewClient(node, token string) *Client {
 	return &Client{
 		hello:     Hello{Token: token, Node: node, Unpacks: true},
@@ -71,28 +72,27 @@
 	}
 }
 
-// SetSilenceTimeout sets after which time without a byte a connection with calls in flight is held silent. It
-// is to be called before the first call.
-func (c *Client) SetSilenceTimeout(after time.Duration) {
-	c.silenceTimeout = after
-	c.helloTimeout = after
+// SetSilenceTimeout sets how long nothing may be received on a connection with calls in flight before it is closed. It
+// also bounds dialing and the first exchange on a new connection. It must be called before the first call.
+func (c *Client) SetSilenceTimeout(timeout time.Duration) {
+	c.silenceTimeout = timeout
+	c.helloTimeout = timeout
 }
 
-// Call sends a message to the peer at an address and decodes its reply. The error is a
-// *CallError.
+// Call sends a message to the peer at an address and decodes its reply into reply. The error is a *CallError.
 func (c *Client) Call(ctx context.Context, address string, kind Kind, message, reply any) error {
 	return c.call(ctx, nil, address, kind, message, reply)
 }
 
-// CallUnlessSilent is Call for a reply that may be large: it ends where nothing comes from the peer for a
-// time, and with ctx.
-func (c *Client) CallUnlessSilent(ctx context.Context, after time.Duration, address string, kind Kind, message, reply any) error {
-	ctx, silence := clock.WithSilence(ctx, after, after)
+// CallUnlessSilent is like Call, for replies that may be large: the call fails if nothing is received from the peer for
+// timeout, or when ctx is done.
+func (c *Client) CallUnlessSilent(ctx context.Context, timeout time.Duration, address string, kind Kind, message, reply any) error {
+	ctx, silence := clock.WithSilence(ctx, timeout, timeout)
 	defer silence.Stop()
 	return c.call(ctx, silence, address, kind, message, reply)
 }
 
-// call carries a call out; silence, where there is one, hears what comes from the peer meanwhile.
+// call performs a call. If silence is not nil, it is reset whenever bytes are received on the connection.
 func (c *Client) call(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// Close closes all connections.
+// Close closes all connections. Calls in flight fail, as do later calls.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -128,6 +128,7 @@
 	}
 }
 
+// connection returns the connection to an address and opens it if necessary.
 func (c *Client) connection(ctx context.Context, address string) (*clientConn, error) {
 	lock := c.dialLock(address)
 	lock.Lock()
@@ -160,6 +161,7 @@
 	return lock
 }
 
+// cachedConn returns the open connection to an address, or nil if there is none.
 func (c *Client) cachedConn(address string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,6 +178,7 @@
 	}
 }
 
+// dial opens a connection and sends Hello on it.
 func (c *Client) dial(ctx context.Context, address string) (*clientConn, error) {
 	dialer := net.Dialer{Timeout: min(dialTimeout, c.silenceTimeout)}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -12,31 +12,34 @@
 	"basilstall.example/basilstall/model"
 )
 
-// pingIntervalRatio is how often a connection with calls in flight is tried, as a share of the time
-// after which one without a byte is held silent and closed, with all its calls.
+// pingIntervalRatio is the interval between pings on a connection with calls in flight, as a fraction of the silence
+// timeout.
 const pingIntervalRatio = 1.0 / 3
 
-// clientConn is a connection to a peer, with the calls that wait for replies on it.
+// clientConn is a connection to a peer.
 type clientConn struct {
 	conn net.Conn
-	// silenceTimeout is as for the client.
+	// silenceTimeout is that of the client.
 	silenceTimeout time.Duration
 	mu             sync.Mutex
-	calls          map[uint64]chan Frame
-	// listening holds the calls that end with silence; each is among calls, too.
+	// calls holds the channels of the calls that wait for a reply, by number.
+	calls map[uint64]chan Frame
+	// silences holds the timers of those calls that fail if nothing is received, by number. Each is also in calls.
 	silences   map[uint64]*clock.Silence
 	lastNumber uint64
-	writeMu    sync.Mutex
-	// heard is when a byte last came, in Unix nanoseconds. A frame that is long under way over a slow
-	// link is no silence: closing for it would end all other calls, and begin it anew.
+	// writeMu keeps frames from being interleaved.
+	writeMu sync.Mutex
+	// lastReadAt is when bytes were last read, in Unix nanoseconds. It changes with each read, not with each frame: if
+	// the connection were closed during the transfer of a large frame over a slow link, all other calls would fail
+	// and the transfer would start again from the beginning.
 	lastReadAt atomic.Int64
-	// received is how many bytes came.
+	// bytesRead is the number of bytes read so far.
 	bytesRead atomic.Int64
 	done      chan struct{}
 	closeOnce sync.Once
 }
 
-// readerFunc is a function as an io.Reader.
+// readerFunc adapts a function to io.Reader.
 type readerFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
@@ -58,6 +61,7 @@
 	return c
 }
 
+// readFrames delivers replies to their calls until reading fails. Replies to abandoned calls are dropped.
 func (c *clientConn) readFrames() {
 	reader := bufio.NewReader(readerFunc(c.read))
 	for {
@@ -75,7 +79,7 @@
 	}
 }
 
-// read reads from the connection and counts what came.
+// read reads from the connection and records that bytes were received.
 func (c *clientConn) read(p []byte) (int, error) {
 	n, err := c.conn.Read(p)
 	if n > 0 {
@@ -94,31 +98,32 @@
 	}
 }
 
-// watchSilence pings while calls are in flight and returns once the peer went silent.
+// watchSilence sends pings while calls are in flight. It returns when nothing has been received for the silence
+// timeout, when a write fails, or when the connection is closed.
 func (c *clientConn) watchSilence() {
-	pingEvery := time.Duration(pingIntervalRatio * float64(c.silenceTimeout))
-	ticker := time.NewTicker(pingEvery)
+	pingInterval := time.Duration(pingIntervalRatio * float64(c.silenceTimeout))
+	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	body, _ := EncodeBody(Empty{})
-	idleUntil := time.Now()
-	lastTick := idleUntil
+	silenceStart := time.Now()
+	lastTick := silenceStart
 	for {
 		select {
 		case <-c.done:
 			return
 		case now := <-ticker.C:
-			// A tick that comes late tells that this process stood still: the peer may have answered.
-			// Where silence counts soon, that would else be taken for it.
-			stoodStill := c.silenceTimeout < defaultSilenceTimeout && now.Sub(lastTick) > 2*pingEvery
+			// A late tick means that this process was paused, and bytes from the peer may not have been read yet. With
+			// a short silence timeout, the pause would otherwise be taken for silence of the peer.
+			paused := c.silenceTimeout < defaultSilenceTimeout && now.Sub(lastTick) > 2*pingInterval
 			lastTick = now
-			if !c.busy() || stoodStill {
-				idleUntil = now
+			if !c.busy() || paused {
+				silenceStart = now
 			}
 			if !c.busy() {
 				continue
 			}
-			heard := time.Unix(0, c.lastReadAt.Load())
-			if now.Sub(heard) > c.silenceTimeout && now.Sub(idleUntil) > c.silenceTimeout {
+			lastRead := time.Unix(0, c.lastReadAt.Load())
+			if now.Sub(lastRead) > c.silenceTimeout && now.Sub(silenceStart) > c.silenceTimeout {
 				return
 			}
 			if c.write(Frame{Kind: KindPing, Body: body}) != nil {
@@ -134,9 +139,11 @@
 	return len(c.calls) > 0
 }
 
+// call sends a frame and waits for its reply. If silence is not nil, it is reset whenever bytes are received. The error
+// is a *CallError.
 func (c *clientConn) call(ctx context.Context, silence *clock.Silence, kind Kind, body []byte) (Frame, error) {
 	reply := make(chan Frame, 1)
-	before := c.bytesRead.Load()
+	bytesBefore := c.bytesRead.Load()
 	c.mu.Lock()
 	c.lastNumber++
 	number := c.lastNumber
@@ -164,15 +171,15 @@
 	case frame := <-reply:
 		return frame, nil
 	case <-c.done:
-		// The reply may have come just before the end.
+		// The reply may have been received just before the connection was closed.
 		select {
 		case frame := <-reply:
 			return frame, nil
 		default:
-			return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: net.ErrClosed, Received: c.bytesRead.Load() - before}
+			return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: net.ErrClosed, Received: c.bytesRead.Load() - bytesBefore}
 		}
 	case <-ctx.Done():
-		return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: context.Cause(ctx), Received: c.bytesRead.Load() - before}
+		return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: context.Cause(ctx), Received: c.bytesRead.Load() - bytesBefore}
 	}
 }
 
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer speaks the protocol between the project's own nodes: TCP, frames with a length
-// of four bytes, msgpack. Many calls share one connection; each call has a number that its
-// reply repeats. Every error says by its verdict whether the peer may have taken the call.
+// Package peer implements the protocol between nodes: TCP connections that carry msgpack frames, each preceded by its
+// length in four bytes. Concurrent calls share a connection; a call and its reply have the same number. The verdict of
+// a CallError tells whether the peer may have handled the call.
 package peer
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// MaxFrameBytes bounds a frame's length in bytes, so that a stranger cannot make a node
-	// allocate without end.
+	// MaxFrameBytes bounds the length of a frame, so that an unauthenticated client cannot make a node allocate
+	// memory without limit.
 	MaxFrameBytes    = 8 << 20
 	frameHeaderBytes = 4
-	// writeChunkBytes is how many bytes of a frame are written at once, and writeChunkTimeout how long that may take: a
-	// large frame goes on for as long as the other side takes it, at 32 kB a second or more.
+	// Frames are written in chunks of writeChunkBytes, and writeChunkTimeout bounds the write of each. A large frame may
+	// thus take any time, as long as the receiver accepts at least 32 kB per second.
 	writeChunkBytes   = 64 << 10
 	writeChunkTimeout = 2 * time.Second
 )
 
-// ErrFrameTooLong is returned for a frame above MaxFrameBytes.
+// ErrFrameTooLong is returned for a frame longer than MaxFrameBytes.
 var ErrFrameTooLong = errors.New("peer: frame too long")
 
 // Frame is one message on the wire.
 type Frame struct {
 	Kind Kind
-	// Number pairs a reply with its call.
+	// Number is the same in a call and its reply, and unique among the calls in flight on the connection.
 	Number uint64
 	Reply  bool
-	// Packed tells that Body holds bytes that are the body, compressed.
+	// Packed is true if Body holds the compressed body, encoded as a byte string.
 	Packed bool
 	Body   msgpack.RawMessage
 }
 
-// EncodeFrame returns the bytes of a frame.
+// EncodeFrame returns the encoded frame, preceded by its length.
 func EncodeFrame(f Frame) ([]byte, error) {
 	body, err := marshal(&f)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return append(out, body...), nil
 }
 
-// writeChunks writes a frame's bytes to a connection for as long as the other side takes them.
+// writeChunks writes an encoded frame to a connection in chunks, each with its own write deadline.
 func writeChunks(conn net.Conn, data []byte) error {
 	for len(data) > 0 {
 		if err := conn.SetWriteDeadline(time.Now().Add(writeChunkTimeout)); err != nil {
@@ -75,7 +75,7 @@
 	if length > MaxFrameBytes {
 		return Frame{}, ErrFrameTooLong
 	}
-	// The buffer grows with what arrives: a header alone must not cost MaxFrameBytes.
+	// The buffer grows with the bytes received, so that a header alone cannot cause an allocation of MaxFrameBytes.
 	body, err := io.ReadAll(io.LimitReader(r, int64(length)))
 	if err != nil {
 		return Frame{}, err
@@ -86,7 +86,7 @@
 	return DecodeFrame(body)
 }
 
-// DecodeFrame decodes a frame's bytes after the length.
+// DecodeFrame decodes a frame without its length.
 func DecodeFrame(body []byte) (Frame, error) {
 	var f Frame
 	if err := msgpack.Unmarshal(body, &f); err != nil {
@@ -95,7 +95,7 @@
 	return f, nil
 }
 
-// EncodeBody encodes a message as the body of a call.
+// EncodeBody encodes a message as the body of a call or reply.
 func EncodeBody(value any) (msgpack.RawMessage, error) {
 	body, err := marshal(value)
 	if err != nil {
@@ -104,9 +104,8 @@
 	return body, nil
 }
 
-// marshal leaves out fields that hold nothing and writes numbers in as few bytes as they need. Most messages
-// between nodes say that nothing is new: the answer to a question for three tables takes 139 bytes so, 215
-// otherwise.
+// marshal encodes a value without its empty fields and with integers of minimal length, because most messages between
+// nodes only report that nothing has changed: a FeedReply on three tables then takes 139 bytes instead of 215.
 func marshal(value any) ([]byte, error) {
 	var out bytes.Buffer
 	encoder := msgpack.NewEncoder(&out)
@@ -118,7 +117,7 @@
 	return out.Bytes(), nil
 }
 
-// DecodeBody decodes the body of a call into a message.
+// DecodeBody decodes the body of a call or reply into a message.
 func DecodeBody(body []byte, into any) error {
 	if err := msgpack.Unmarshal(body, into); err != nil {
 		return errors.Wrap(err, "peer: unable to decode a body")
--- a/peer/message.go
+++ b/peer/message.go
@@ -7,10 +7,10 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Kind says what a frame's body is.
+// Kind identifies the message in a frame's body. A reply has the kind of its call.
 type Kind uint8
 
-// The kinds of calls.
+// The kinds of calls. Their values are sent to other nodes.
 const (
 	KindHello Kind = iota + 1
 	KindPing
@@ -38,118 +38,119 @@
 )
 
 type (
-	// Hello opens a connection.
+	// Hello is the first message on a connection.
 	Hello struct {
 		Token string
-		// Node names the caller, for logs.
+		// Node is the name of the caller, for logs.
 		Node string
-		// Unpacks tells that the caller understands compressed replies.
+		// Unpacks is true if the caller can decompress replies.
 		Unpacks bool
 	}
 
-	// HelloReply answers Hello; a wrong token gets Refused.
+	// HelloReply is the reply to Hello. Refused is true if the token is wrong.
 	HelloReply struct {
 		Refused bool
-		// Member is who answers, so that a caller notices a restarted process.
+		// Member identifies the server and its process, so that the caller notices a restart.
 		Member kernel.Member
 	}
 
-	// Heartbeat goes to a few neighbours; the reply is one too.
+	// Heartbeat is sent to a few neighbours at regular intervals. Its reply is also a Heartbeat.
 	Heartbeat struct {
 		News []kernel.GossipUpdate
 		// Revision is the head revision of the settings in force.
 		Revision uint64
-		// ClaimsNumber is the number of the claims row that the node has read.
+		// ClaimsNumber is the number of the newest claims row that the node has read.
 		ClaimsNumber uint64
-		// Notices is the version of the row of notices that the node has read.
+		// Notices is the version of the notices row that the node has read.
 		Notices uint64
 	}
 
-	// Forward asks the owner of a key to run a request.
+	// Forward asks the owner of a request's key to run the request.
 	Forward struct {
 		Request model.Request
-		// Left is the time until the deadline: clocks differ between hosts.
+		// Left is the time until the request's deadline. It is relative because the clocks of hosts differ.
 		Left time.Duration
 	}
 
-	// ForwardReply carries either an answer or a refusal.
+	// ForwardReply is the reply to Forward: the answer, or the refusal if that is not nil.
 	ForwardReply struct {
 		Answer  model.Answer
 		Refusal *model.Refusal
 	}
 
-	// SettingsPull asks for the documents changed after a revision.
+	// SettingsPull requests the documents that changed after a revision.
 	SettingsPull struct {
 		After uint64
 	}
 
-	// SettingsReply has the head revision and the documents asked for.
+	// SettingsReply is the reply to SettingsPull: the head revision and the requested documents.
 	SettingsReply struct {
 		Snapshot model.Snapshot
 	}
 
-	// Handover gives the keys of a member that leaves to another one.
+	// Handover transfers keys of a leaving member to the receiver. The entries may be split over several messages.
 	Handover struct {
-		From    kernel.Member
+		From kernel.Member
+		// Cutoff is the earliest time of issue of the keys that the leaving member accepts.
 		Cutoff  time.Time
 		Entries map[string]kernel.LedgerEntry
-		// Last marks the last part.
+		// Last is true in the last message.
 		Last bool
 	}
 
-	// HandoverReply acknowledges that the entries are held.
+	// HandoverReply acknowledges that the receiver has stored the entries. Held is the number of these entries.
 	HandoverReply struct {
 		Held int
 	}
 
-	// Explain asks what happened to a request.
+	// Explain requests the record of a request.
 	Explain struct {
 		Request string
 	}
 
-	// ExplainReply has the record; Found is false where the node has none.
+	// ExplainReply is the reply to Explain. Found is false if the node has no record of the request.
 	ExplainReply struct {
 		Found  bool
 		Record model.Record
 	}
 
-	// Demand tells the holder of a pool's lease what is wanted of its engines.
+	// Demand reports to the holder of a pool's lease which adapters its requests need.
 	Demand struct {
 		Pool   string
 		Wanted []kernel.Demand
 	}
 
-	// Grant asks a member of the newest era to grant that keys keep their owners.
+	// Grant asks a member of the newest era to grant that keys issued up to Until keep their owners (see kernel.Grants).
 	Grant struct {
 		Era   uint64
 		Until time.Time
 	}
 
-	// GrantReply has how far the member grants, if it does.
+	// GrantReply is the reply to Grant. If Granted is true, Until is the end of the key time that the member has granted.
 	GrantReply struct {
 		Granted bool
 		Until   time.Time
 	}
 
-	// Seal asks a member of the newest era to grant no more while an era is written against
-	// the row of that number.
+	// Seal asks a member of the newest era to stop its grants until it knows a claims row newer than Number, because
+	// the sender writes a new era against that row.
 	Seal struct {
 		Number uint64
 	}
 
-	// SealReply has above what key time that era must start.
+	// SealReply is the reply to Seal. If Sealed is true, From is the earliest key time at which the new era may start.
 	SealReply struct {
 		Sealed bool
 		From   time.Time
 	}
 
-	// Batch asks the batcher of a pool for the pieces of one stage of one request. Times are
-	// given as what is left: clocks differ between hosts.
+	// Batch asks the batcher of a pool for the pieces of one stage of one request. The fields correspond to those of
+	// kernel.PieceGroup. Times are relative because the clocks of hosts differ.
 	Batch struct {
 		Pool string
-		// OnlyAsk asks how long the pieces would wait, and for nothing else.
+		// OnlyAsk requests only the estimated wait and the room taken; no pieces are queued.
 		OnlyAsk bool
-		// Group is unique among the sender's groups.
+		// Group identifies the group. It is unique among the groups of the sender.
 		Group        string
 		Request      string
 		Digest       model.Digest
@@ -162,168 +163,176 @@
 		Domain       string
 		LocalityWait time.Duration
 		Rank         int
-		// AskedAgo is how long ago the sender first asked for the pieces, of any node.
+		// AskedAgo is the time since the sender first requested the pieces from any node.
 		AskedAgo time.Duration
-		DueIn    time.Duration
-		UntilIn  time.Duration
-		// PassedOver names nodes that did not answer the sender or batch no more: it can't be sent on
-		// to them.
+		// DueIn is the time until the results are needed, UntilIn the time until they become useless.
+		DueIn   time.Duration
+		UntilIn time.Duration
+		// PassedOver names the nodes that did not answer the sender, are leaving, or named another batcher. The
+		// group must not be passed on to them.
 		PassedOver []string
 	}
 
-	// BatchReply ends a group.
+	// BatchReply is the reply to Batch. It is sent when the group has ended.
 	BatchReply struct {
 		Outcome kernel.GroupOutcome
-		// Refused is true where the group was not taken; RetryAfter says when to come back.
+		// Refused is true if the group was not accepted. RetryAfter is then the time after which to retry.
 		Refused    bool
 		RetryAfter time.Duration
-		// Wait is how long pieces that come now wait.
+		// Wait is the estimated wait of pieces that are requested now.
 		Wait time.Duration
-		// RoomTaken is the share of the pool's room that is taken.
+		// RoomTaken is the share of the pool's room for results that is taken.
 		RoomTaken float64
-		// Leaving is true where the node batches no more: the sender asks another one.
+		// Leaving is true if the node no longer batches because it is leaving. The sender then tries another node.
 		Leaving bool
-		// Moved is true where another node batches for the pool now. MovedTo names it where it is
-		// known; the sender asks it instead.
+		// Moved is true if another node batches for the pool now. The sender then tries that node, which MovedTo
+		// names if it is known.
 		Moved   bool
 		MovedTo string
 	}
 
-	// TakeOver asks a node that may batch for a pool to leave that to the sender.
+	// TakeOver asks a node that may batch for a pool to hand the pool over to the sender.
 	TakeOver struct {
 		Pool string
+		// Node is the name of the sender.
 		Node string
-		// Capacity is what the sender's host can carry relative to others; Batches tells that it
-		// batches already.
+		// Capacity is the capacity of the sender's host relative to others. Batches is true if the sender already
+		// batches for the pool.
 		Capacity float64
 		Batches  bool
-		// Leaving tells that the sender is leaving itself: it batches only where all others leave.
+		// Leaving is true if the sender is leaving. It then batches only if all other nodes are leaving, too.
 		Leaving bool
 	}
 
-	// TakeOverReply is from a node that batched until now, or names the node that goes on to batch.
+	// TakeOverReply is the reply to TakeOver.
 	TakeOverReply struct {
+		// Batched is true if the replying node batched until now and has handed the pool over.
 		Batched bool
-		// MovedTo names the node that batches as far as is known; Stays is true where that is the
-		// answering node itself, which goes on.
+		// MovedTo names the node that batches for the pool, if known. Stays is true if that is the replying node
+		// itself, which continues to batch.
 		MovedTo string
 		Stays   bool
 	}
 
-	// BatchCancel withdraws a group that nobody waits for any more.
+	// BatchCancel cancels a group whose request was abandoned.
 	BatchCancel struct {
 		Pool  string
 		Group string
 	}
 
-	// Release frees results that are no longer needed.
+	// Release asks the batcher of a pool to free results that are no longer needed.
 	Release struct {
 		Pool string
 		Made []kernel.ResultRef
-		// SentOn is true where a node passed it on to the one that batches.
+		// SentOn is true if another node has passed the message on to the batcher. It is not passed on again.
 		SentOn bool
 	}
 
-	// ProbeReply tells whether a node batches pieces.
+	// ProbeReply is the reply to a probe, whose message is Empty. A node that is leaving does not batch.
 	ProbeReply struct {
 		Leaving bool
 	}
 
-	// CallerWait asks how long the caller of a request has waited since its first attempt, or, with
-	// Refused, tells that an attempt was refused after the caller had waited for a time.
+	// CallerWait asks how long the caller of a request has waited since its first attempt. If Refused is true, it
+	// reports instead that an attempt was refused after the caller had waited for Waited.
 	CallerWait struct {
 		Identity string
 		Refused  bool
 		Waited   time.Duration
 	}
 
-	// CallerWaitReply answers Return; Waited is zero for a request that is not known.
+	// CallerWaitReply is the reply to CallerWait. Waited is zero for an unknown request.
 	CallerWaitReply struct {
 		Waited time.Duration
 	}
 
-	// Feed asks for what changed in tables of the store after a version of each.
+	// Feed requests the changes of the store's tables from another node.
 	Feed struct {
+		// After holds the version of each table that the sender knows.
 		After map[string]uint64
-		// Unpacks tells that the asking node understands packed values.
+		// Unpacks is true if the sender can decompress values.
 		Unpacks bool
-		// Node is the asking node, ProvenAgo the greatest age of its proofs; zero where it knows too little.
+		// Node is the name of the sender. ProvenAgo is the greatest age of its tables, the time since each was last
+		// proven current; zero if it does not know all tables.
 		Node      string
 		ProvenAgo time.Duration
-		// Hold is how long a node that the store does not answer may wait for news before it answers.
+		// Hold is how long a node with stale tables, to which the store does not answer, may wait for newer ones before
+		// it replies.
 		Hold time.Duration
 	}
 
-	// FeedReply has an entry for each table that is known.
+	// FeedReply is the reply to Feed. Tables holds the changes of each table that the node knows, by name.
 	FeedReply struct {
 		Tables map[string]kernel.Delta
-		// Packed holds large values by table and key, compressed (DEFLATE); their rows in Tables have none.
+		// Packed holds large values by table and key, compressed with DEFLATE. Their rows in Tables have no value.
 		Packed map[string]map[string][]byte
-		// Lost is true where the store does not answer the node: what it knows is another node's word, or
-		// grows old.
+		// Lost is true if the store does not answer the node. Its tables then come from other nodes or are getting
+		// stale.
 		Lost bool
 	}
 
-	// Crash tells a pool's coordinator that the process of an endpoint ended while it worked on requests.
+	// Crash reports to a pool's coordinator that the process of an endpoint ended while it worked on requests.
 	Crash struct {
 		Pool        string
 		Incarnation string
-		// EndedAgo is how long ago that was: clocks differ between hosts.
+		// EndedAgo is the time since the end of the process. It is relative because the clocks of hosts differ.
 		EndedAgo time.Duration
 		Digests  []model.Digest
-		// CoordinatorLost tells that the pool's coordinator does not answer the sender: the one that is told now is to decide.
+		// CoordinatorLost is true if the pool's coordinator does not answer the sender. The receiver then decides in
+		// its place.
 		CoordinatorLost bool
 	}
 
-	// Trial asks a pool's coordinator whether a request that is held back may be sent once, or, with Unused, tells that
-	// it was not sent after all.
+	// Trial asks a pool's coordinator to permit one run of a request that is held back. If Unused is true, it reports
+	// instead that the request was not sent although the run was permitted.
 	Trial struct {
 		Digest model.Digest
 		Unused bool
 	}
 
-	// TrialReply answers Trial.
+	// TrialReply is the reply to Trial.
 	TrialReply struct {
 		Permitted bool
-		// RetryAfter is when the caller may come back where it is not.
+		// RetryAfter is the time after which the caller may retry if the run is not permitted.
 		RetryAfter time.Duration
 	}
 
-	// Clear tells a pool's coordinator that a request was answered whole: it does not end each endpoint that runs it.
+	// Clear reports to a pool's coordinator that a request was answered completely, which shows that it does not crash
+	// every endpoint that runs it.
 	Clear struct {
 		Digest model.Digest
 	}
 
-	// StoreQuarantine has another node write into the store which requests are held back, and which no longer: the sender
-	// can't reach it.
+	// StoreQuarantine asks another node to write a change of the held requests to the store, which does not answer the
+	// sender.
 	StoreQuarantine struct {
 		Change kernel.QuarantineChange
 	}
 
-	// Empty is the body of calls that say nothing more.
+	// Empty is the message of calls and replies without content.
 	Empty struct{}
 )
 
 type (
-	// CapPermit asks a node that shares an endpoint's rate cap to let the caller send one request in its place.
+	// CapPermit asks a node that shares an endpoint's rate cap for a permit to send one request in its place.
 	CapPermit struct {
 		Pool        string
 		Incarnation string
 	}
 
-	// CapPermitReply answers CapPermit. Where the permit is not granted, Wait is when the caller's turn comes.
+	// CapPermitReply is the reply to CapPermit. If the permit is denied, Wait is the time until the sender's turn.
 	CapPermitReply struct {
 		Granted bool
 		Wait    time.Duration
 	}
 
-	// RatePermit asks a node that holds a part of a customer's rate to count one request against it.
+	// RatePermit asks a node that holds a part of a customer's rate to count one request against that part.
 	RatePermit struct {
 		Team     string
 		Customer string
 	}
 
-	// RatePermitReply answers RatePermit. Where the request is not within the rate, Wait is when to come back.
+	// RatePermitReply is the reply to RatePermit. If the request exceeds the rate, Wait is the time after which to retry.
 	RatePermitReply struct {
 		Granted bool
 		Wait    time.Duration
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// minCompressBytes is from how many bytes on a reply is sent compressed: less takes a link of 10 Mbit/s under 2 ms.
-	// What changed at many endpoints at once, as at a common start, shrinks to a fifth.
+	// minCompressBytes is the length from which the body of a reply is compressed. A shorter one takes less than 2 ms on
+	// a link of 10 Mbit/s. The changes of many endpoints, as after a simultaneous start, shrink to a fifth.
 	minCompressBytes = 2 << 10
-	// maxDecompressedBytes bounds what a compressed message may become, so that a stranger cannot make a node allocate
-	// without end.
+	// maxDecompressedBytes bounds the length of a decompressed message, so that a small message cannot make a node
+	// allocate memory without limit.
 	maxDecompressedBytes = 16 << 20
 )
 
 var (
 	errDecompressedTooLong = errors.New("peer: a compressed message is too long")
-	// flateWriters are kept: a new one takes 0.6 MB.
+	// flateWriters are reused because each one takes 0.6 MB.
 	flateWriters = sync.Pool{New: func() any { return newFlateWriter() }}
 )
 
 func newFlateWriter() *flate.Writer {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		// Only a level that does not exist is an error.
+		// NewWriter fails only for an invalid level.
 		panic("peer: " + err.Error())
 	}
 	return w
 }
 
-// Compress compresses bytes (DEFLATE, fastest).
+// Compress compresses data with DEFLATE at its fastest level.
 func Compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w := flateWriters.Get().(*flate.Writer)
@@ -49,9 +49,9 @@
 	return out.Bytes(), nil
 }
 
-// Decompress returns what Compress was given.
-func Decompress(packed []byte) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedBytes+1))
+// Decompress reverses Compress.
+func Decompress(compressed []byte) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "peer: unable to decompress")
 	}
@@ -61,7 +61,7 @@
 	return data, nil
 }
 
-// packed returns a frame with a long body compressed.
+// compressed returns the frame with its body compressed, or unchanged if the body is shorter than minCompressBytes.
 func (f Frame) compressed() (Frame, error) {
 	if len(f.Body) < minCompressBytes {
 		return f, nil
@@ -75,7 +75,7 @@
 	return f, err
 }
 
-// body returns a frame's body as it was before it was compressed.
+// decompressedBody returns the frame's body, decompressed if necessary.
 func (f Frame) decompressedBody() (msgpack.RawMessage, error) {
 	if !f.Packed {
 		return f.Body, nil
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -19,6 +19,7 @@
 	"basilstall.example/basilstall/peer"
 )
 
+// newServer returns a server that handles KindSettings with handler.
 func newServer(t *testing.T, handler peer.Handler) *peer.Server {
 	t.Helper()
 	s, err := peer.NewServer("127.0.0.1:0", "secret")
@@ -71,8 +72,8 @@
 	defer c.Close()
 	must.EqOp(t, model.NotRun, verdictOf(t, c, closed.Addr().String()))
 
-	cut := newServer(t, func(context.Context, []byte) (any, error) { return nil, errors.New("cut") })
-	must.EqOp(t, model.MayHaveRun, verdictOf(t, c, cut.Address()))
+	failing := newServer(t, func(context.Context, []byte) (any, error) { return nil, errors.New("cut") })
+	must.EqOp(t, model.MayHaveRun, verdictOf(t, c, failing.Address()))
 }
 
 func verdictOf(t *testing.T, c *peer.Client, address string) model.Verdict {
@@ -83,8 +84,8 @@
 	return call.Verdict
 }
 
-// TestCallsToSilentPeerFail: a peer that took the connection and then says nothing ends the
-// calls on it long before their own deadline.
+// If a peer accepts the connection and then never replies, calls to it must fail with the connection, long before their
+// own deadline.
 func TestCallsToSilentPeerFail(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -101,7 +102,7 @@
 		frame.Reply = true
 		data, _ := peer.EncodeFrame(frame)
 		_, _ = conn.Write(data)
-		// From here on it reads and says nothing.
+		// After the handshake, it reads frames without replying.
 		for {
 			if _, err := peer.ReadFrame(conn); err != nil {
 				return
@@ -129,8 +130,8 @@
 }
 
 func FuzzReadFrame(f *testing.F) {
-	good, _ := peer.EncodeFrame(peer.Frame{Kind: peer.KindHeartbeat, Number: 1, Body: []byte{0x80}})
-	f.Add(good)
+	valid, _ := peer.EncodeFrame(peer.Frame{Kind: peer.KindHeartbeat, Number: 1, Body: []byte{0x80}})
+	f.Add(valid)
 	f.Add([]byte{0, 0, 0, 1, 0xc0})
 	f.Add([]byte{0, 0, 0, 9})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0})
@@ -145,8 +146,8 @@
 	})
 }
 
-// Nodes that ask for what the store holds are mostly told that nothing is new, twice a second each: the
-// answer says how old its proofs are and hardly more.
+// Most replies to Feed, two per second and node, report that nothing has changed. Such a reply must take little more
+// than the age of each table.
 func TestReplyWithoutChangesIsSmall(t *testing.T) {
 	reply := peer.FeedReply{Tables: map[string]kernel.Delta{}}
 	for _, table := range []string{"op", "servers", "basilstall_nodes"} {
@@ -157,18 +158,18 @@
 	frame, err := peer.EncodeFrame(peer.Frame{Kind: peer.KindFeed, Number: 4321, Reply: true, Body: body})
 	must.NoError(t, err)
 	must.LessEq(t, 180, len(frame))
-	var back peer.FeedReply
-	must.NoError(t, peer.DecodeBody(body, &back))
-	must.Eq(t, reply, back)
+	var decoded peer.FeedReply
+	must.NoError(t, peer.DecodeBody(body, &decoded))
+	must.Eq(t, reply, decoded)
 }
 
-// At a common start hundreds of endpoints list themselves within a second, and each follower is told of each: such
-// replies take under a third of the bytes, and small ones are left as they are.
+// When hundreds of endpoints start together, each node that follows the store receives the entries of all of them
+// within a second. Such replies must shrink to less than a third; small replies stay uncompressed.
 func TestLongRepliesAreCompressed(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		endpoints int
-		most      int64
+		maxBytes  int64
 	}{
 		{"many endpoints", 500, 500 * 60},
 		{"one endpoint", 1, 300},
@@ -182,44 +183,44 @@
 			}
 			reply.Tables["servers"] = delta
 			s := newServer(t, func(context.Context, []byte) (any, error) { return reply, nil })
-			counted := newCountingProxy(t, s.Address())
+			proxy := newCountingProxy(t, s.Address())
 			c := peer.NewClient("a", "secret")
 			defer c.Close()
-			var back peer.FeedReply
-			must.NoError(t, c.Call(t.Context(), counted.address, peer.KindSettings, peer.SettingsPull{}, &back))
-			must.Eq(t, reply, back)
-			must.LessEq(t, tc.most, counted.bytesReturned.Load())
+			var decoded peer.FeedReply
+			must.NoError(t, c.Call(t.Context(), proxy.address, peer.KindSettings, peer.SettingsPull{}, &decoded))
+			must.Eq(t, reply, decoded)
+			must.LessEq(t, tc.maxBytes, proxy.bytesReturned.Load())
 		})
 	}
 }
 
-// counter passes connections on and counts the bytes that come back.
+// countingProxy forwards one connection and counts the bytes that the server sends.
 type countingProxy struct {
 	address       string
 	bytesReturned atomic.Int64
 }
 
-func newCountingProxy(t *testing.T, to string) *countingProxy {
+func newCountingProxy(t *testing.T, target string) *countingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	c := &countingProxy{address: listener.Addr().String()}
 	go func() {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		defer near.Close()
-		far, err := net.Dial("tcp", to)
+		defer client.Close()
+		server, err := net.Dial("tcp", target)
 		if err != nil {
 			return
 		}
-		defer far.Close()
+		defer server.Close()
 		go func() {
-			_, _ = io.Copy(far, near)
+			_, _ = io.Copy(server, client)
 		}()
-		_, _ = io.Copy(near, io.TeeReader(far, c))
+		_, _ = io.Copy(client, io.TeeReader(server, c))
 	}()
 	return c
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,17 +14,18 @@
 )
 
 type (
-	// Handler answers one call: it decodes the body and returns the reply's message.
+	// Handler handles one call: it decodes the body and returns the message of the reply. After an error, the server
+	// closes the connection.
 	Handler func(ctx context.Context, body []byte) (any, error)
 
-	// Server answers peers' calls.
+	// Server handles the calls of peers. Handlers run concurrently.
 	Server struct {
-		// Handlers has one entry a kind; it is not changed once the server runs.
+		// Handlers holds the handler of each kind. It must not be changed once the server runs.
 		Handlers map[Kind]Handler
-		// CancelOnDisconnect lists the kinds whose handlers' contexts end with the connection: work that
-		// is of no use without its caller.
+		// CancelOnDisconnect holds the kinds whose handlers' contexts are cancelled when the connection is closed,
+		// because their work is of no use without the caller. It must not be changed once the server runs.
 		CancelOnDisconnect map[Kind]bool
-		// OnTokenRefused is called for each wrong token.
+		// OnTokenRefused is called for each Hello with a wrong token, with the remote address.
 		OnTokenRefused func(remote string)
 
 		token    string
@@ -37,7 +38,7 @@
 	}
 )
 
-// NewServer listens on an address, HOST:PORT. Serve starts the work.
+// NewServer listens on an address of the form HOST:PORT. Connections are accepted after Serve was called.
 func NewServer(address, token string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -54,12 +55,12 @@
 	}, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens, HOST:PORT.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Serve begins to answer in the name of a member.
+// Serve starts to accept connections, and returns at once. The server identifies itself as member to its callers.
 func (s *Server) Serve(member kernel.Member, handlers map[Kind]Handler) {
 	s.member = member
 	s.Handlers = handlers
@@ -80,7 +81,7 @@
 	}()
 }
 
-// Close ends the server and its connections.
+// Close closes the listener and all connections, and cancels the contexts of the handlers.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
@@ -134,7 +135,8 @@
 	}
 }
 
-// greet checks the first frame, which must be a Hello with the right token.
+// handshake reads the first frame, which must be a Hello with the right token, and replies to it. It reports whether
+// the connection may be used.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader, w *replyWriter) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	frame, err := ReadFrame(reader)
@@ -155,10 +157,11 @@
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
+// replyWriter writes the replies of concurrent handlers to a connection. It closes the connection if that fails.
 type replyWriter struct {
 	mu   sync.Mutex
 	conn net.Conn
-	// packs tells that the caller understands compressed replies; it is set by the first frame.
+	// compress is true if the caller can decompress replies. It is set by the handshake.
 	compress bool
 }
 
