--- a/peer/client.go
+++ b/peer/client.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	dialTimeout  = time.Second
-	helloTimeout = 2 * time.Second
+	dialTimeout         = time.Second
+	defaultHelloTimeout = 2 * time.Second
 	// defaultSilenceTimeout is the silence timeout of a client on which SetSilenceTimeout is not called.
 	defaultSilenceTimeout = 1500 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 		dialLocks: map[string]*sync.Mutex{},
 
 		silenceTimeout: defaultSilenceTimeout,
-		helloTimeout:   helloTimeout,
+		helloTimeout:   defaultHelloTimeout,
 	}
 }
 
@@ -81,7 +81,7 @@
 
 // Call sends a message to the peer at an address and decodes its reply into reply. The error is a *CallError.
 func (c *Client) Call(ctx context.Context, address string, kind Kind, message, reply any) error {
-	return c.call(ctx, nil, address, kind, message, reply)
+	return c.callWithSilence(ctx, nil, address, kind, message, reply)
 }
 
 // CallUnlessSilent is like Call, for replies that may be large: the call fails if nothing is received from the peer for
@@ -89,11 +89,11 @@
 func (c *Client) CallUnlessSilent(ctx context.Context, timeout time.Duration, address string, kind Kind, message, reply any) error {
 	ctx, silence := clock.WithSilence(ctx, timeout, timeout)
 	defer silence.Stop()
-	return c.call(ctx, silence, address, kind, message, reply)
+	return c.callWithSilence(ctx, silence, address, kind, message, reply)
 }
 
-// call performs a call. If silence is not nil, it is reset whenever bytes are received on the connection.
-func (c *Client) call(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
+// callWithSilence performs a call. If silence is not nil, it is reset whenever bytes are received on the connection.
+func (c *Client) callWithSilence(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
--- a/peer/server.go
+++ b/peer/server.go
@@ -138,7 +138,7 @@
 // handshake reads the first frame, which must be a Hello with the right token, and replies to it. It reports whether
 // the connection may be used.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader, w *replyWriter) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(defaultHelloTimeout))
 	frame, err := ReadFrame(reader)
 	if err != nil || frame.Kind != KindHello {
 		return false
