--- a/caller/client.go
+++ b/caller/client.go
@@ -14,12 +14,13 @@
 	"github.com/go-faster/errors"
 )
 
+// maxEventBytes bounds the length of a line in a stream.
 const maxEventBytes = 4 << 20
 
 type (
-	// Client sends requests as a caller does.
+	// Client sends requests to a node.
 	Client struct {
-		// Base is the node's URL, http://HOST:PORT.
+		// BaseURL is the URL of the node, of the form http://HOST:PORT.
 		BaseURL string
 		Token   string
 		HTTP    *http.Client
@@ -29,14 +30,14 @@
 	Call struct {
 		Pipeline string
 		Key      string
-		// Attempt is sent if it is above zero.
+		// Attempt is the attempt number. It is sent if it is greater than zero.
 		Attempt int
 		Body    RequestBody
-		// OnToken gets the tokens of a stream; it may be nil.
+		// OnToken is called for each token of a stream; it may be nil.
 		OnToken func(TokenBody)
 	}
 
-	// Result is how a request ended: exactly one of the two is set.
+	// Result is the outcome of a request. Exactly one of Answer and Refusal is set.
 	Result struct {
 		Status  int
 		Answer  *AnswerBody
@@ -44,21 +45,21 @@
 	}
 )
 
-// ErrStreamTruncated is returned for a stream that ended without its final event.
-var ErrStreamTruncated = errors.New("caller: the stream was cut")
+// ErrStreamTruncated is returned if a stream ends without its final event.
+var ErrStreamTruncated = errors.New("caller: the stream ended without its final event")
 
-// Send sends a request and returns its answer or refusal. An error means that neither came.
+// Send sends a request and returns its answer or refusal. It returns an error if neither was received.
 func (c *Client) Send(ctx context.Context, call Call) (Result, error) {
 	data, err := json.Marshal(call.Body)
 	if err != nil {
-		return Result{}, errors.Wrap(err, "caller: unable to encode")
+		return Result{}, errors.Wrap(err, "caller: unable to encode the request")
 	}
 	target := c.BaseURL + "/v1/pipelines/" + url.PathEscape(call.Pipeline) + "/requests"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(data))
 	if err != nil {
-		return Result{}, errors.Wrap(err, "caller: unable to make a request")
+		return Result{}, errors.Wrap(err, "caller: unable to create the request")
 	}
-	// Without GetBody net/http does not send the request a second time by itself.
+	// Without GetBody, net/http does not retry the request on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+c.Token)
@@ -70,7 +71,7 @@
 	}
 	res, err := c.HTTP.Do(req)
 	if err != nil {
-		return Result{}, errors.Wrap(err, "caller: unable to send")
+		return Result{}, errors.Wrap(err, "caller: unable to send the request")
 	}
 	defer res.Body.Close()
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
@@ -90,15 +91,15 @@
 	return result, wrapDecodeError(decoder.Decode(result.Refusal))
 }
 
-// wrapDecodeError wraps an error; errors.Wrap would make one out of nil.
+// wrapDecodeError wraps an error of a decoder. Unlike errors.Wrap, it returns nil for nil.
 func wrapDecodeError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Wrap(err, "caller: unable to decode")
+	return errors.Wrap(err, "caller: unable to decode the response")
 }
 
-// readStream reads events up to the final one and checks their numbers.
+// readStream reads events up to the final one. Their IDs must be consecutive, beginning with 0.
 func readStream(body io.Reader, onToken func(TokenBody)) (Result, error) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
@@ -109,7 +110,7 @@
 		switch name {
 		case "id":
 			if value != strconv.Itoa(next) {
-				return Result{}, errors.Errorf("caller: event %s where %d was due", value, next)
+				return Result{}, errors.Errorf("caller: unexpected event ID %s in the stream: want %d", value, next)
 			}
 			next++
 		case "event":
@@ -124,6 +125,7 @@
 	return Result{}, ErrStreamTruncated
 }
 
+// handleEvent decodes the data of an event. It reports whether the event is the final one of its stream.
 func handleEvent(event string, data []byte, onToken func(TokenBody)) (result Result, done bool, err error) {
 	result.Status = http.StatusOK
 	switch event {
--- a/caller/doc.go
+++ b/caller/doc.go
@@ -1,3 +1,3 @@
-// Package caller speaks HTTP and JSON to callers: it parses and checks requests, hands them to
-// the node, and writes answers, streams and refusals.
+// Package caller implements the HTTP API for callers. The server parses and validates requests, passes them to the
+// node, and writes answers, streams and refusals. The client sends requests.
 package caller
--- a/caller/message.go
+++ b/caller/message.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes bounds the length of a request's body.
 	MaxBodyBytes = 1 << 20
 	maxTokens    = 8192
 )
@@ -27,18 +27,18 @@
 )
 
 type (
-	// RequestBody is what a caller sends.
+	// RequestBody is the body of a request.
 	RequestBody struct {
 		model.Input
-		// Timeout is a duration such as "1.5s"; Deadline is a time in RFC 3339. The nearer
-		// one holds, and the pipeline's deadline caps both.
+		// Timeout is a duration such as "1.5s"; Deadline is a time in RFC 3339. The earlier of the two applies, and
+		// neither can exceed the deadline of the pipeline.
 		Timeout  string `json:"Timeout,omitempty"`
 		Deadline string `json:"Deadline,omitempty"`
 		// Stream asks for server-sent events.
 		Stream bool `json:"Stream,omitempty"`
 	}
 
-	// AnswerBody is a whole answer.
+	// AnswerBody is the body of an answer, and the data of an Answer event.
 	AnswerBody struct {
 		Request  string
 		Verdict  model.Verdict
@@ -50,7 +50,8 @@
 		Stages   []StageBody
 	}
 
-	// StageBody is what one stage cost.
+	// StageBody describes how one stage ran. Milliseconds includes the wait for a place at the pool;
+	// BusySeconds is the time in which endpoints worked for the stage, failed attempts included.
 	StageBody struct {
 		Stage        string
 		Endpoint     string
@@ -60,7 +61,7 @@
 		Tokens       int `json:",omitempty"`
 	}
 
-	// RefusalBody is an honest refusal.
+	// RefusalBody is the body of a refusal, and the data of a Refusal event.
 	RefusalBody struct {
 		Request                string
 		Verdict                model.Verdict
@@ -69,7 +70,7 @@
 		Detail                 string
 	}
 
-	// TokenBody is the data of a token event.
+	// TokenBody is the data of a Token event.
 	TokenBody struct {
 		Index int
 		Text  string
@@ -78,7 +79,8 @@
 
 var errTrailingData = errors.New("the body holds more than one JSON value")
 
-// DecodeBody parses a request's body strictly. The error is a sentence for the caller.
+// DecodeBody decodes and validates the body of a request. Unknown fields and data after the JSON value are errors. The
+// text of the error is sent to the caller.
 func DecodeBody(data []byte) (RequestBody, error) {
 	var body RequestBody
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -98,9 +100,10 @@
 	return body, nil
 }
 
-// DeadlineAt returns the request's deadline. The error is a sentence for the caller.
-func (b RequestBody) DeadlineAt(now time.Time, most time.Duration) (time.Time, error) {
-	deadline := now.Add(most)
+// DeadlineAt returns the deadline of a request that was received at now, at most limit later. The text of the error is
+// sent to the caller.
+func (b RequestBody) DeadlineAt(now time.Time, limit time.Duration) (time.Time, error) {
+	deadline := now.Add(limit)
 	if b.Timeout != "" {
 		d, err := time.ParseDuration(b.Timeout)
 		if err != nil || d <= 0 {
--- a/caller/refusal.go
+++ b/caller/refusal.go
@@ -37,7 +37,7 @@
 	model.Quarantined:      http.StatusServiceUnavailable,
 }
 
-// refuse writes a refusal at once, with when to come back.
+// writeRefusal counts a refusal and writes it, with the time after which the caller may retry.
 func (s *Server) writeRefusal(c echo.Context, id string, r *model.Refusal) error {
 	s.deps.CountRefusal(r)
 	h := c.Response().Header()
--- a/caller/requests.go
+++ b/caller/requests.go
@@ -14,14 +14,14 @@
 	"basilstall.example/basilstall/model"
 )
 
-// parsed is a request that passed all checks.
+// parsedRequest is a validated request.
 type parsedRequest struct {
 	request  model.Request
 	pipeline model.Pipeline
 	stream   bool
 }
 
-// postRequest parses, validates, calls and answers.
+// postRequest handles a request to a pipeline.
 func (s *Server) postRequest(c echo.Context) error {
 	id := s.deps.NewID()
 	c.Response().Header().Set(HeaderRequest, id)
@@ -40,6 +40,7 @@
 	return c.JSON(http.StatusOK, newAnswerBody(id, answer))
 }
 
+// parse authenticates the caller and validates the request.
 func (s *Server) parse(c echo.Context, id string) (parsedRequest, *model.Refusal) {
 	caller, ok := s.deps.Authenticate(bearerToken(c.Request()))
 	if !ok {
@@ -76,7 +77,8 @@
 	return parsedRequest{request: request, pipeline: pipeline, stream: stream}, nil
 }
 
-// readKey reads the idempotency key, which a pipeline with a non-idempotent stage demands.
+// readKey reads the idempotency key and the attempt number. A pipeline with a non-idempotent stage requires a key;
+// other pipelines ignore both.
 func readKey(r *http.Request, pipeline model.Pipeline, request *model.Request) error {
 	if !pipeline.NonIdempotent() {
 		return nil
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// refusalBeforeKey refuses a request before its key was looked at. If it has one, another attempt
-// may have run under settings that this node does not have.
+// refusalBeforeKey returns the refusal of a request whose key was not checked. The verdict is MayHaveRun if the request
+// has a key: another attempt may have run under settings that this node does not have.
 func (s *Server) refusalBeforeKey(c echo.Context, reason model.Reason, detail string) *model.Refusal {
 	verdict := model.NotRun
 	if c.Request().Header.Get(HeaderKey) != "" {
@@ -114,6 +116,7 @@
 	return model.NewRefusal(model.NotRun, model.BadRequest, 0, detail)
 }
 
+// bearerToken returns the token in the Authorization header, or an empty string if there is none.
 func bearerToken(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/caller/requests_test.go
+++ b/caller/requests_test.go
@@ -17,7 +17,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// newServer returns a server whose node answers at once, and a count of what was served.
+// newServer returns a server whose node answers at once, and the number of requests that reached the node.
 func newServer(t *testing.T) (*caller.Server, *atomic.Int64) {
 	t.Helper()
 	var served atomic.Int64
@@ -60,6 +60,7 @@
 	return s, &served
 }
 
+// post sends a request with a valid token, unless headers replace it, and returns the response and its body.
 func post(t *testing.T, s *caller.Server, pipeline, body string, headers map[string]string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.Address()+"/v1/pipelines/"+pipeline+"/requests", strings.NewReader(body))
@@ -78,42 +79,42 @@
 
 func TestInvalidRequestIsRefusedWithDetailAndNotRun(t *testing.T) {
 	s, served := newServer(t)
-	good := `{"Text":"x"}`
+	valid := `{"Text":"x"}`
 	cases := []struct {
 		name     string
 		pipeline string
 		body     string
 		headers  map[string]string
 		status   int
-		says     string
+		detail   string
 	}{
 		{"malformed JSON", "ask", `{"Text":`, nil, 400, "not the JSON expected"},
 		{"unknown field", "ask", `{"Text":"x","Tempo":1}`, nil, 400, "Tempo"},
-		{"two values", "ask", good + good, nil, 400, "more than one JSON value"},
+		{"two values", "ask", valid + valid, nil, 400, "more than one JSON value"},
 		{"no text", "ask", `{}`, nil, 400, "Text is missing"},
 		{"wrong type", "ask", `{"Text":3}`, nil, 400, "Text"},
 		{"body over the limit", "ask", `{"Text":"` + strings.Repeat("x", caller.MaxBodyBytes) + `"}`, nil, 400, "longer than"},
 		{"too many tokens", "ask", `{"Text":"x","MaxTokens":99999}`, nil, 400, "MaxTokens"},
 		{"negative tokens", "ask", `{"Text":"x","MaxTokens":-1}`, nil, 400, "MaxTokens"},
-		{"wrong token", "ask", good, map[string]string{"Authorization": "Bearer wrong"}, 401, "token"},
-		{"no token", "ask", good, map[string]string{"Authorization": ""}, 401, "token"},
-		{"unknown pipeline", "nope", good, nil, 404, "no pipeline nope"},
+		{"wrong token", "ask", valid, map[string]string{"Authorization": "Bearer wrong"}, 401, "token"},
+		{"no token", "ask", valid, map[string]string{"Authorization": ""}, 401, "token"},
+		{"unknown pipeline", "nope", valid, nil, 404, "no pipeline nope"},
 		{"deadline in the past", "ask", `{"Text":"x","Deadline":"2020-01-01T00:00:00Z"}`, nil, 400, "has passed"},
 		{"deadline that is no time", "ask", `{"Text":"x","Deadline":"soon"}`, nil, 400, "RFC 3339"},
 		{"timeout without a unit", "ask", `{"Text":"x","Timeout":"5"}`, nil, 400, "duration"},
 		{"timeout below zero", "ask", `{"Text":"x","Timeout":"-5s"}`, nil, 400, "duration"},
-		{"no key", "ticket", good, nil, 400, "Idempotency-Key"},
-		{"key with a space", "ticket", good, map[string]string{"Idempotency-Key": "a b"}, 400, "Idempotency-Key"},
-		{"key too long", "ticket", good, map[string]string{"Idempotency-Key": strings.Repeat("k", 129)}, 400, "Idempotency-Key"},
-		{"attempt that is no number", "ticket", good, map[string]string{"Idempotency-Key": "k", "Basilstall-Attempt": "two"}, 400, "Basilstall-Attempt"},
+		{"no key", "ticket", valid, nil, 400, "Idempotency-Key"},
+		{"key with a space", "ticket", valid, map[string]string{"Idempotency-Key": "a b"}, 400, "Idempotency-Key"},
+		{"key too long", "ticket", valid, map[string]string{"Idempotency-Key": strings.Repeat("k", 129)}, 400, "Idempotency-Key"},
+		{"attempt that is no number", "ticket", valid, map[string]string{"Idempotency-Key": "k", "Basilstall-Attempt": "two"}, 400, "Basilstall-Attempt"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			res, body := post(t, s, c.pipeline, c.body, c.headers)
-			must.EqOp(t, c.status, res.StatusCode)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			res, body := post(t, s, tc.pipeline, tc.body, tc.headers)
+			must.EqOp(t, tc.status, res.StatusCode)
 			var refusal caller.RefusalBody
 			must.NoError(t, json.Unmarshal([]byte(body), &refusal))
-			must.StrContains(t, refusal.Detail, c.says)
+			must.StrContains(t, refusal.Detail, tc.detail)
 			must.EqOp(t, model.NotRun, refusal.Verdict)
 			must.EqOp(t, "node.1", res.Header.Get("Basilstall-Request"))
 		})
--- a/caller/server.go
+++ b/caller/server.go
@@ -14,33 +14,35 @@
 )
 
 const (
-	// RequestsPath takes requests to a pipeline.
+	// RequestsPath is the route of requests to a pipeline.
 	RequestsPath      = "/v1/pipelines/:Pipeline/requests"
 	readHeaderTimeout = 10 * time.Second
 )
 
 type (
-	// Dependencies are what the server needs of its node.
+	// Dependencies are the functions through which a Server reaches its node.
 	Dependencies struct {
-		// Caller returns whom a token stands for.
+		// Authenticate returns the caller to which a token belongs, or false if the token is unknown.
 		Authenticate func(token string) (kernel.Caller, bool)
-		// Pipeline returns a team's pipeline.
+		// Pipeline returns a pipeline of a team by its name.
 		Pipeline func(team, name string) (model.Pipeline, bool)
-		// Serve runs a request to its answer or refusal.
+		// Serve runs a request and returns its answer, or a refusal that is not nil. It passes the tokens of a stream to
+		// emit; emit is nil if the caller did not request a stream.
 		Serve func(ctx context.Context, req model.Request, pipeline model.Pipeline, emit func(model.Token)) (model.Answer, *model.Refusal)
-		// NewID returns a new request's ID.
+		// NewID returns the ID of a new request.
 		NewID func() string
-		// Draining tells whether connections should end.
+		// Draining reports whether the node is draining, so that connections should be closed after their current
+		// request.
 		Draining func() bool
-		// Ready tells whether the balancer should send requests here, and why not.
+		// Ready reports whether the load balancer should send requests to this node, and the reason if not.
 		Ready func() (bool, string)
-		// Count counts an event by name.
+		// CountEvent counts an event by its name.
 		CountEvent func(event string)
-		// Refused counts a refusal.
+		// CountRefusal counts a refusal.
 		CountRefusal func(*model.Refusal)
 	}
 
-	// Server is the listener for callers.
+	// Server serves the HTTP API for callers.
 	Server struct {
 		deps     Dependencies
 		listener net.Listener
@@ -48,13 +50,13 @@
 	}
 )
 
-// NewServer listens on an address, HOST:PORT, and serves.
-func NewServer(address string, seams Dependencies) (*Server, error) {
+// NewServer listens on an address of the form HOST:PORT and starts to serve.
+func NewServer(address string, deps Dependencies) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "caller: unable to listen")
 	}
-	s := &Server{deps: seams, listener: listener}
+	s := &Server{deps: deps, listener: listener}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
@@ -67,23 +69,23 @@
 	return s, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens, HOST:PORT.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Shutdown takes no more connections and waits for the requests in flight.
+// Shutdown stops accepting connections and waits until the requests in flight have ended or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) {
 	_ = s.server.Shutdown(ctx)
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() {
 	_ = s.server.Close()
 }
 
-// closeWhenDraining lets a draining node's kept connections wind down, so that the shutdown
-// finds no idle one on which a request may just be arriving.
+// closeWhenDraining makes clients close their keep-alive connections while the node drains. Otherwise, Shutdown might
+// close an idle connection on which a request is just arriving.
 func (s *Server) closeWhenDraining(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if s.deps.Draining() {
@@ -98,9 +100,9 @@
 }
 
 func (s *Server) getReady(c echo.Context) error {
-	ready, why := s.deps.Ready()
+	ready, reason := s.deps.Ready()
 	if !ready {
-		return c.String(http.StatusServiceUnavailable, why+"\n")
+		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -10,15 +10,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-// The events of a stream. A stream that ends without Answer or Refusal was cut.
+// The events of a stream. A stream that ends without Answer or Refusal is incomplete.
 const (
 	EventToken   = "Token"
 	EventAnswer  = "Answer"
 	EventRefusal = "Refusal"
 )
 
-// eventWriter writes numbered server-sent events. The answer begins with the first event, so
-// that a request that is refused before any token gets a plain refusal.
+// eventWriter writes server-sent events with consecutive IDs. The response header is written with the first event, so
+// that a request that is refused before any token gets a refusal with its own status code instead of a stream.
 type eventWriter struct {
 	response *echo.Response
 	nextID   int
@@ -39,6 +39,7 @@
 	w.nextID++
 }
 
+// serveStream runs a request and writes its tokens and its answer or refusal as events.
 func (s *Server) serveStream(c echo.Context, p parsedRequest) error {
 	w := &eventWriter{response: c.Response()}
 	emit := func(t model.Token) {
--- a/operator/client.go
+++ b/operator/client.go
@@ -11,15 +11,15 @@
 	"github.com/go-faster/errors"
 )
 
-// Client calls a node as an operator does.
+// Client calls the operators' API of a node.
 type Client struct {
-	// Base is the node's URL, http://HOST:PORT.
+	// BaseURL is the URL of the node, of the form http://HOST:PORT.
 	BaseURL string
 	Token   string
 	HTTP    *http.Client
 }
 
-// ResponseError is an answer other than 200.
+// ResponseError is a response with a status other than 200.
 type ResponseError struct {
 	Status int
 	Body   []byte
@@ -34,12 +34,13 @@
 	return http.StatusText(e.Status)
 }
 
-// Get reads a path into a value.
+// Get requests a path and decodes the response into a value.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	return c.do(ctx, http.MethodGet, path, nil, into)
 }
 
-// SetDocument asks for a change of the document at a path. A result comes with an error status too.
+// SetDocument requests a change of the document at a path. If a response with an error status holds a ChangeResult,
+// SetDocument returns that without an error.
 func (c *Client) SetDocument(ctx context.Context, path string, change Change) (ChangeResult, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -54,13 +55,13 @@
 	return result, err
 }
 
-// CheckDocument asks what is wrong with a document; nil if it is good.
+// CheckDocument checks a document without setting it. It returns nil if the document is valid at the path.
 func (c *Client) CheckDocument(ctx context.Context, path string, document []byte) error {
 	var problem Problem
 	return c.do(ctx, http.MethodPost, "/v1/check/"+path, document, &problem)
 }
 
-// HistoryPath returns the path of a document's history.
+// HistoryPath returns the URL path of the history of the document at a path.
 func HistoryPath(path string) string {
 	return "/v1/history?" + url.Values{"path": {path}}.Encode()
 }
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator speaks HTTP and JSON to operators: settings, status, endpoints, what
-// happened to a request, health and metrics. Every call but health needs the token.
+// Package operator implements the HTTP API for operators: settings, status, endpoints, records of requests, health and
+// metrics. All calls except the health and readiness checks require the operators' token.
 package operator
--- a/operator/message.go
+++ b/operator/message.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// Status is what operators see of a node and of the fleet as it sees it.
+	// Status is the state of a node, and of the fleet as known to the node.
 	Status struct {
 		Node          string
 		Incarnation   string
@@ -21,23 +21,23 @@
 		InFlight      int64
 		Era           uint64
 		EraMembers    []string
-		// EraFrom is the first key time of the newest era.
+		// EraFrom is the earliest key time of the newest era.
 		EraFrom time.Time
 		Horizon time.Time
-		// Keys counts the keys that the node remembers.
+		// Keys is the number of keys in the node's ledger.
 		Keys    int
 		Members []MemberStatus
-		// Evacuated lists the failure domains whose endpoints get no work.
+		// Evacuated lists the failure domains to whose endpoints no work is sent.
 		Evacuated []EvacuatedDomain
 	}
 
-	// EvacuatedDomain is a failure domain that is evacuated, and since when as the node knows it.
+	// EvacuatedDomain is an evacuated failure domain. Since is when it was evacuated, as far as the node knows.
 	EvacuatedDomain struct {
 		FailureDomain string
 		Since         time.Time
 	}
 
-	// MemberStatus is one node as another sees it.
+	// MemberStatus is the state of a node as known to another node.
 	MemberStatus struct {
 		Node          string
 		Incarnation   string
@@ -45,28 +45,28 @@
 		State         string
 	}
 
-	// Change asks for a change of settings.
+	// Change is a requested change of a document of the settings.
 	Change struct {
-		// Base is the revision of the document that the change was made from; 0 for a new one.
+		// Base is the revision of the document on which the change is based; 0 for a new document.
 		Base uint64
-		// Operation is unique to the change; asking again with it does no harm.
+		// Operation identifies the change, so that it can be repeated safely. If it is empty, the server chooses one.
 		Operation string
 		Author    string
 		YAML      string
 	}
 
-	// ChangeResult says what became of a change.
+	// ChangeResult is the outcome of a change.
 	ChangeResult struct {
 		Outcome   table.ChangeOutcome
 		Operation string
-		// Revision is the change's, where it was applied.
+		// Revision is the revision that the change created, if it was applied.
 		Revision uint64 `json:",omitempty"`
-		// Current is the document that won the race, where the change lost it.
+		// Current is the present document, if it is newer than the base revision of the change.
 		Current *model.Document `json:",omitempty"`
 		Detail  string          `json:",omitempty"`
 	}
 
-	// Problem is an error with a sentence.
+	// Problem is the body of an error response. Detail is a sentence for the operator.
 	Problem struct {
 		Detail string
 	}
--- a/operator/server.go
+++ b/operator/server.go
@@ -21,23 +21,26 @@
 const readHeaderTimeout = 10 * time.Second
 
 type (
-	// Dependencies are what the server needs of its node.
+	// Dependencies are the functions and the store through which a Server reaches its node and the settings.
 	Dependencies struct {
-		// Settings returns what is in force.
+		// Settings returns the settings in force.
 		Settings func() kernel.Settings
 		// Store reads and writes the settings.
 		Store *table.Store
-		// OnSettingsChanged is called after a change was written.
+		// OnSettingsChanged is called after a change of the settings was written.
 		OnSettingsChanged func()
 		Status            func() Status
 		Endpoints         func() []dispatch.EndpointStatus
-		Explain           func(ctx context.Context, request string) (model.Record, bool)
-		Ready             func() (bool, string)
-		WriteMetrics      func(io.Writer)
-		CountEvent        func(event string)
+		// Explain returns the record of a request, or false if there is none.
+		Explain func(ctx context.Context, request string) (model.Record, bool)
+		// Ready reports whether the node is ready, and the reason if not.
+		Ready        func() (bool, string)
+		WriteMetrics func(io.Writer)
+		// CountEvent counts an event by its name.
+		CountEvent func(event string)
 	}
 
-	// Server is the listener for operators.
+	// Server serves the HTTP API for operators.
 	Server struct {
 		deps     Dependencies
 		token    string
@@ -46,13 +49,13 @@
 	}
 )
 
-// NewServer listens on an address, HOST:PORT, and serves.
-func NewServer(address, token string, seams Dependencies) (*Server, error) {
+// NewServer listens on an address of the form HOST:PORT and starts to serve.
+func NewServer(address, token string, deps Dependencies) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "operator: unable to listen")
 	}
-	s := &Server{deps: seams, token: token, listener: listener}
+	s := &Server{deps: deps, token: token, listener: listener}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
@@ -73,16 +76,17 @@
 	return s, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens, HOST:PORT.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() {
 	_ = s.server.Close()
 }
 
+// authorize rejects requests without the operators' token.
 func (s *Server) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
@@ -99,9 +103,9 @@
 }
 
 func (s *Server) getReady(c echo.Context) error {
-	ready, why := s.deps.Ready()
+	ready, reason := s.deps.Ready()
 	if !ready {
-		return c.String(http.StatusServiceUnavailable, why+"\n")
+		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -15,7 +15,7 @@
 
 const maxDocumentBytes = 1 << 20
 
-// getSettings lists the documents in force on this node.
+// getSettings returns the documents in force on this node.
 func (s *Server) getSettings(c echo.Context) error {
 	settings := s.deps.Settings()
 	documents := make([]model.Document, 0, len(settings.Documents))
@@ -25,7 +25,7 @@
 	return c.JSON(http.StatusOK, model.Snapshot{Revision: settings.Revision, Documents: documents})
 }
 
-// getDocument returns a document as the table has it.
+// getDocument returns a document as stored in the table, which may be newer than the one in force.
 func (s *Server) getDocument(c echo.Context) error {
 	doc, err := s.deps.Store.Document(c.Request().Context(), c.Param("*"))
 	if err != nil {
@@ -37,7 +37,7 @@
 	return c.JSON(http.StatusOK, doc)
 }
 
-// putDocument makes a change if nobody else changed the document since its base revision.
+// putDocument applies a change if the document is still at the base revision of the change.
 func (s *Server) putDocument(c echo.Context) error {
 	var change Change
 	decoder := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxDocumentBytes))
@@ -63,6 +63,7 @@
 	return s.writeChangeResult(c, change, outcome, current, err)
 }
 
+// writeChangeResult counts the outcome of a change and writes the response.
 func (s *Server) writeChangeResult(c echo.Context, change Change, outcome table.ChangeOutcome, current model.Document, err error) error {
 	result := ChangeResult{Outcome: outcome, Operation: change.Operation}
 	status := http.StatusOK
@@ -85,7 +86,7 @@
 	return c.JSON(status, result)
 }
 
-// checkDocument tells what is wrong with a document, without setting it.
+// checkDocument validates a document without setting it.
 func (s *Server) checkDocument(c echo.Context) error {
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxDocumentBytes))
 	if err != nil {
@@ -97,7 +98,7 @@
 	return c.JSON(http.StatusOK, Problem{Detail: "good"})
 }
 
-// getHistory returns the changes of a path, oldest first.
+// getHistory returns the changes of the document at a path, oldest first, or all changes if the path is empty.
 func (s *Server) getHistory(c echo.Context) error {
 	history, err := s.deps.Store.History(c.Request().Context(), c.QueryParam("path"))
 	if err != nil {
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -47,8 +47,8 @@
 	return f(p)
 }
 
-func newClientConn(raw net.Conn, silentAfter time.Duration) *clientConn {
-	c := &clientConn{conn: raw, silenceTimeout: silentAfter, calls: map[uint64]chan Frame{}, silences: map[uint64]*clock.Silence{}, done: make(chan struct{})}
+func newClientConn(raw net.Conn, silenceTimeout time.Duration) *clientConn {
+	c := &clientConn{conn: raw, silenceTimeout: silenceTimeout, calls: map[uint64]chan Frame{}, silences: map[uint64]*clock.Silence{}, done: make(chan struct{})}
 	c.lastReadAt.Store(time.Now().UnixNano())
 	go func() {
 		defer c.close()
