--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -48,8 +48,8 @@
 	_, err := d.Run(t.Context(), dispatch.Job{
 		Work: kernel.StageContext{Request: model.Request{ID: "r", Deadline: time.Now().Add(time.Minute)}, Stage: model.Stage{Name: "s", Pool: "p"}},
 		Plugin: kernel.Plugin{
-			Prepare: func(kernel.StageContext) model.StageCall { return model.StageCall{} },
-			Accept:  func(kernel.StageContext, model.StageReply) (model.Carry, error) { return model.Carry{}, nil },
+			Prepare:    func(kernel.StageContext) model.StageCall { return model.StageCall{} },
+			ParseReply: func(kernel.StageContext, model.StageReply) (model.Carry, error) { return model.Carry{}, nil },
 		},
 	})
 	return err
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -113,7 +113,7 @@
 		Domain:       m.Domain,
 		LocalityWait: m.LocalityWait,
 		Rank:         m.Rank,
-		AskedAt:      now.Add(-m.AskedAgo),
+		FirstSentAt:  now.Add(-m.AskedAgo),
 		Due:          now.Add(m.DueIn),
 		Until:        now.Add(m.UntilIn),
 	}
