--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -19,9 +19,9 @@
 // change is in force on all nodes. It returns the new revision.
 func (f *fleet) setFleetSettings(base uint64, yaml string) uint64 {
 	f.t.Helper()
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
+	client := &operator.Client{BaseURL: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: base, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), "fleet", change)
+	result, err := client.SetDocument(f.t.Context(), "fleet", change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -106,11 +106,11 @@
 // send sends a request to a node and returns the reason of its refusal, or "" if it was answered.
 func (f *fleet) send(n *node.Node, pipeline, text string) model.Reason {
 	f.t.Helper()
-	client := &caller.Client{Base: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: awaitTimeout}}
+	client := &caller.Client{BaseURL: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: awaitTimeout}}
 	key, err := uuid.NewV7()
 	must.NoError(f.t, err)
 	result, err := client.Send(context.Background(), caller.Call{
-		Pipeline: pipeline, Key: key.String(), Body: caller.Body{Input: model.Input{Text: text, MaxTokens: 5}},
+		Pipeline: pipeline, Key: key.String(), Body: caller.RequestBody{Input: model.Input{Text: text, MaxTokens: 5}},
 	})
 	must.NoError(f.t, err)
 	if result.Refusal == nil {
--- a/node/rates_test.go
+++ b/node/rates_test.go
@@ -29,9 +29,9 @@
 	token := "    Token: " + sample.BilbaoToken + "\n"
 	yaml := strings.Replace(document.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
 	must.StrContains(f.t, yaml, "RequestsPerSecond")
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
+	client := &operator.Client{BaseURL: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: document.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), document.Path, change)
+	result, err := client.SetDocument(f.t.Context(), document.Path, change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
--- a/operator/server.go
+++ b/operator/server.go
@@ -18,41 +18,44 @@
 	"basilstall.example/basilstall/table"
 )
 
-const headerTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
 type (
-	// Seams are what the server needs of its node.
-	Seams struct {
-		// Settings returns what is in force.
+	// Dependencies are the functions and the store through which a Server reaches its node and the settings.
+	Dependencies struct {
+		// Settings returns the settings in force.
 		Settings func() kernel.Settings
 		// Store reads and writes the settings.
 		Store *table.Store
-		// OnApplied is called after a change was written.
-		OnApplied func()
-		Status    func() Status
-		Endpoints func() []dispatch.EndpointStatus
-		Explain   func(ctx context.Context, request string) (model.Record, bool)
-		Ready     func() (bool, string)
-		Metrics   func(io.Writer)
-		Count     func(event string)
+		// OnSettingsChanged is called after a change of the settings was written.
+		OnSettingsChanged func()
+		Status            func() Status
+		Endpoints         func() []dispatch.EndpointStatus
+		// Explain returns the record of a request, or false if there is none.
+		Explain func(ctx context.Context, request string) (model.Record, bool)
+		// Ready reports whether the node is ready, and the reason if not.
+		Ready        func() (bool, string)
+		WriteMetrics func(io.Writer)
+		// CountEvent counts an event by its name.
+		CountEvent func(event string)
 	}
 
-	// Server is the listener for operators.
+	// Server serves the HTTP API for operators.
 	Server struct {
-		seams    Seams
+		deps     Dependencies
 		token    string
 		listener net.Listener
 		server   *http.Server
 	}
 )
 
-// NewServer listens on an address, HOST:PORT, and serves.
-func NewServer(address, token string, seams Seams) (*Server, error) {
+// NewServer listens on an address of the form HOST:PORT and starts to serve.
+func NewServer(address, token string, deps Dependencies) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "operator: unable to listen")
 	}
-	s := &Server{seams: seams, token: token, listener: listener}
+	s := &Server{deps: deps, token: token, listener: listener}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
@@ -68,26 +71,27 @@
 	v1.PUT("/settings/*", s.putDocument)
 	v1.POST("/check/*", s.checkDocument)
 	v1.GET("/history", s.getHistory)
-	s.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout}
+	s.server = &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens, HOST:PORT.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() {
 	_ = s.server.Close()
 }
 
+// authorize rejects requests without the operators' token.
 func (s *Server) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		if subtle.ConstantTimeCompare([]byte(token), []byte(s.token)) != 1 {
-			s.seams.Count("OperatorTokenRefused")
+			s.deps.CountEvent("OperatorTokenRefused")
 			return c.JSON(http.StatusUnauthorized, Problem{Detail: "the operator's token is wrong"})
 		}
 		return next(c)
@@ -99,29 +103,29 @@
 }
 
 func (s *Server) getReady(c echo.Context) error {
-	ready, why := s.seams.Ready()
+	ready, reason := s.deps.Ready()
 	if !ready {
-		return c.String(http.StatusServiceUnavailable, why+"\n")
+		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
 func (s *Server) getMetrics(c echo.Context) error {
 	c.Response().Header().Set("Content-Type", "text/plain; version=0.0.4")
-	s.seams.Metrics(c.Response())
+	s.deps.WriteMetrics(c.Response())
 	return nil
 }
 
 func (s *Server) getStatus(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.seams.Status())
+	return c.JSON(http.StatusOK, s.deps.Status())
 }
 
 func (s *Server) getEndpoints(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.seams.Endpoints())
+	return c.JSON(http.StatusOK, s.deps.Endpoints())
 }
 
 func (s *Server) getRequest(c echo.Context) error {
-	record, ok := s.seams.Explain(c.Request().Context(), c.Param("Request"))
+	record, ok := s.deps.Explain(c.Request().Context(), c.Param("Request"))
 	if !ok {
 		return c.JSON(http.StatusNotFound, Problem{Detail: "no record of this request; records are kept in a bounded ring"})
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,18 +14,19 @@
 )
 
 type (
-	// Handler answers one call: it decodes the body and returns the reply's message.
+	// Handler handles one call: it decodes the body and returns the message of the reply. After an error, the server
+	// closes the connection.
 	Handler func(ctx context.Context, body []byte) (any, error)
 
-	// Server answers peers' calls.
+	// Server handles the calls of peers. Handlers run concurrently.
 	Server struct {
-		// Handlers has one entry a kind; it is not changed once the server runs.
+		// Handlers holds the handler of each kind. It must not be changed once the server runs.
 		Handlers map[Kind]Handler
-		// EndWithConn lists the kinds whose handlers' contexts end with the connection: work that
-		// is of no use without its caller.
-		EndWithConn map[Kind]bool
-		// OnRefused is called for each wrong token.
-		OnRefused func(remote string)
+		// CancelOnDisconnect holds the kinds whose handlers' contexts are cancelled when the connection is closed,
+		// because their work is of no use without the caller. It must not be changed once the server runs.
+		CancelOnDisconnect map[Kind]bool
+		// OnTokenRefused is called for each Hello with a wrong token, with the remote address.
+		OnTokenRefused func(remote string)
 
 		token    string
 		member   kernel.Member
@@ -37,7 +38,7 @@
 	}
 )
 
-// NewServer listens on an address, HOST:PORT. Serve starts the work.
+// NewServer listens on an address of the form HOST:PORT. Connections are accepted after Serve was called.
 func NewServer(address, token string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,21 +46,21 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{
-		OnRefused: func(string) {},
-		token:     token,
-		listener:  listener,
-		ctx:       ctx,
-		cancel:    cancel,
-		conns:     map[net.Conn]struct{}{},
+		OnTokenRefused: func(string) {},
+		token:          token,
+		listener:       listener,
+		ctx:            ctx,
+		cancel:         cancel,
+		conns:          map[net.Conn]struct{}{},
 	}, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens, HOST:PORT.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Serve begins to answer in the name of a member.
+// Serve starts to accept connections, and returns at once. The server identifies itself as member to its callers.
 func (s *Server) Serve(member kernel.Member, handlers map[Kind]Handler) {
 	s.member = member
 	s.Handlers = handlers
@@ -73,14 +74,14 @@
 			s.conns[conn] = struct{}{}
 			s.mu.Unlock()
 			go func() {
-				defer s.drop(conn)
+				defer s.closeConn(conn)
 				s.serveConn(conn)
 			}()
 		}
 	}()
 }
 
-// Close ends the server and its connections.
+// Close closes the listener and all connections, and cancels the contexts of the handlers.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
@@ -91,7 +92,7 @@
 	}
 }
 
-func (s *Server) drop(conn net.Conn) {
+func (s *Server) closeConn(conn net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.mu.Unlock()
@@ -101,7 +102,7 @@
 func (s *Server) serveConn(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	w := &replyWriter{conn: conn}
-	if !s.greet(conn, reader, w) {
+	if !s.handshake(conn, reader, w) {
 		return
 	}
 	connCtx, cancel := context.WithCancel(s.ctx)
@@ -120,7 +121,7 @@
 			return
 		}
 		ctx := s.ctx
-		if s.EndWithConn[frame.Kind] {
+		if s.CancelOnDisconnect[frame.Kind] {
 			ctx = connCtx
 		}
 		go func() {
@@ -134,9 +135,10 @@
 	}
 }
 
-// greet checks the first frame, which must be a Hello with the right token.
-func (s *Server) greet(conn net.Conn, reader *bufio.Reader, w *replyWriter) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
+// handshake reads the first frame, which must be a Hello with the right token, and replies to it. It reports whether
+// the connection may be used.
+func (s *Server) handshake(conn net.Conn, reader *bufio.Reader, w *replyWriter) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(defaultHelloTimeout))
 	frame, err := ReadFrame(reader)
 	if err != nil || frame.Kind != KindHello {
 		return false
@@ -145,21 +147,22 @@
 	if DecodeBody(frame.Body, &hello) != nil {
 		return false
 	}
-	w.packs = hello.Unpacks
+	w.compress = hello.Unpacks
 	refused := subtle.ConstantTimeCompare([]byte(hello.Token), []byte(s.token)) != 1
 	w.reply(frame, HelloReply{Refused: refused, Member: s.member})
 	if refused {
-		s.OnRefused(conn.RemoteAddr().String())
+		s.OnTokenRefused(conn.RemoteAddr().String())
 		return false
 	}
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
+// replyWriter writes the replies of concurrent handlers to a connection. It closes the connection if that fails.
 type replyWriter struct {
 	mu   sync.Mutex
 	conn net.Conn
-	// packs tells that the caller understands compressed replies; it is set by the first frame.
-	packs bool
+	// compress is true if the caller can decompress replies. It is set by the handshake.
+	compress bool
 }
 
 func (w *replyWriter) reply(call Frame, message any) {
@@ -169,8 +172,8 @@
 		return
 	}
 	frame := Frame{Kind: call.Kind, Number: call.Number, Reply: true, Body: body}
-	if w.packs {
-		if frame, err = frame.packed(); err != nil {
+	if w.compress {
+		if frame, err = frame.compressed(); err != nil {
 			_ = w.conn.Close()
 			return
 		}
@@ -186,7 +189,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := writePieces(w.conn, data); err != nil {
+	if err := writeChunks(w.conn, data); err != nil {
 		_ = w.conn.Close()
 	}
 }
