--- a/cli/blame.go
+++ b/cli/blame.go
@@ -11,12 +11,12 @@
 	"basilstall.example/basilstall/blame"
 )
 
-// blameWindow is the usual length of the windows that a report counts by.
-const blameWindow = 2 * time.Second
+// defaultBlameWindow is the usual length of the windows that a report counts by.
+const defaultBlameWindow = 2 * time.Second
 
-func (sh *shell) blameCommand() *ff.Command {
+func (p *program) blameCommand() *ff.Command {
 	fs := ff.NewFlagSet("blame")
-	window := fs.DurationLong("window", blameWindow, "how long the windows are that requests are counted by")
+	window := fs.DurationLong("window", defaultBlameWindow, "how long the windows are that requests are counted by")
 	return &ff.Command{
 		Name:      "blame",
 		Usage:     "basilstall blame [FLAGS] LOG...",
@@ -24,12 +24,12 @@
 		LongHelp:  "Reads the JSON lines of all nodes. Exits 0, or 2 if a file can't be read.",
 		Flags:     fs,
 		Exec: func(_ context.Context, files []string) error {
-			return sh.blame(*window, files)
+			return p.blame(*window, files)
 		},
 	}
 }
 
-func (sh *shell) blame(window time.Duration, files []string) error {
+func (p *program) blame(window time.Duration, files []string) error {
 	if len(files) == 0 || window <= 0 {
 		return usageError("blame needs the names of log files, and a window above zero")
 	}
@@ -39,7 +39,7 @@
 			return exitWith(ExitUsage, err)
 		}
 	}
-	return report.Write(sh.stdout)
+	return report.Write(p.stdout)
 }
 
 func readLog(report *blame.Report, name string) error {
--- a/cli/check.go
+++ b/cli/check.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/platform"
 )
 
-func (sh *shell) checkCommand() *ff.Command {
+func (p *program) checkCommand() *ff.Command {
 	fs := ff.NewFlagSet("check")
 	settings := fs.StringLong("settings", "", "settings file of the users' platform")
 	routing := fs.StringLong("routing", "", "file with the routing as operators write it into the platform's store")
@@ -24,36 +24,36 @@
 				return usageError("check: nothing to check is given")
 			}
 			if *settings != "" {
-				if err := sh.checkSettings(*settings); err != nil {
+				if err := p.checkSettings(*settings); err != nil {
 					return err
 				}
 			}
 			if *routing != "" {
-				return sh.checkRouting(*routing)
+				return p.checkRouting(*routing)
 			}
 			return nil
 		},
 	}
 }
 
-func (sh *shell) checkSettings(name string) error {
+func (p *program) checkSettings(name string) error {
 	s, err := platform.ReadSettings(name)
 	if err != nil {
-		return exitWith(ExitUsage, inFile(name, err))
+		return exitWith(ExitUsage, withFileName(name, err))
 	}
-	fmt.Fprintf(sh.stdout, "%s: node %s in %s, store at %s, keys trusted for %s\n", name, s.Name, s.FailureDomain, s.Store, s.KeyTrust)
+	fmt.Fprintf(p.stdout, "%s: node %s in %s, store at %s, keys trusted for %s\n", name, s.Name, s.FailureDomain, s.Store, s.KeyTrust)
 	return nil
 }
 
-func (sh *shell) checkRouting(name string) error {
+func (p *program) checkRouting(name string) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
 	r, err := platform.DecodeRouting(text)
 	if err != nil {
-		return exitWith(ExitUsage, inFile(name, err))
+		return exitWith(ExitUsage, withFileName(name, err))
 	}
-	fmt.Fprintf(sh.stdout, "%s: version %d, %d routes, %d pools, %d customers\n", name, r.Version, len(r.Routes), len(r.Pools), len(r.Customers))
+	fmt.Fprintf(p.stdout, "%s: version %d, %d routes, %d pools, %d customers\n", name, r.Version, len(r.Routes), len(r.Pools), len(r.Customers))
 	return nil
 }
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -51,30 +51,30 @@
 }
 
 // shell is what all commands share.
-type shell struct {
+type program struct {
 	stdout io.Writer
 	stderr io.Writer
-	// nodeFile is the node's settings file, which ff reads; other commands read theirs.
-	nodeFile *string
+	// nodeConfigFile is the node's settings file, which ff reads; other commands read theirs.
+	nodeConfigFile *string
 	// signals gets SIGTERM and SIGINT.
 	signals chan os.Signal
 }
 
 // Main runs the command line and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
-	sh := &shell{stdout: stdout, stderr: stderr, signals: make(chan os.Signal, 2)}
-	signal.Notify(sh.signals, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(sh.signals)
-	root := sh.root()
+	p := &program{stdout: stdout, stderr: stderr, signals: make(chan os.Signal, 2)}
+	signal.Notify(p.signals, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(p.signals)
+	root := p.root()
 	err := root.ParseAndRun(context.Background(), args,
 		ff.WithEnvVarPrefix(config.EnvPrefix),
 		ff.WithConfigFileFlag("config"),
-		ff.WithConfigFileParser(sh.parseNodeFile),
+		ff.WithConfigFileParser(p.parseNodeConfig),
 	)
-	return sh.exitCode(root, err)
+	return p.exitCode(root, err)
 }
 
-func (sh *shell) root() *ff.Command {
+func (p *program) root() *ff.Command {
 	return &ff.Command{
 		Name:      "basilstall",
 		Usage:     "basilstall COMMAND [FLAGS]",
@@ -83,33 +83,33 @@
 			return ff.ErrHelp
 		},
 		Subcommands: []*ff.Command{
-			sh.serveCommand(),
-			sh.edgeCommand(),
-			sh.checkCommand(),
-			sh.standinCommand(),
-			sh.demoCommand(),
-			sh.requestCommand(),
-			sh.settingsCommand(),
-			sh.statusCommand(),
-			sh.endpointsCommand(),
-			sh.explainCommand(),
-			sh.blameCommand(),
-			sh.replayCommand(),
-			sh.measureCommand(),
-			sh.versionCommand(),
+			p.serveCommand(),
+			p.edgeCommand(),
+			p.checkCommand(),
+			p.standinCommand(),
+			p.demoCommand(),
+			p.requestCommand(),
+			p.settingsCommand(),
+			p.statusCommand(),
+			p.endpointsCommand(),
+			p.explainCommand(),
+			p.blameCommand(),
+			p.replayCommand(),
+			p.measureCommand(),
+			p.versionCommand(),
 		},
 	}
 }
 
-// parseNodeFile is called for each command's --config; only that of serve is for ff to read.
-func (sh *shell) parseNodeFile(r io.Reader, set func(name, value string) error) error {
-	if *sh.nodeFile == "" {
+// parseNodeConfig is called for each command's --config; only that of serve is for ff to read.
+func (p *program) parseNodeConfig(r io.Reader, set func(name, value string) error) error {
+	if *p.nodeConfigFile == "" {
 		return nil
 	}
-	return config.ParseFile(*sh.nodeFile, r, set)
+	return config.ParseFile(*p.nodeConfigFile, r, set)
 }
 
-func (sh *shell) exitCode(root *ff.Command, err error) int {
+func (p *program) exitCode(root *ff.Command, err error) int {
 	var exit *exitError
 	var document *yamldoc.Error
 	switch {
@@ -120,32 +120,32 @@
 		if selected == nil {
 			selected = root
 		}
-		fmt.Fprintf(sh.stdout, "%s\n", ffhelp.Command(selected))
+		fmt.Fprintf(p.stdout, "%s\n", ffhelp.Command(selected))
 		return ExitOK
 	case errors.As(err, &document):
-		fmt.Fprintf(sh.stderr, "basilstall: %s\n", document)
+		fmt.Fprintf(p.stderr, "basilstall: %s\n", document)
 		return ExitUsage
 	case errors.As(err, &exit):
-		fmt.Fprintf(sh.stderr, "basilstall: %s\n", err)
+		fmt.Fprintf(p.stderr, "basilstall: %s\n", err)
 		return exit.code
 	default:
-		fmt.Fprintf(sh.stderr, "basilstall: %s\n", err)
+		fmt.Fprintf(p.stderr, "basilstall: %s\n", err)
 		return ExitUsage
 	}
 }
 
 // logger returns the log of a process that runs on: one line of JSON a change of state.
-func (sh *shell) logger(level string) zerolog.Logger {
+func (p *program) logger(level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
 		parsed = zerolog.InfoLevel
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	return zerolog.New(sh.stderr).Level(parsed).With().Timestamp().Logger()
+	return zerolog.New(p.stderr).Level(parsed).With().Timestamp().Logger()
 }
 
-func (sh *shell) printJSON(value any) error {
-	encoder := json.NewEncoder(sh.stdout)
+func (p *program) printJSON(value any) error {
+	encoder := json.NewEncoder(p.stdout)
 	encoder.SetEscapeHTML(false)
 	return encoder.Encode(value)
 }
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -18,9 +18,9 @@
 	"basilstall.example/basilstall/standin"
 )
 
-const demoWait = 10 * time.Second
+const demoTimeout = 10 * time.Second
 
-func (sh *shell) demoCommand() *ff.Command {
+func (p *program) demoCommand() *ff.Command {
 	fs := ff.NewFlagSet("demo")
 	return &ff.Command{
 		Name:      "demo",
@@ -28,7 +28,7 @@
 		ShortHelp: "run three nodes and stand-ins in one process, send a few requests, show the answers",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			if err := sh.demo(ctx); err != nil {
+			if err := p.demo(ctx); err != nil {
 				return exitWith(ExitFailed, err)
 			}
 			return nil
@@ -36,15 +36,15 @@
 	}
 }
 
-func (sh *shell) demo(ctx context.Context) error {
+func (p *program) demo(ctx context.Context) error {
 	c := sample.Bilbao()
 	platform, err := standin.NewStandin(c)
 	if err != nil {
 		return err
 	}
 	defer platform.Close()
-	fmt.Fprintf(sh.stdout, "stand-in: platform on %s, %d endpoints\n", platform.Address(), len(platform.Endpoints()))
-	nodes, err := sh.demoNodes(platform.Address())
+	fmt.Fprintf(p.stdout, "stand-in: platform on %s, %d endpoints\n", platform.Address(), len(platform.Endpoints()))
+	nodes, err := p.startDemoNodes(platform.Address())
 	for _, n := range nodes {
 		defer n.Close()
 	}
@@ -54,10 +54,10 @@
 	if err := awaitReady(ctx, nodes); err != nil {
 		return err
 	}
-	return sh.demoRequests(ctx, nodes, platform)
+	return p.sendDemoRequests(ctx, nodes, platform)
 }
 
-func (sh *shell) demoNodes(platform string) ([]*node.Node, error) {
+func (p *program) startDemoNodes(platform string) ([]*node.Node, error) {
 	var nodes []*node.Node
 	for i, domain := range sample.BilbaoDomains {
 		options := config.NewOptions()
@@ -67,19 +67,19 @@
 		options.OperatorsToken = "demo-operator"
 		options.PeersToken = "demo-peers"
 		options.LogLevel = "warn"
-		n, err := node.NewNode(*options, sh.logger(options.LogLevel))
+		n, err := node.NewNode(*options, p.logger(options.LogLevel))
 		if err != nil {
 			return nodes, err
 		}
 		nodes = append(nodes, n)
-		fmt.Fprintf(sh.stdout, "node %s in %s: callers %s, operators %s\n", options.Name, domain, n.CallersAddress(), n.OperatorsAddress())
+		fmt.Fprintf(p.stdout, "node %s in %s: callers %s, operators %s\n", options.Name, domain, n.CallersAddress(), n.OperatorsAddress())
 	}
 	return nodes, nil
 }
 
 // awaitReady waits until all nodes are ready and own keys together.
 func awaitReady(ctx context.Context, nodes []*node.Node) error {
-	ctx, cancel := context.WithTimeout(ctx, demoWait)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	for {
 		ready := 0
@@ -100,21 +100,21 @@
 	}
 }
 
-func (sh *shell) demoRequests(ctx context.Context, nodes []*node.Node, platform *standin.Standin) error {
+func (p *program) sendDemoRequests(ctx context.Context, nodes []*node.Node, platform *standin.Standin) error {
 	client := func(i int) *caller.Client {
 		return &caller.Client{
 			Base:  "http://" + nodes[i].CallersAddress(),
 			Token: sample.BilbaoToken,
-			HTTP:  &http.Client{Timeout: demoWait},
+			HTTP:  &http.Client{Timeout: demoTimeout},
 		}
 	}
 	renewal := caller.Call{
 		Pipeline: "renewal",
 		Body:     caller.Body{Input: model.Input{Text: "renew the agreement of Bar Arriaga", MaxTokens: 12}, Stream: true},
-		OnToken:  func(t caller.TokenBody) { fmt.Fprint(sh.stdout, t.Text) },
+		OnToken:  func(t caller.TokenBody) { fmt.Fprint(p.stdout, t.Text) },
 	}
-	fmt.Fprintln(sh.stdout, "\nencode, retrieve, rerank, generate under one deadline, streamed:")
-	if err := sh.demoSend(ctx, client(0), renewal); err != nil {
+	fmt.Fprintln(p.stdout, "\nencode, retrieve, rerank, generate under one deadline, streamed:")
+	if err := p.sendDemoRequest(ctx, client(0), renewal); err != nil {
 		return err
 	}
 	key, err := uuid.NewV7()
@@ -123,16 +123,16 @@
 	}
 	ticket := caller.Call{Pipeline: "collection-ticket", Key: key.String(), Body: caller.Body{Input: model.Input{Text: "collect at Bar Arriaga"}}}
 	for i := range nodes {
-		fmt.Fprintf(sh.stdout, "\ncollection ticket with one key, through node %d:\n", i+1)
-		if err := sh.demoSend(ctx, client(i), ticket); err != nil {
+		fmt.Fprintf(p.stdout, "\ncollection ticket with one key, through node %d:\n", i+1)
+		if err := p.sendDemoRequest(ctx, client(i), ticket); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(sh.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoAccount+"/"+key.String()])
+	fmt.Fprintf(p.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoAccount+"/"+key.String()])
 	late := renewal
 	late.Body.Timeout = "1ms"
 	late.Body.Stream = false
-	fmt.Fprintln(sh.stdout, "\na deadline that cannot be met is refused at once:")
+	fmt.Fprintln(p.stdout, "\na deadline that cannot be met is refused at once:")
 	result, err := client(1).Send(ctx, late)
 	if err != nil {
 		return err
@@ -140,15 +140,15 @@
 	if result.Refusal == nil {
 		return errors.New("the request was not refused")
 	}
-	fmt.Fprintf(sh.stdout, "%s, %s, come back in %d ms\n", result.Refusal.Reason, result.Refusal.Verdict, result.Refusal.RetryAfterMilliseconds)
-	fmt.Fprintln(sh.stdout, "\nnext: docs/operating.md to run it as separate processes, `basilstall replay` to measure it")
+	fmt.Fprintf(p.stdout, "%s, %s, come back in %d ms\n", result.Refusal.Reason, result.Refusal.Verdict, result.Refusal.RetryAfterMilliseconds)
+	fmt.Fprintln(p.stdout, "\nnext: docs/operating.md to run it as separate processes, `basilstall replay` to measure it")
 	return nil
 }
 
-func (sh *shell) demoSend(ctx context.Context, client *caller.Client, call caller.Call) error {
+func (p *program) sendDemoRequest(ctx context.Context, client *caller.Client, call caller.Call) error {
 	result, err := client.Send(ctx, call)
 	if err != nil {
 		return err
 	}
-	return sh.printResult(result, call, false)
+	return p.printResult(result, call, false)
 }
--- a/cli/edge.go
+++ b/cli/edge.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// logBuffer is how many lines wait for the log's reader; further ones are dropped and counted.
-	logBuffer = 4096
-	logPoll   = 100 * time.Millisecond
+	// logBufferLines is how many lines wait for the log's reader; further ones are dropped and counted.
+	logBufferLines  = 4096
+	logPollInterval = 100 * time.Millisecond
 )
 
-func (sh *shell) edgeCommand() *ff.Command {
+func (p *program) edgeCommand() *ff.Command {
 	fs := ff.NewFlagSet("edge")
 	settings := fs.StringLong("settings", "", "the platform's settings file; "+platform.SettingsVariable+" names it otherwise")
 	return &ff.Command{
@@ -37,22 +37,22 @@
 			if path == "" {
 				return usageError("edge: no settings file is given")
 			}
-			return sh.edge(path)
+			return p.edge(path)
 		},
 	}
 }
 
-func (sh *shell) edge(path string) error {
-	signal.Notify(sh.signals, syscall.SIGHUP)
+func (p *program) edge(path string) error {
+	signal.Notify(p.signals, syscall.SIGHUP)
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	zerolog.DurationFieldUnit = time.Millisecond
-	writer := diode.NewWriter(sh.stdout, logBuffer, logPoll, func(missed int) {
+	writer := diode.NewWriter(p.stdout, logBufferLines, logPollInterval, func(missed int) {
 		// The line is written by the diode's own goroutine, in place of those it lost.
-		_, _ = sh.stderr.Write([]byte(`{"level":"warn","Lost":` + strconv.Itoa(missed) + `,"message":"log lines dropped"}` + "\n"))
+		_, _ = p.stderr.Write([]byte(`{"level":"warn","Lost":` + strconv.Itoa(missed) + `,"message":"log lines dropped"}` + "\n"))
 	})
 	defer writer.Close()
 	log := zerolog.New(writer).With().Timestamp().Logger()
-	if err := platform.Run(path, sh.signals, log); err != nil {
+	if err := platform.Run(path, p.signals, log); err != nil {
 		log.Error().Err(err).Msg("node failed")
 		return exitWith(ExitFailed, err)
 	}
--- a/cli/endpoints.go
+++ b/cli/endpoints.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/dispatch"
 )
 
-func (sh *shell) endpointsCommand() *ff.Command {
+func (p *program) endpointsCommand() *ff.Command {
 	fs := ff.NewFlagSet("endpoints")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -23,15 +23,15 @@
 				return err
 			}
 			if *flags.asJSON {
-				return sh.printJSON(endpoints)
+				return p.printJSON(endpoints)
 			}
-			fmt.Fprintf(sh.stdout, "%-20s %-16s %-14s %-8s %8s %8s %8s %s\n", "endpoint", "pool", "domain", "state", "inflight", "calls", "faults", "load")
+			fmt.Fprintf(p.stdout, "%-20s %-16s %-14s %-8s %8s %8s %8s %s\n", "endpoint", "pool", "domain", "state", "inflight", "calls", "faults", "load")
 			for _, e := range endpoints {
 				state := string(e.Endpoint.State)
 				if e.Ejected {
 					state = "Ejected"
 				}
-				fmt.Fprintf(sh.stdout, "%-20s %-16s %-14s %-8s %8d %8d %8d %d/%d+%d\n", e.Endpoint.Name, e.Endpoint.Pool, e.Endpoint.FailureDomain, state,
+				fmt.Fprintf(p.stdout, "%-20s %-16s %-14s %-8s %8d %8d %8d %d/%d+%d\n", e.Endpoint.Name, e.Endpoint.Pool, e.Endpoint.FailureDomain, state,
 					e.InFlight, e.Calls, e.Faults, e.Load.Running, e.Load.Slots, e.Load.Queued)
 			}
 			return nil
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-func (sh *shell) explainCommand() *ff.Command {
+func (p *program) explainCommand() *ff.Command {
 	fs := ff.NewFlagSet("explain")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -27,24 +27,24 @@
 				return err
 			}
 			if *flags.asJSON {
-				return sh.printJSON(record)
+				return p.printJSON(record)
 			}
-			sh.printRecord(record)
+			p.printRecord(record)
 			return nil
 		},
 	}
 }
 
-func (sh *shell) printRecord(r model.Record) {
-	fmt.Fprintf(sh.stdout, "request %s of %s/%s to %s on node %s\n", r.Request, r.Team, r.Customer, r.Pipeline, r.Node)
-	fmt.Fprintf(sh.stdout, "began %s, took %s, %s %s %s\n", r.Began.Format("15:04:05.000"), r.Elapsed, r.Verdict, r.Reason, r.Detail)
+func (p *program) printRecord(r model.Record) {
+	fmt.Fprintf(p.stdout, "request %s of %s/%s to %s on node %s\n", r.Request, r.Team, r.Customer, r.Pipeline, r.Node)
+	fmt.Fprintf(p.stdout, "began %s, took %s, %s %s %s\n", r.Began.Format("15:04:05.000"), r.Elapsed, r.Verdict, r.Reason, r.Detail)
 	if r.Key != "" {
-		fmt.Fprintf(sh.stdout, "key %s\n", r.Key)
+		fmt.Fprintf(p.stdout, "key %s\n", r.Key)
 	}
 	if r.Forwarded != "" {
-		fmt.Fprintf(sh.stdout, "ran on node %s\n", r.Forwarded)
+		fmt.Fprintf(p.stdout, "ran on node %s\n", r.Forwarded)
 	}
 	for _, s := range r.Stages {
-		fmt.Fprintf(sh.stdout, "  %-12s %-18s attempts %d, took %s, endpoints busy %s, tokens %d\n", s.Stage, s.Endpoint, s.Attempts, s.Elapsed, s.Busy, s.Tokens)
+		fmt.Fprintf(p.stdout, "  %-12s %-18s attempts %d, took %s, endpoints busy %s, tokens %d\n", s.Stage, s.Endpoint, s.Attempts, s.Elapsed, s.Busy, s.Tokens)
 	}
 }
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -10,12 +10,12 @@
 	"basilstall.example/basilstall/replay"
 )
 
-// measuredLoads are the multiples of a trace's load that are measured.
-var measuredLoads = []float64{0.5, 1, 1.5, 3}
+// defaultLoads are the multiples of a trace's load that are measured.
+var defaultLoads = []float64{0.5, 1, 1.5, 3}
 
-func (sh *shell) measureCommand() *ff.Command {
+func (p *program) measureCommand() *ff.Command {
 	fs := ff.NewFlagSet("measure")
-	only := fs.StringListLong("load", "a multiple of the trace's load, repeatable; 0.5, 1, 1.5 and 3 if not given")
+	loadTexts := fs.StringListLong("load", "a multiple of the trace's load, repeatable; 0.5, 1, 1.5 and 3 if not given")
 	return &ff.Command{
 		Name:      "measure",
 		Usage:     "basilstall measure [--load N]... TRACE...",
@@ -26,17 +26,17 @@
 			if len(files) == 0 {
 				return usageError("a TRACE is needed")
 			}
-			loads, err := parseLoads(*only)
+			loads, err := parseLoads(*loadTexts)
 			if err != nil {
 				return err
 			}
-			replay.PrintMeasurementsHead(sh.stdout)
+			replay.PrintMeasurementsHead(p.stdout)
 			for _, file := range files {
 				trace, err := replay.ReadTrace(file)
 				if err != nil {
 					return exitWith(ExitUsage, err)
 				}
-				if err := sh.measure(ctx, trace, loads, replay.Conditions()); err != nil {
+				if err := p.measure(ctx, trace, loads, replay.Conditions()); err != nil {
 					return exitWith(ExitFailed, fmt.Errorf("%s: %w", file, err))
 				}
 			}
@@ -47,7 +47,7 @@
 
 func parseLoads(texts []string) ([]float64, error) {
 	if len(texts) == 0 {
-		return measuredLoads, nil
+		return defaultLoads, nil
 	}
 	var loads []float64
 	for _, text := range texts {
@@ -60,14 +60,14 @@
 	return loads, nil
 }
 
-func (sh *shell) measure(ctx context.Context, trace replay.Trace, loads []float64, conditions []replay.Condition) error {
+func (p *program) measure(ctx context.Context, trace replay.Trace, loads []float64, conditions []replay.Condition) error {
 	for _, condition := range conditions {
 		for _, load := range loads {
 			m, err := replay.Measure(ctx, trace, load, condition)
 			if err != nil {
 				return err
 			}
-			m.Print(sh.stdout)
+			m.Print(p.stdout)
 		}
 	}
 	return nil
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -31,8 +31,8 @@
 }
 
 // get reads a path, and tells an answer from no answer by the exit code.
-func (f operatorFlags) get(ctx context.Context, path string, into any) error {
-	return operatorError(f.client().Get(ctx, path, into))
+func (f operatorFlags) get(ctx context.Context, path string, result any) error {
+	return operatorError(f.client().Get(ctx, path, result))
 }
 
 func operatorError(err error) error {
--- a/cli/replay.go
+++ b/cli/replay.go
@@ -21,7 +21,7 @@
 	asJSON    *bool
 }
 
-func (sh *shell) replayCommand() *ff.Command {
+func (p *program) replayCommand() *ff.Command {
 	fs := ff.NewFlagSet("replay")
 	flags := replayFlags{
 		trace:     fs.StringLong("trace", "", "the recorded trace, JSON lines"),
@@ -39,19 +39,19 @@
 		LongHelp:  "Exits 0 if all outcomes are reached, 1 if one is missed, 2 if a file is wrong.",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			return sh.replay(ctx, flags)
+			return p.replay(ctx, flags)
 		},
 	}
 }
 
-func (sh *shell) replay(ctx context.Context, flags replayFlags) error {
+func (p *program) replay(ctx context.Context, flags replayFlags) error {
 	trace, err := replay.ReadTrace(*flags.trace)
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
-	var wanted replay.Outcomes
+	var expected replay.Outcomes
 	if *flags.outcomes != "" {
-		if wanted, err = replay.ReadOutcomes(*flags.outcomes); err != nil {
+		if expected, err = replay.ReadOutcomes(*flags.outcomes); err != nil {
 			return exitWith(ExitUsage, err)
 		}
 	}
@@ -59,7 +59,7 @@
 	if !ok {
 		return usageError("unknown condition %q", *flags.condition)
 	}
-	setup, err := replay.NewSetup(ctx, trace.Head, *flags.plain, sh.logger("fatal"))
+	setup, err := replay.NewSetup(ctx, trace.Head, *flags.plain, p.logger("fatal"))
 	if err != nil {
 		return exitWith(ExitFailed, err)
 	}
@@ -69,22 +69,22 @@
 	run.Durable = *flags.durable
 	report := run.Run(ctx)
 	if *flags.asJSON {
-		_ = sh.printJSON(report)
+		_ = p.printJSON(report)
 	} else {
-		report.Print(sh.stdout)
+		report.Print(p.stdout)
 	}
 	if *flags.outcomes == "" {
 		return nil
 	}
-	return sh.printMissed(wanted.Missed(report))
+	return p.printMissed(expected.Missed(report))
 }
 
-func (sh *shell) printMissed(missed []string) error {
+func (p *program) printMissed(missed []string) error {
 	if len(missed) == 0 {
 		return nil
 	}
 	for _, m := range missed {
-		fmt.Fprintf(sh.stderr, "missed: %s\n", m)
+		fmt.Fprintf(p.stderr, "missed: %s\n", m)
 	}
 	return exitWith(ExitFailed, errors.Errorf("%d outcomes missed", len(missed)))
 }
--- a/cli/request.go
+++ b/cli/request.go
@@ -14,7 +14,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-func (sh *shell) requestCommand() *ff.Command {
+func (p *program) requestCommand() *ff.Command {
 	fs := ff.NewFlagSet("request")
 	node := fs.StringLong("node", "127.0.0.1:7001", "address of a node's listener for callers")
 	token := fs.StringLong("token", "", "the caller's token")
@@ -53,40 +53,40 @@
 				call.Key = id.String()
 			}
 			if *stream && !*asJSON {
-				call.OnToken = func(t caller.TokenBody) { fmt.Fprint(sh.stdout, t.Text) }
+				call.OnToken = func(t caller.TokenBody) { fmt.Fprint(p.stdout, t.Text) }
 			}
 			client := &caller.Client{Base: "http://" + *node, Token: *token, HTTP: &http.Client{Timeout: time.Minute}}
 			result, err := client.Send(ctx, call)
 			if err != nil {
 				return exitWith(ExitUnreachable, err)
 			}
-			return sh.printResult(result, call, *asJSON)
+			return p.printResult(result, call, *asJSON)
 		},
 	}
 }
 
-func (sh *shell) printResult(result caller.Result, call caller.Call, asJSON bool) error {
+func (p *program) printResult(result caller.Result, call caller.Call, asJSON bool) error {
 	if asJSON {
 		if result.Answer != nil {
-			return sh.printJSON(result.Answer)
+			return p.printJSON(result.Answer)
 		}
-		_ = sh.printJSON(result.Refusal)
+		_ = p.printJSON(result.Refusal)
 	}
 	if r := result.Refusal; r != nil {
 		return exitWith(ExitFailed, errors.Errorf("refused: %s (%s): %s; come back in %d ms", r.Reason, r.Verdict, r.Detail, r.RetryAfterMilliseconds))
 	}
 	a := result.Answer
 	if call.OnToken != nil {
-		fmt.Fprintln(sh.stdout)
+		fmt.Fprintln(p.stdout)
 	} else {
-		fmt.Fprintln(sh.stdout, a.Output)
+		fmt.Fprintln(p.stdout, a.Output)
 	}
-	fmt.Fprintf(sh.stdout, "request %s: %s on %s, %d tokens, checksum %s\n", a.Request, a.Verdict, a.RanOn, a.Tokens, a.Checksum)
+	fmt.Fprintf(p.stdout, "request %s: %s on %s, %d tokens, checksum %s\n", a.Request, a.Verdict, a.RanOn, a.Tokens, a.Checksum)
 	for _, s := range a.Stages {
-		fmt.Fprintf(sh.stdout, "  %-10s %-18s %8.1f ms  attempts %d\n", s.Stage, s.Endpoint, s.Milliseconds, s.Attempts)
+		fmt.Fprintf(p.stdout, "  %-10s %-18s %8.1f ms  attempts %d\n", s.Stage, s.Endpoint, s.Milliseconds, s.Attempts)
 	}
 	if call.Key != "" {
-		fmt.Fprintf(sh.stdout, "  key %s\n", call.Key)
+		fmt.Fprintf(p.stdout, "  key %s\n", call.Key)
 	}
 	return nil
 }
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -15,7 +15,7 @@
 	"basilstall.example/basilstall/table"
 )
 
-func (sh *shell) settingsCommand() *ff.Command {
+func (p *program) settingsCommand() *ff.Command {
 	return &ff.Command{
 		Name:      "settings",
 		Usage:     "basilstall settings get|set|check|history [FLAGS] [PATH]",
@@ -24,15 +24,15 @@
 			return usageError("settings needs get, set, check or history")
 		},
 		Subcommands: []*ff.Command{
-			sh.settingsGet(),
-			sh.settingsSet(),
-			sh.settingsCheck(),
-			sh.settingsHistory(),
+			p.settingsGet(),
+			p.settingsSet(),
+			p.settingsCheck(),
+			p.settingsHistory(),
 		},
 	}
 }
 
-func (sh *shell) settingsGet() *ff.Command {
+func (p *program) settingsGet() *ff.Command {
 	fs := ff.NewFlagSet("get")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -42,37 +42,37 @@
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) == 0 {
-				return sh.listSettings(ctx, flags)
+				return p.listSettings(ctx, flags)
 			}
 			var doc model.Document
 			if err := flags.get(ctx, "/v1/settings/"+args[0], &doc); err != nil {
 				return err
 			}
 			if *flags.asJSON {
-				return sh.printJSON(doc)
+				return p.printJSON(doc)
 			}
-			fmt.Fprintf(sh.stdout, "# %s revision %d by %s at %s\n%s", doc.Path, doc.Revision, doc.Author, doc.At.Format("2006-01-02 15:04:05"), doc.YAML)
+			fmt.Fprintf(p.stdout, "# %s revision %d by %s at %s\n%s", doc.Path, doc.Revision, doc.Author, doc.At.Format("2006-01-02 15:04:05"), doc.YAML)
 			return nil
 		},
 	}
 }
 
-func (sh *shell) listSettings(ctx context.Context, flags operatorFlags) error {
+func (p *program) listSettings(ctx context.Context, flags operatorFlags) error {
 	var snapshot model.Snapshot
 	if err := flags.get(ctx, "/v1/settings", &snapshot); err != nil {
 		return err
 	}
 	if *flags.asJSON {
-		return sh.printJSON(snapshot)
+		return p.printJSON(snapshot)
 	}
-	fmt.Fprintf(sh.stdout, "revision %d in force\n", snapshot.Revision)
+	fmt.Fprintf(p.stdout, "revision %d in force\n", snapshot.Revision)
 	for _, doc := range snapshot.Documents {
-		fmt.Fprintf(sh.stdout, "%-24s revision %-6d %s\n", doc.Path, doc.Revision, doc.Author)
+		fmt.Fprintf(p.stdout, "%-24s revision %-6d %s\n", doc.Path, doc.Revision, doc.Author)
 	}
 	return nil
 }
 
-func (sh *shell) settingsSet() *ff.Command {
+func (p *program) settingsSet() *ff.Command {
 	fs := ff.NewFlagSet("set")
 	flags := newOperatorFlags(fs)
 	base := fs.Uint64Long("base", 0, "revision that the change was made from; 0 for a new document")
@@ -85,7 +85,7 @@
 		LongHelp:  "Exits 0 if the change was applied, 1 if it was not (another change came first, or the document is bad), 3 if that is unknown: then ask again with the operation number that was printed.",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
-			path, text, err := pathAndFile(args)
+			path, text, err := readPathAndFile(args)
 			if err != nil {
 				return err
 			}
@@ -101,51 +101,51 @@
 			} else if err != nil {
 				return operatorError(err)
 			}
-			return sh.printChange(result, text, *flags.asJSON)
+			return p.printChange(result, text, *flags.asJSON)
 		},
 	}
 }
 
-func (sh *shell) printChange(result operator.ChangeResult, wanted string, asJSON bool) error {
+func (p *program) printChange(result operator.ChangeResult, proposed string, asJSON bool) error {
 	if asJSON {
-		_ = sh.printJSON(result)
+		_ = p.printJSON(result)
 	}
 	switch result.Outcome {
 	case table.Applied:
 		if !asJSON {
-			fmt.Fprintf(sh.stdout, "Applied as revision %d, operation %s\n", result.Revision, result.Operation)
+			fmt.Fprintf(p.stdout, "Applied as revision %d, operation %s\n", result.Revision, result.Operation)
 		}
 		return nil
 	case table.Unknown:
 		return exitWith(ExitUnreachable, errors.Errorf("Unknown: %s; ask again with --operation %s", result.Detail, result.Operation))
 	}
 	if result.Current != nil && !asJSON {
-		fmt.Fprintf(sh.stdout, "%s now has revision %d by %s:\n", result.Current.Path, result.Current.Revision, result.Current.Author)
-		fmt.Fprint(sh.stdout, difference(wanted, result.Current.YAML))
+		fmt.Fprintf(p.stdout, "%s now has revision %d by %s:\n", result.Current.Path, result.Current.Revision, result.Current.Author)
+		fmt.Fprint(p.stdout, diffLines(proposed, result.Current.YAML))
 	}
 	return exitWith(ExitFailed, errors.Errorf("NotApplied: %s", result.Detail))
 }
 
 // difference shows the lines that only one of two documents has.
-func difference(wanted, current string) string {
+func diffLines(proposed, current string) string {
 	var b strings.Builder
-	only := func(sign, text, other string) {
-		has := map[string]bool{}
+	printOnly := func(sign, text, other string) {
+		otherLines := map[string]bool{}
 		for line := range strings.Lines(other) {
-			has[strings.TrimSpace(line)] = true
+			otherLines[strings.TrimSpace(line)] = true
 		}
 		for line := range strings.Lines(text) {
-			if !has[strings.TrimSpace(line)] {
+			if !otherLines[strings.TrimSpace(line)] {
 				fmt.Fprintf(&b, "%s %s\n", sign, strings.TrimRight(line, "\n"))
 			}
 		}
 	}
-	only("+", current, wanted)
-	only("-", wanted, current)
+	printOnly("+", current, proposed)
+	printOnly("-", proposed, current)
 	return b.String()
 }
 
-func (sh *shell) settingsCheck() *ff.Command {
+func (p *program) settingsCheck() *ff.Command {
 	fs := ff.NewFlagSet("check")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -154,20 +154,20 @@
 		ShortHelp: "tell what is wrong with a document, without setting it",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
-			path, text, err := pathAndFile(args)
+			path, text, err := readPathAndFile(args)
 			if err != nil {
 				return err
 			}
 			if err := flags.client().Check(ctx, path, []byte(text)); err != nil {
 				return operatorError(err)
 			}
-			fmt.Fprintln(sh.stdout, "good")
+			fmt.Fprintln(p.stdout, "good")
 			return nil
 		},
 	}
 }
 
-func (sh *shell) settingsHistory() *ff.Command {
+func (p *program) settingsHistory() *ff.Command {
 	fs := ff.NewFlagSet("history")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -185,17 +185,17 @@
 				return err
 			}
 			if *flags.asJSON {
-				return sh.printJSON(history)
+				return p.printJSON(history)
 			}
 			for _, doc := range history {
-				fmt.Fprintf(sh.stdout, "%6d  %s  %-20s %-12s %s\n", doc.Revision, doc.At.Format("2006-01-02 15:04:05"), doc.Path, doc.Author, doc.Operation)
+				fmt.Fprintf(p.stdout, "%6d  %s  %-20s %-12s %s\n", doc.Revision, doc.At.Format("2006-01-02 15:04:05"), doc.Path, doc.Author, doc.Operation)
 			}
 			return nil
 		},
 	}
 }
 
-func pathAndFile(args []string) (path, text string, err error) {
+func readPathAndFile(args []string) (path, text string, err error) {
 	if len(args) != 2 {
 		return "", "", usageError("PATH and FILE are needed")
 	}
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -8,7 +8,7 @@
 	"basilstall.example/basilstall/standin"
 )
 
-func (sh *shell) standinCommand() *ff.Command {
+func (p *program) standinCommand() *ff.Command {
 	fs := ff.NewFlagSet("standin")
 	file := fs.StringLong("config", "", "YAML file that says what to stand in for")
 	addresses := fs.StringLong("addresses-file", "", "file that gets the platform's address")
@@ -31,13 +31,13 @@
 			}
 			defer s.Close()
 			if *addresses != "" {
-				if err := writeWhole(*addresses, s.Address()+"\n"); err != nil {
+				if err := writeFileAtomic(*addresses, s.Address()+"\n"); err != nil {
 					return exitWith(ExitFailed, err)
 				}
 			}
-			log := sh.logger("info")
+			log := p.logger("info")
 			log.Info().Str("Platform", s.Address()).Int("Endpoints", len(s.Endpoints())).Msg("stand-in started")
-			<-sh.signals
+			<-p.signals
 			return nil
 		},
 	}
--- a/cli/status.go
+++ b/cli/status.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/operator"
 )
 
-func (sh *shell) statusCommand() *ff.Command {
+func (p *program) statusCommand() *ff.Command {
 	fs := ff.NewFlagSet("status")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -25,9 +25,9 @@
 				return err
 			}
 			if *flags.asJSON {
-				_ = sh.printJSON(s)
+				_ = p.printJSON(s)
 			} else {
-				sh.printStatus(s)
+				p.printStatus(s)
 			}
 			if !s.Ready {
 				return exitWith(ExitFailed, fmt.Errorf("not ready: %s", s.NotReady))
@@ -37,14 +37,14 @@
 	}
 }
 
-func (sh *shell) printStatus(s operator.Status) {
-	fmt.Fprintf(sh.stdout, "node %s in %s, ready %t, table answers %t\n", s.Node, s.FailureDomain, s.Ready, s.TableAnswers)
-	fmt.Fprintf(sh.stdout, "settings revision %d, in flight %d, keys remembered %d\n", s.Revision, s.InFlight, s.Keys)
-	fmt.Fprintf(sh.stdout, "era %d of %s, horizon %s\n", s.Era, strings.Join(s.EraMembers, " "), s.Horizon.Format("15:04:05.000"))
+func (p *program) printStatus(s operator.Status) {
+	fmt.Fprintf(p.stdout, "node %s in %s, ready %t, table answers %t\n", s.Node, s.FailureDomain, s.Ready, s.TableAnswers)
+	fmt.Fprintf(p.stdout, "settings revision %d, in flight %d, keys remembered %d\n", s.Revision, s.InFlight, s.Keys)
+	fmt.Fprintf(p.stdout, "era %d of %s, horizon %s\n", s.Era, strings.Join(s.EraMembers, " "), s.Horizon.Format("15:04:05.000"))
 	for _, e := range s.Evacuated {
-		fmt.Fprintf(sh.stdout, "failure domain %s evacuated since %s\n", e.FailureDomain, e.Since.Format("15:04:05.000"))
+		fmt.Fprintf(p.stdout, "failure domain %s evacuated since %s\n", e.FailureDomain, e.Since.Format("15:04:05.000"))
 	}
 	for _, m := range s.Members {
-		fmt.Fprintf(sh.stdout, "  %-16s %-16s %s\n", m.Node, m.FailureDomain, m.State)
+		fmt.Fprintf(p.stdout, "  %-16s %-16s %s\n", m.Node, m.FailureDomain, m.State)
 	}
 }
--- a/cli/version.go
+++ b/cli/version.go
@@ -17,7 +17,7 @@
 	Go       string
 }
 
-func (sh *shell) versionCommand() *ff.Command {
+func (p *program) versionCommand() *ff.Command {
 	fs := ff.NewFlagSet("version")
 	asJSON := fs.BoolLong("json", "print JSON")
 	return &ff.Command{
@@ -28,9 +28,9 @@
 		Exec: func(context.Context, []string) error {
 			v := newVersionInfo()
 			if *asJSON {
-				return sh.printJSON(v)
+				return p.printJSON(v)
 			}
-			fmt.Fprintf(sh.stdout, "basilstall %s %s %s\n", v.Version, v.Revision, v.Go)
+			fmt.Fprintf(p.stdout, "basilstall %s %s %s\n", v.Version, v.Revision, v.Go)
 			return nil
 		},
 	}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -18,18 +18,18 @@
 	}
 }
 
-// untilStep is how often SleepUntil looks at the time: by so much it may be late after a suspension.
-const untilStep = 100 * time.Millisecond
+// sleepPollInterval is how often SleepUntil looks at the time: by so much it may be late after a suspension.
+const sleepPollInterval = 100 * time.Millisecond
 
 // SleepUntil waits until a time on a clock that counts the time in which the host was suspended, and reports
 // whether ctx still stands. Timers do not count it.
-func SleepUntil(ctx context.Context, now func() time.Time, until time.Time) bool {
+func SleepUntil(ctx context.Context, now func() time.Time, deadline time.Time) bool {
 	for {
-		left := until.Sub(now())
-		if left <= 0 {
+		remaining := deadline.Sub(now())
+		if remaining <= 0 {
 			return ctx.Err() == nil
 		}
-		if !Sleep(ctx, min(left, untilStep)) {
+		if !Sleep(ctx, min(remaining, sleepPollInterval)) {
 			return false
 		}
 	}
--- a/clock/silence_test.go
+++ b/clock/silence_test.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	first = 2 * time.Second
-	after = time.Second
+	initialTimeout = 2 * time.Second
+	idleTimeout    = time.Second
 )
 
-func TestACallGoesOnForAsLongAsSomethingComes(t *testing.T) {
+func TestCallContinuesWhileDataArrives(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		pauses []time.Duration
 		want   error
 	}{
-		{"nothing in the first time", []time.Duration{first + 1}, clock.ErrSilent},
-		{"long, but never silent", []time.Duration{first - 1, after - 1, after - 1, after - 1, after - 1, after - 1}, nil},
-		{"silent in the middle", []time.Duration{0, after - 1, after + 1, 0}, clock.ErrSilent},
+		{"nothing in the first time", []time.Duration{initialTimeout + 1}, clock.ErrIdleTimeout},
+		{"long, but never silent", []time.Duration{initialTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1}, nil},
+		{"silent in the middle", []time.Duration{0, idleTimeout - 1, idleTimeout + 1, 0}, clock.ErrIdleTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, silence := clock.WithSilence(context.Background(), first, after)
-				defer silence.Stop()
+				ctx, timeout := clock.WithIdleTimeout(context.Background(), initialTimeout, idleTimeout)
+				defer timeout.Stop()
 				in, out := io.Pipe()
 				defer in.Close()
 				go func() {
@@ -42,7 +42,7 @@
 						}
 					}
 				}()
-				_, err := io.Copy(io.Discard, silence.Reader(in))
+				_, err := io.Copy(io.Discard, timeout.Reader(in))
 				must.NoError(t, err)
 				must.ErrorIs(t, context.Cause(ctx), tc.want)
 			})
@@ -51,23 +51,23 @@
 }
 
 // A body that came in one chunk was read with ever larger buffers, each filled before it was returned: over
-// a slow link, what had come was noticed only after the time for silence.
-func TestAReaderThatFillsItsBufferIsHeardInBetween(t *testing.T) {
+// a slow link, what had come was noticed only after the idle timeout.
+func TestReaderThatFillsLargeBufferResetsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, silence := clock.WithSilence(context.Background(), first, after)
-		defer silence.Stop()
-		const rate = 64 << 10
-		left := 20 * rate
-		fill := readerFunc(func(p []byte) (int, error) {
-			n := min(len(p), left)
+		ctx, timeout := clock.WithIdleTimeout(context.Background(), initialTimeout, idleTimeout)
+		defer timeout.Stop()
+		const bytesPerSecond = 64 << 10
+		remaining := 20 * bytesPerSecond
+		reader := readerFunc(func(p []byte) (int, error) {
+			n := min(len(p), remaining)
 			if n == 0 {
 				return 0, io.EOF
 			}
-			time.Sleep(time.Duration(n) * time.Second / rate)
-			left -= n
+			time.Sleep(time.Duration(n) * time.Second / bytesPerSecond)
+			remaining -= n
 			return n, nil
 		})
-		_, err := io.ReadAll(silence.Reader(fill))
+		_, err := io.ReadAll(timeout.Reader(reader))
 		must.NoError(t, err)
 		must.NoError(t, context.Cause(ctx))
 	})
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -18,18 +18,18 @@
 	})
 }
 
-func prepare(w kernel.StageContext) model.StageCall {
+func prepare(sc kernel.StageContext) model.StageCall {
 	return model.StageCall{
-		Model:     w.Stage.Model,
-		Adapter:   w.Stage.Adapter,
-		Text:      prompt(w),
-		Prefix:    w.Request.Input.Prefix,
-		MaxTokens: kernel.MaxTokens(w.Request, w.Stage),
+		Model:     sc.Stage.Model,
+		Adapter:   sc.Stage.Adapter,
+		Text:      prompt(sc),
+		Prefix:    sc.Request.Input.Prefix,
+		MaxTokens: kernel.MaxTokens(sc.Request, sc.Stage),
 	}
 }
 
-func prompt(w kernel.StageContext) string {
-	parts := append([]string{w.Request.Input.Text}, w.Carry.Items...)
+func prompt(sc kernel.StageContext) string {
+	parts := append([]string{sc.Request.Input.Text}, sc.Carry.Items...)
 	return strings.Join(parts, "\n")
 }
 
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -196,7 +196,7 @@
 	finish := now.Add(wait + q.callTime(len(group.Pieces)))
 	late := finish.After(group.Due) && q.backlog() > maxLateBacklog
 	if late || finish.After(group.Until) {
-		return false, ClampRetryAfter(max(wait, q.callTime(q.traits.Batch)))
+		return false, ClampRetryAfter(max(wait, q.callTime(q.traits.MaxBatch)))
 	}
 	if group.AskedAt.IsZero() {
 		group.AskedAt = now
--- a/kernel/batchroom.go
+++ b/kernel/batchroom.go
@@ -19,9 +19,9 @@
 // TakeOver records that another node may have batched for the pool until now. Its calls may still be running, its
 // results occupy room until they expire, and it may just have called the workers whose call rate is limited.
 func (q *BatchQueue) TakeOver(now time.Time) {
-	full := q.callTime(q.traits.Batch)
+	full := q.callTime(q.traits.MaxBatch)
 	q.sharedUntil = now.Add(handoverCalls * full)
-	q.foreignUntil = now.Add(q.traits.Keep + full)
+	q.foreignUntil = now.Add(q.traits.ResultTTL + full)
 	for _, w := range q.workers {
 		if w.lastCallAt.IsZero() {
 			w.lastCallAt = now
--- a/kernel/batchslow.go
+++ b/kernel/batchslow.go
@@ -96,7 +96,7 @@
 // make on time, or that are late wherever they are made; otherwise, a single piece every slowProbeInterval.
 func (q *BatchQueue) fillSlow(now time.Time, w *worker, groups []*waitingGroup) PieceBatch {
 	if !w.unanswered {
-		end := now.Add(time.Duration(w.slowdown * float64(q.callTime(q.traits.Batch))))
+		end := now.Add(time.Duration(w.slowdown * float64(q.callTime(q.traits.MaxBatch))))
 		inTime := slices.DeleteFunc(slices.Clone(groups), func(g *waitingGroup) bool { return end.After(g.Due) && !q.isLate(now, g) })
 		if batch := q.fill(now, w, inTime); len(batch.Pieces) > 0 {
 			return batch
--- a/kernel/batchstarved.go
+++ b/kernel/batchstarved.go
@@ -19,7 +19,7 @@
 	}
 	var ended []GroupOutcome
 	for _, g := range q.groups {
-		if len(g.waiting) == 0 || now.Before(q.lateSince(g).Add(maxStarvedCalls*q.callTime(q.traits.Batch))) {
+		if len(g.waiting) == 0 || now.Before(q.lateSince(g).Add(maxStarvedCalls*q.callTime(q.traits.MaxBatch))) {
 			continue
 		}
 		outcome := g.outcome(model.PieceStarved)
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -26,14 +26,14 @@
 	}
 	total, free := q.roomTotals(now)
 	ahead, aheadBytes := q.workAhead(now, group, free)
-	full := q.callTime(q.traits.Batch)
+	full := q.callTime(q.traits.MaxBatch)
 	calls := q.concurrency()
 	// When all endpoints are busy, the next one becomes free after half of the mean interval between calls.
 	firstWait := float64(full) / (2 * calls)
 	if q.freeWorkers(now) > 0 {
 		firstWait = 0
 	}
-	bySlots := firstWait + float64(ahead)/float64(max(1, q.traits.Batch))/calls*float64(full)
+	bySlots := firstWait + float64(ahead)/float64(max(1, q.traits.MaxBatch))/calls*float64(full)
 	missing := float64(aheadBytes) - free
 	if q.traits.Room <= 0 || missing <= 0 || group.ResultBytes == 0 {
 		return time.Duration(bySlots)
@@ -80,7 +80,7 @@
 	for _, g := range q.groups {
 		waiting += len(g.waiting)
 	}
-	return float64(waiting) / (float64(max(1, q.traits.Batch)) * q.concurrency() / float64(max(1, q.traits.Slots)))
+	return float64(waiting) / (float64(max(1, q.traits.MaxBatch)) * q.concurrency() / float64(max(1, q.traits.Slots)))
 }
 
 func (q *BatchQueue) activeWorkers() int {
@@ -96,7 +96,7 @@
 // concurrency returns how many calls the workers run at a time. A worker with a rate cap counts only as many of
 // its slots as the cap keeps busy.
 func (q *BatchQueue) concurrency() float64 {
-	full := q.callTime(q.traits.Batch)
+	full := q.callTime(q.traits.MaxBatch)
 	calls := 0.0
 	for _, w := range q.workers {
 		if w.endpoint.TakesWork() {
@@ -130,5 +130,5 @@
 }
 
 func (q *BatchQueue) callTime(pieces int) time.Duration {
-	return q.traits.CallTime + time.Duration(min(pieces, q.traits.Batch))*q.traits.PieceTime
+	return q.traits.CallTime + time.Duration(min(pieces, q.traits.MaxBatch))*q.traits.PieceTime
 }
--- a/kernel/homes.go
+++ b/kernel/homes.go
@@ -17,7 +17,7 @@
 // AllowedRegionsFor returns the regions that both a route and a customer allow. A route or customer that lists no
 // regions allows all.
 func AllowedRegionsFor(route model.Route, customer model.KeyHolder) AllowedRegions {
-	return AllowedRegions{}.within(route.Homes).within(customer.Homes)
+	return AllowedRegions{}.within(route.AllowedRegions).within(customer.AllowedRegions)
 }
 
 func (r AllowedRegions) within(regions []string) AllowedRegions {
--- a/model/call.go
+++ b/model/call.go
@@ -56,8 +56,8 @@
 		Load         *Load  `json:",omitempty"`
 	}
 
-	// Carry is what one stage hands to the next.
-	Carry struct {
+	// StageOutput is what one stage hands to the next.
+	StageOutput struct {
 		Text   string
 		Items  []string
 		Output string
@@ -65,12 +65,12 @@
 	}
 )
 
-// Answers tells whether the reply belongs to the call.
-func (r StageReply) Answers(c StageCall) bool {
+// Matches tells whether the reply belongs to the call.
+func (r StageReply) Matches(c StageCall) bool {
 	return r.Request == c.Request && r.Stage == c.Stage && r.Attempt == c.Attempt
 }
 
-// Answers tells whether the event belongs to the call.
-func (e TokenEvent) Answers(c StageCall) bool {
+// Matches tells whether the event belongs to the call.
+func (e TokenEvent) Matches(c StageCall) bool {
 	return e.Request == c.Request && e.Stage == c.Stage && e.Attempt == c.Attempt
 }
--- a/model/ratecap.go
+++ b/model/ratecap.go
@@ -17,8 +17,8 @@
 }
 
 // WithPart returns the cap of who may use only a part of it, from 0 to 1.
-func (c RateCap) WithPart(part float64) RateCap {
-	c.PerSecond *= part
+func (c RateCap) WithPart(fraction float64) RateCap {
+	c.PerSecond *= fraction
 	return c
 }
 
--- a/node/claims.go
+++ b/node/claims.go
@@ -164,7 +164,7 @@
 	var conflict *table.Conflict
 	if errors.As(err, &conflict) {
 		// The row has changed; the next turn reads it.
-		n.metrics.Event("ClaimsConflict")
+		n.metrics.CountEvent("ClaimsConflict")
 		return
 	}
 	n.noteTable(err)
--- a/node/drain.go
+++ b/node/drain.go
@@ -87,7 +87,7 @@
 	n.keys.mu.Unlock()
 	close(handing)
 	if !ok {
-		n.metrics.Event("HandoverFailed")
+		n.metrics.CountEvent("HandoverFailed")
 		n.log.Warn().Msg("keys were not handed over; they stay closed up to the horizon")
 		return
 	}
@@ -206,7 +206,7 @@
 	n.keys.mu.Lock()
 	defer n.keys.mu.Unlock()
 	n.keys.ledger.Import(h.From.ID(), h.Entries, h.Cutoff)
-	n.metrics.Event("HandoverTaken")
+	n.metrics.CountEvent("HandoverTaken")
 	return peer.HandoverReply{Held: len(h.Entries)}, nil
 }
 
@@ -221,7 +221,7 @@
 		return
 	}
 	if !n.sendEntries(ctx, *heir, ended, cutoff) {
-		n.metrics.Event("HandoverFailed")
+		n.metrics.CountEvent("HandoverFailed")
 	}
 }
 
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	var reply peer.Heartbeat
 	if err := n.peers.Call(ctx, address, peer.KindHeartbeat, n.ownHeartbeat(), &reply); err != nil {
-		n.metrics.Event("HeartbeatFailed")
+		n.metrics.CountEvent("HeartbeatFailed")
 		return
 	}
 	n.takeHeartbeat(reply)
@@ -134,7 +134,7 @@
 	if !n.dispatcher.MarkLeaving(pool, endpoint) {
 		return
 	}
-	n.metrics.Event("EndpointLeaving")
+	n.metrics.CountEvent("EndpointLeaving")
 	n.log.Info().Str("Pool", pool).Str("Endpoint", endpoint).Msg("endpoint is leaving")
 	n.fleet.mu.Lock()
 	n.fleet.m.AnnounceLeaving(pool, endpoint)
@@ -146,7 +146,7 @@
 	n.every(listEvery, func(ctx context.Context) {
 		hosts, err := n.list.Get(ctx)
 		if err != nil {
-			n.metrics.Event("ListFailed")
+			n.metrics.CountEvent("ListFailed")
 			return
 		}
 		n.takeList(hosts)
@@ -195,6 +195,6 @@
 		State:         state,
 	}
 	if err := n.list.Announce(ctx, host); err != nil {
-		n.metrics.Event("AnnounceFailed")
+		n.metrics.CountEvent("AnnounceFailed")
 	}
 }
--- a/node/grants.go
+++ b/node/grants.go
@@ -57,7 +57,7 @@
 	defer cancel()
 	var reply peer.GrantReply
 	if err := n.peers.Call(ctx, m.Address, peer.KindGrant, message, &reply); err != nil || !reply.Granted {
-		n.metrics.Event("GrantMissing")
+		n.metrics.CountEvent("GrantMissing")
 		return
 	}
 	n.claims.takeGrant(m.ID(), message.Era, reply.Until)
@@ -129,7 +129,7 @@
 			return reply.From
 		}
 	}
-	n.metrics.Event("EraAboveHorizon")
+	n.metrics.CountEvent("EraAboveHorizon")
 	return row.Horizon
 }
 
--- a/node/keys.go
+++ b/node/keys.go
@@ -105,7 +105,7 @@
 		if refusal == nil || !lookAgain(refusal) || ctx.Err() != nil {
 			return answer, refusal
 		}
-		n.metrics.Event("OwnerLookedUpAgain")
+		n.metrics.CountEvent("OwnerLookedUpAgain")
 	}
 	return model.Answer{}, refusal
 }
@@ -143,7 +143,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	n.metrics.Event("Forwarded")
+	n.metrics.CountEvent("Forwarded")
 	var reply peer.ForwardReply
 	message := peer.Forward{Request: req.Request, Left: time.Until(req.Deadline)}
 	if err := n.peers.Call(ctx, owner.Address, peer.KindForward, message, &reply); err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	n.peerServer.OnRefused = func(remote string) {
-		n.metrics.Event("PeerTokenRefused")
+		n.metrics.CountEvent("PeerTokenRefused")
 		n.log.Warn().Str("Remote", remote).Msg("peer token refused")
 	}
 	handlers := n.quarantine.Handlers()
@@ -204,7 +204,7 @@
 func (n *Node) PeersAddress() string { return n.member.Address }
 
 // Event returns how often an event was counted.
-func (n *Node) Event(name string) uint64 { return n.metrics.Count(name) }
+func (n *Node) Event(name string) uint64 { return n.metrics.EventCount(name) }
 
 // Close ends the node at once; what is in flight is cut.
 func (n *Node) Close() {
@@ -249,7 +249,7 @@
 	}
 	down := err != nil
 	if down {
-		n.metrics.Event("TableFailed")
+		n.metrics.CountEvent("TableFailed")
 	}
 	if n.tableDown.Swap(down) == down {
 		return
--- a/node/orders.go
+++ b/node/orders.go
@@ -157,7 +157,7 @@
 	}
 	n.setWatch(name, watch.WithWrite(time.Now(), sent, next, version))
 	if next.Number != watch.Lease.Number {
-		n.metrics.Event("LeaseTaken")
+		n.metrics.CountEvent("LeaseTaken")
 		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease taken")
 	}
 }
@@ -183,7 +183,7 @@
 	}
 	var reply peer.Empty
 	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: wanted}, &reply); err != nil {
-		n.metrics.Event("DemandFailed")
+		n.metrics.CountEvent("DemandFailed")
 	}
 }
 
@@ -266,12 +266,12 @@
 		}
 		watch := n.watchOf(name)
 		if !watch.MayOrder(time.Now()) {
-			n.metrics.Event("OrderHeldBack")
+			n.metrics.CountEvent("OrderHeldBack")
 			return
 		}
-		n.metrics.Event("OrderSent")
+		n.metrics.CountEvent("OrderSent")
 		if err := n.orderer.client.Order(ctx, e.Address, order, watch.Lease.Number); err != nil {
-			n.metrics.Event("OrderFailed")
+			n.metrics.CountEvent("OrderFailed")
 		}
 	}
 }
--- a/node/rates.go
+++ b/node/rates.go
@@ -155,13 +155,13 @@
 	if n.rates.alone(now, req.Account(), len(waits) > 0) {
 		granted, wait := n.rates.take(now, req.Account(), rate, n.fleet.size())
 		if granted {
-			n.metrics.Event("RateServedAlone")
+			n.metrics.CountEvent("RateServedAlone")
 			return nil
 		}
 		waits = append(waits, wait)
 	}
 	if len(waits) == 0 {
-		n.metrics.Event("RateHoldersSilent")
+		n.metrics.CountEvent("RateHoldersSilent")
 		return model.NewRefusal(model.NotRun, model.OwnerUnreachable, silentHoldersRetry, "the nodes that hold the customer's rate do not answer")
 	}
 	wait := slices.Min(waits)
@@ -184,7 +184,7 @@
 	var reply peer.RatePermitReply
 	err = n.callMember(ctx, holder, peer.KindRatePermit, peer.RatePermit{Team: req.Team, Customer: req.Customer}, &reply)
 	if err != nil {
-		n.metrics.Event("RateHolderUnanswered")
+		n.metrics.CountEvent("RateHolderUnanswered")
 	}
 	return reply.Granted, reply.Wait, err
 }
--- a/node/runner.go
+++ b/node/runner.go
@@ -35,7 +35,7 @@
 		return model.Answer{}, p, refusal
 	}
 	customer, _ := n.Settings().Customer(req.Team, req.Customer)
-	var carry model.Carry
+	var carry model.StageOutput
 	for i, stage := range pipeline.Stages {
 		job := dispatch.Job{
 			Work:        kernel.StageContext{Request: req, Stage: stage, Carry: carry},
@@ -50,7 +50,7 @@
 		result, err := n.dispatcher.Run(ctx, job)
 		result.Timing.Stage = stage.Name
 		p.stages = append(p.stages, result.Timing)
-		n.metrics.Spent(req.Account(), result.Timing, stage.Pool)
+		n.metrics.AddStageUsage(req.Account(), result.Timing, stage.Pool)
 		if err != nil {
 			p = p.after(stage, err)
 			if trial && !p.reached {
@@ -85,7 +85,7 @@
 	return refusal
 }
 
-func (n *Node) answer(req model.Request, carry model.Carry, p progress) model.Answer {
+func (n *Node) answer(req model.Request, carry model.StageOutput, p progress) model.Answer {
 	return model.Answer{
 		ID:       req.ID,
 		Pipeline: req.Pipeline,
--- a/node/serve.go
+++ b/node/serve.go
@@ -22,8 +22,8 @@
 		NewID:    func() string { return n.options.Name + "." + uuid.NewString() },
 		Draining: n.Draining,
 		Ready:    n.Ready,
-		Count:    n.metrics.Event,
-		Refused:  n.metrics.Refused,
+		Count:    n.metrics.CountEvent,
+		Refused:  n.metrics.CountRefusal,
 	}
 }
 
@@ -36,8 +36,8 @@
 		Endpoints: n.dispatcher.Status,
 		Explain:   n.Explain,
 		Ready:     n.Ready,
-		Metrics:   n.metrics.Write,
-		Count:     n.metrics.Event,
+		Metrics:   n.metrics.WritePrometheus,
+		Count:     n.metrics.CountEvent,
 	}
 }
 
@@ -58,7 +58,7 @@
 		n.remember(req, began, answer, p, refusal, "")
 	}
 	if refusal == nil {
-		n.metrics.Answered(req.Pipeline, time.Since(began))
+		n.metrics.ObserveAnswer(req.Pipeline, time.Since(began))
 	}
 	return answer, refusal
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -44,12 +44,12 @@
 		return
 	}
 	for _, err := range refused {
-		n.metrics.Event("DocumentRefused")
+		n.metrics.CountEvent("DocumentRefused")
 		n.log.Warn().Err(err).Msg("settings document refused; what was in force stays")
 	}
 	n.settings.Store(&next)
 	n.evacuate(next.Fleet.Evacuated)
-	n.metrics.Event("SettingsApplied")
+	n.metrics.CountEvent("SettingsApplied")
 	n.log.Info().Uint64("Revision", next.Revision).Msg("settings in force")
 }
 
@@ -57,11 +57,11 @@
 func (n *Node) evacuate(domains []string) {
 	news := n.dispatcher.SetEvacuated(time.Now(), domains)
 	for _, domain := range news.Evacuated {
-		n.metrics.Event("DomainEvacuated")
+		n.metrics.CountEvent("DomainEvacuated")
 		n.log.Info().Str("Domain", domain).Int64("InFlight", n.inFlight.Load()).Msg("failure domain evacuated")
 	}
 	for _, domain := range news.Restored {
-		n.metrics.Event("DomainTakenBack")
+		n.metrics.CountEvent("DomainTakenBack")
 		n.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
 }
@@ -73,7 +73,7 @@
 	if err := n.peers.Call(ctx, address, peer.KindSettings, pull, &reply); err != nil {
 		return
 	}
-	n.metrics.Event("SettingsFromPeer")
+	n.metrics.CountEvent("SettingsFromPeer")
 	n.applySettings(reply.Snapshot)
 }
 
--- a/peer/client.go
+++ b/peer/client.go
@@ -87,13 +87,13 @@
 // CallUnlessSilent is Call for a reply that may be large: it ends where nothing comes from the peer for a
 // time, and with ctx.
 func (c *Client) CallUnlessSilent(ctx context.Context, after time.Duration, address string, kind Kind, message, reply any) error {
-	ctx, silence := clock.WithSilence(ctx, after, after)
+	ctx, silence := clock.WithIdleTimeout(ctx, after, after)
 	defer silence.Stop()
 	return c.callHearing(ctx, silence, address, kind, message, reply)
 }
 
 // callHearing carries a call out; silence, where there is one, hears what comes from the peer meanwhile.
-func (c *Client) callHearing(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
+func (c *Client) callHearing(ctx context.Context, silence *clock.IdleTimeout, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -24,7 +24,7 @@
 	mu          sync.Mutex
 	calls       map[uint64]chan Frame
 	// listening holds the calls that end with silence; each is among calls, too.
-	listening map[uint64]*clock.Silence
+	listening map[uint64]*clock.IdleTimeout
 	number    uint64
 	writing   sync.Mutex
 	// heard is when a byte last came, in Unix nanoseconds. A frame that is long under way over a slow
@@ -45,7 +45,7 @@
 }
 
 func newClientConn(raw net.Conn, silentAfter time.Duration) *clientConn {
-	c := &clientConn{conn: raw, silentAfter: silentAfter, calls: map[uint64]chan Frame{}, listening: map[uint64]*clock.Silence{}, done: make(chan struct{})}
+	c := &clientConn{conn: raw, silentAfter: silentAfter, calls: map[uint64]chan Frame{}, listening: map[uint64]*clock.IdleTimeout{}, done: make(chan struct{})}
 	c.heard.Store(time.Now().UnixNano())
 	go func() {
 		defer c.close()
@@ -90,7 +90,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, silence := range c.listening {
-		silence.Heard()
+		silence.Reset()
 	}
 }
 
@@ -134,7 +134,7 @@
 	return len(c.calls) > 0
 }
 
-func (c *clientConn) call(ctx context.Context, silence *clock.Silence, kind Kind, body []byte) (Frame, error) {
+func (c *clientConn) call(ctx context.Context, silence *clock.IdleTimeout, kind Kind, body []byte) (Frame, error) {
 	reply := make(chan Frame, 1)
 	before := c.received.Load()
 	c.mu.Lock()
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-var errEmpty = errors.New("pool: empty reply")
+var errEmptyReply = errors.New("pool: empty reply")
 
 func init() {
 	kernel.Register(kernel.Plugin{
@@ -35,28 +35,28 @@
 	})
 }
 
-func prepareEncode(w kernel.StageContext) model.StageCall {
-	return model.StageCall{Text: w.Request.Input.Text}
+func prepareEncode(sc kernel.StageContext) model.StageCall {
+	return model.StageCall{Text: sc.Request.Input.Text}
 }
 
-func acceptEncode(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
+func acceptEncode(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
-		return w.Carry, errEmpty
+		return sc.Carry, errEmptyReply
 	}
-	carry := w.Carry
+	carry := sc.Carry
 	carry.Text = r.Text
 	return carry, nil
 }
 
-func prepareItems(w kernel.StageContext) model.StageCall {
-	return model.StageCall{Text: w.Carry.Text, Items: w.Carry.Items}
+func prepareItems(sc kernel.StageContext) model.StageCall {
+	return model.StageCall{Text: sc.Carry.Text, Items: sc.Carry.Items}
 }
 
-func acceptItems(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
+func acceptItems(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if len(r.Items) == 0 {
-		return w.Carry, errEmpty
+		return sc.Carry, errEmptyReply
 	}
-	carry := w.Carry
+	carry := sc.Carry
 	carry.Items = r.Items
 	return carry, nil
 }
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	if c.notifying >= maxNotifications {
 		c.mu.Unlock()
-		c.metrics.Event("CoordinatorNotInformed")
+		c.metrics.CountEvent("CoordinatorNotInformed")
 		return
 	}
 	c.notifying++
@@ -50,7 +50,7 @@
 			}
 		}
 		if !allNotified {
-			c.metrics.Event("CoordinatorNotInformed")
+			c.metrics.CountEvent("CoordinatorNotInformed")
 		}
 	}()
 }
@@ -144,7 +144,7 @@
 	}
 	var reply peer.TrialReply
 	if c.deps.Call(ctx, coordinator, peer.KindTrial, request, &reply) != nil {
-		c.metrics.Event("CoordinatorNotInformed")
+		c.metrics.CountEvent("CoordinatorNotInformed")
 		return peer.TrialReply{}
 	}
 	return reply
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -167,7 +167,7 @@
 // RecordSend counts the requests and calls for pieces that are sent to endpoints with caps.
 func (l *Limiter) RecordSend(e model.Endpoint) {
 	if l.HasCap(e.Incarnation()) {
-		l.metrics.Event("SentUnderRateCap")
+		l.metrics.CountEvent("SentUnderRateCap")
 	}
 }
 
@@ -211,7 +211,7 @@
 	if before.Cap == after.Cap {
 		return
 	}
-	l.metrics.Event("RateCapChanged")
+	l.metrics.CountEvent("RateCapChanged")
 	l.log.Info().Str("Endpoint", incarnation).Str("From", from).Bool("Stated", after.Cap.Stated).
 		Float64("PerSecond", after.Cap.PerSecond).Float64("Before", before.Cap.PerSecond).Msg("rate cap of an endpoint")
 	l.deps.Changed()
@@ -275,7 +275,7 @@
 	defer cancel()
 	err := l.deps.Publish(ctx, incarnation, stated)
 	if err != nil {
-		l.metrics.Event("RateCapNotPublished")
+		l.metrics.CountEvent("RateCapNotPublished")
 	}
 	l.update(incarnation, func(c *endpointCap) {
 		c.publishing = false
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -55,12 +55,12 @@
 	granted, wait, err := l.deps.RequestPermit(ctx, sharer, e.Pool, incarnation)
 	switch {
 	case err != nil:
-		l.metrics.Event("CapPermitUnanswered")
+		l.metrics.CountEvent("CapPermitUnanswered")
 	case granted:
-		l.metrics.Event("CapPermitGranted")
+		l.metrics.CountEvent("CapPermitGranted")
 		return true
 	default:
-		l.metrics.Event("CapPermitDenied")
+		l.metrics.CountEvent("CapPermitDenied")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -75,7 +75,7 @@
 		defer cancel()
 		var empty peer.Empty
 		if r.peers.Call(ctx, address, peer.KindBatchCancel, peer.BatchCancel{Pool: m.Pool, Group: m.Group}, &empty) != nil {
-			r.metrics.Event("BatchCancelFailed")
+			r.metrics.CountEvent("BatchCancelFailed")
 		}
 	}()
 }
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -49,11 +49,11 @@
 	defer cancel()
 	var reply peer.ReturnReply
 	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindReturn, peer.Return{Identity: identity}, &reply) != nil {
-		r.metrics.Event("ReturnUnknown")
+		r.metrics.CountEvent("ReturnUnknown")
 		return 0
 	}
 	if reply.Waited > 0 {
-		r.metrics.Event("CallerReturned")
+		r.metrics.CountEvent("CallerReturned")
 	}
 	return reply.Waited
 }
@@ -77,7 +77,7 @@
 		defer cancel()
 		var reply peer.ReturnReply
 		if r.peers.Call(ctx, address, peer.KindReturn, peer.Return{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
-			r.metrics.Event("ReturnNotNoted")
+			r.metrics.CountEvent("ReturnNotNoted")
 		}
 	}()
 }
--- a/service/service.go
+++ b/service/service.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-var errEmpty = errors.New("service: empty reply")
+var errEmptyReply = errors.New("service: empty reply")
 
 func init() {
 	kernel.Register(kernel.Plugin{
@@ -21,23 +21,23 @@
 	})
 }
 
-func prepare(w kernel.StageContext) model.StageCall {
-	text := w.Carry.Output
+func prepare(sc kernel.StageContext) model.StageCall {
+	text := sc.Carry.Output
 	if text == "" {
-		text = w.Request.Input.Text
+		text = sc.Request.Input.Text
 	}
 	return model.StageCall{
 		Text:      text,
-		Key:       w.Request.Key,
-		Operation: w.Stage.Operation,
+		Key:       sc.Request.Key,
+		Operation: sc.Stage.Operation,
 	}
 }
 
-func accept(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
+func accept(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
-		return w.Carry, errEmpty
+		return sc.Carry, errEmptyReply
 	}
-	carry := w.Carry
+	carry := sc.Carry
 	carry.Output = r.Text
 	return carry, nil
 }
--- a/yamldoc/yamldoc.go
+++ b/yamldoc/yamldoc.go
@@ -36,38 +36,38 @@
 
 // Decode decodes data into value, a pointer to a struct, and checks its validate tags.
 func Decode(document string, data []byte, value any) error {
-	check := validator.New(validator.WithRequiredStructEnabled())
-	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict(), yaml.Validator(check))
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict(), yaml.Validator(validate))
 	err := decoder.Decode(value)
 	if err == nil {
 		return nil
 	}
-	return &Error{Document: document, Line: lineOf(err, data), Reason: reasonOf(err)}
+	return &Error{Document: document, Line: errorLine(err, data), Reason: errorReason(err)}
 }
 
-// lineOf returns the line that the error names. Errors of time.ParseDuration come without
+// errorLine returns the line that the error names. Errors of time.ParseDuration come without
 // one: they quote the value, which is looked for.
-func lineOf(err error, data []byte) int {
-	var withToken yaml.Error
-	if errors.As(err, &withToken) && withToken.GetToken() != nil {
-		return withToken.GetToken().Position.Line
+func errorLine(err error, data []byte) int {
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		return yamlErr.GetToken().Position.Line
 	}
 	_, quoted, found := strings.Cut(err.Error(), "duration ")
 	value := strings.Trim(quoted, "\"")
 	if !found || value == "" {
 		return 0
 	}
-	at := bytes.Index(data, []byte(value))
-	if at < 0 {
+	offset := bytes.Index(data, []byte(value))
+	if offset < 0 {
 		return 0
 	}
-	return 1 + bytes.Count(data[:at], []byte("\n"))
+	return 1 + bytes.Count(data[:offset], []byte("\n"))
 }
 
-func reasonOf(err error) string {
-	var withToken yaml.Error
-	if errors.As(err, &withToken) {
-		return firstLine(withToken.GetMessage())
+func errorReason(err error) string {
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) {
+		return firstLine(yamlErr.GetMessage())
 	}
 	return firstLine(err.Error())
 }
