--- a/model/call.go
+++ b/model/call.go
@@ -3,7 +3,7 @@
 import "time"
 
 type (
-	// StageCall is what an endpoint is asked to do.
+	// StageCall is a call to an endpoint to carry out one stage of a request.
 	StageCall struct {
 		// Request, Stage and Attempt identify the call; the reply must repeat them.
 		Request string
@@ -17,46 +17,46 @@
 		Items     []string `json:",omitempty"`
 		Prefix    string   `json:",omitempty"`
 		MaxTokens int      `json:",omitempty"`
-		// From is the index of the first token wanted: a resumed stream starts above zero.
+		// From is the index of the first token to send; a resumed stream starts above zero.
 		From int `json:",omitempty"`
-		// Key and Operation are for plain services.
+		// Key and Operation are set for Call stages only.
 		Key       string `json:",omitempty"`
 		Operation string `json:",omitempty"`
-		// Deadline lets the endpoint stop work that has become useless.
+		// Deadline is when the result stops being useful, so that the endpoint can stop the work.
 		Deadline time.Time
 	}
 
-	// StageReply is an endpoint's answer to a unary call.
+	// StageReply is an endpoint's reply to a unary call.
 	StageReply struct {
 		Request string
 		Stage   string
 		Attempt int
 		Text    string
 		Items   []string `json:",omitempty"`
-		// Verdict is set with an error: what the endpoint itself knows of the call.
+		// Verdict is set together with Error: whether the call ran, as far as the endpoint knows.
 		Verdict Verdict `json:",omitempty"`
 		Error   string  `json:",omitempty"`
 		Load    Load
 	}
 
-	// TokenEvent is one line of an engine's stream.
+	// TokenEvent is one line of an engine's token stream.
 	TokenEvent struct {
 		Request string
 		Stage   string
 		Attempt int
 		Index   int
 		Text    string `json:",omitempty"`
-		// Final marks the last line; a stream without it was cut.
+		// Final marks the last line; a stream that ends without it was truncated.
 		Final bool `json:",omitempty"`
-		// Count is, on the final line, the index after the last token.
+		// Count is set on the final line: the index after the last token.
 		Count int `json:",omitempty"`
-		// CachedTokens says, on the final line, how much of the prompt was cached.
+		// CachedTokens is set on the final line: how many tokens of the prompt were cached.
 		CachedTokens int    `json:",omitempty"`
 		Error        string `json:",omitempty"`
 		Load         *Load  `json:",omitempty"`
 	}
 
-	// StageOutput is what one stage hands to the next.
+	// StageOutput is the data that one stage passes to the next.
 	StageOutput struct {
 		Text   string
 		Items  []string
@@ -65,12 +65,12 @@
 	}
 )
 
-// Matches tells whether the reply belongs to the call.
+// Matches reports whether the reply belongs to the call.
 func (r StageReply) Matches(c StageCall) bool {
 	return r.Request == c.Request && r.Stage == c.Stage && r.Attempt == c.Attempt
 }
 
-// Matches tells whether the event belongs to the call.
+// Matches reports whether the event belongs to the call.
 func (e TokenEvent) Matches(c StageCall) bool {
 	return e.Request == c.Request && e.Stage == c.Stage && e.Attempt == c.Attempt
 }
--- a/model/doc.go
+++ b/model/doc.go
@@ -1,3 +1,3 @@
-// Package model holds the plain values that the other packages exchange: requests, answers,
-// verdicts, settings documents and endpoints. It does no I/O and decides nothing.
+// Package model defines the data types that the other packages exchange: requests, answers,
+// verdicts, settings documents and endpoints. It does no I/O and makes no decisions.
 package model
--- a/model/endpoint.go
+++ b/model/endpoint.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// HostState is what the platform's list says of a host.
+// HostState is the state of a host or endpoint in the platform's list.
 type HostState string
 
-// The states of a host.
+// The states of hosts and endpoints.
 const (
 	Live    HostState = "Live"
 	Leaving HostState = "Leaving"
-	// Evacuated is an endpoint's state while operators keep work off its failure domain.
+	// Evacuated is the state of an endpoint while operators have its failure domain evacuated, so that it gets no work.
 	Evacuated HostState = "Evacuated"
 )
 
 type (
 	// Endpoint is a process of a pool that carries out stage calls.
 	Endpoint struct {
-		// Name stays the same when the process starts again.
+		// Name stays the same when the process restarts.
 		Name string
-		// Started is when the process started, by its own clock; zero where it does not say.
+		// Started is when the process started, by its own clock; zero if it does not report it.
 		Started       time.Time
 		Pool          string
 		Address       string
 		FailureDomain string
-		// Region holds the failure domain; empty where the settings name none.
+		// Region is the region of the failure domain; empty if the settings define none.
 		Region string
 		State  HostState
-		// ColdFor is how long the endpoint stayed cold when it wrote its entry; ColdUntil is until when it may be cold.
+		// ColdFor is the remaining cold time when the endpoint wrote its entry. ColdUntil is when it is warm at the latest.
 		ColdFor   time.Duration
 		ColdUntil time.Time
 	}
 
-	// Host is an entry host with its node.
+	// Host is an entry host and the node that runs on it.
 	Host struct {
 		Name          string
 		Incarnation   string
@@ -44,34 +44,35 @@
 		State         HostState
 	}
 
-	// HostList is the platform's list of hosts and endpoints. It lags.
+	// HostList is the platform's list of hosts and endpoints. It lags behind their actual states.
 	HostList struct {
-		// Number grows with each change of the list.
+		// Number increases with each change of the list.
 		Number    uint64
 		Hosts     []Host
 		Endpoints []Endpoint
 	}
 
-	// Load is what an endpoint reports of itself on a reply. It lags.
+	// Load is the load that an endpoint reports with a reply. It lags behind the actual load.
 	Load struct {
 		Running int
 		Queued  int
 		Slots   int
-		// Leaving is the endpoint's own word that it takes no more new work.
+		// Leaving is true if the endpoint reports that it accepts no new work.
 		Leaving bool
-		// ColdFor is how long the endpoint stays cold.
+		// ColdFor is how much longer the endpoint is cold.
 		ColdFor time.Duration
-		// RateCap is what the endpoint says of the stage calls that it takes of all nodes together; questions for an
-		// engine's state and orders to it do not count.
+		// RateCap limits the stage calls that the endpoint accepts from all nodes together. Reads of an engine's state
+		// and orders to it do not count.
 		RateCap RateCap
 	}
 )
 
-// incarnationSeparator stands between the name and the start in the identity of one incarnation of a process.
+// incarnationSeparator separates the name from the start time in the identity of an incarnation.
 const incarnationSeparator = "@"
 
-// Incarnation returns what tells one start of the process from any other. Everything that is believed of a
-// process belongs to one incarnation: what it holds, its load, its health, its connections.
+// Incarnation returns the identity of one run of the process, which differs from that of any earlier or later run if
+// the process reports its start time. All state that is known of a process belongs to one incarnation: the results that
+// it holds, its load, its health and its connections.
 func (e Endpoint) Incarnation() string {
 	if e.Started.IsZero() {
 		return e.Name
@@ -79,12 +80,12 @@
 	return e.Name + incarnationSeparator + strconv.FormatInt(e.Started.UnixMilli(), 10)
 }
 
-// TakesWork tells whether new work may be sent to the endpoint.
+// TakesWork reports whether new work may be sent to the endpoint.
 func (e Endpoint) TakesWork() bool {
 	return e.State != Leaving && e.State != Evacuated
 }
 
-// NameOfIncarnation returns the name of the process that had an incarnation.
+// NameOfIncarnation returns the name of the process that an incarnation belongs to.
 func NameOfIncarnation(incarnation string) string {
 	if i := strings.LastIndex(incarnation, incarnationSeparator); i >= 0 {
 		return incarnation[:i]
--- a/model/forward.go
+++ b/model/forward.go
@@ -7,43 +7,43 @@
 )
 
 type (
-	// Forward is a caller's request that is passed on to an endpoint unchanged.
+	// Forward is a caller's request that is proxied to an endpoint unchanged.
 	Forward struct {
-		// ID is the caller's; each attempt of a caller has its own.
+		// ID is chosen by the caller and differs between the attempts of a caller.
 		ID     string
 		Method string
-		// URI is path and query as the caller sent them.
+		// URI is the path and query as the caller sent them.
 		URI  string
 		Path string
 		Host string
-		// Header holds what is passed on: no hop-by-hop fields, no credentials and none of the
+		// Header holds the fields to forward: no hop-by-hop fields, no credentials and none of the
 		// fields that only this system may set.
 		Header http.Header
 		Body   []byte
-		// Digest is what the repeats of a request share although each has an ID of its own.
+		// Digest identifies the request across its retries, each of which has an ID of its own.
 		Digest Digest
-		// Key is the caller's API key; empty where none was given.
+		// Key is the caller's API key; empty if none was given.
 		Key string
-		// ReceivedAt and Deadline are on the clock that counts suspension.
+		// ReceivedAt and Deadline are times of clock.Now, which includes the time in which the host was suspended.
 		ReceivedAt time.Time
 		// Waited is how long the caller had waited since its first attempt when this one was
-		// received; zero where that is not known.
+		// received; zero if that is not known.
 		Waited time.Duration
-		// Deadline is when the caller stops waiting; zero where it did not say.
+		// Deadline is when the caller stops waiting; zero if the caller set none.
 		Deadline time.Time
 		Prompt   Prompt
 		// Pieces is the number of pieces of each stage of the route.
 		Pieces []int
-		// PieceKey names the input of the stages that follow no other.
+		// PieceKey names the input of the stages that depend on no other stage.
 		PieceKey string
 	}
 
-	// Prompt says what a request asks of a model engine.
+	// Prompt describes the prompt of a request to a model engine.
 	Prompt struct {
-		// TokensIn and TokensOut are the prompt's length and the most tokens generated.
+		// TokensIn is the length of the prompt, TokensOut the maximum number of generated tokens.
 		TokensIn  int
 		TokensOut int
-		// Parts lists the parts of the prompt in order; requests share the first ones.
+		// Parts lists the parts of the prompt in order. Requests may have the first parts in common.
 		Parts []PromptPart
 	}
 
@@ -53,64 +53,64 @@
 		Tokens int
 	}
 
-	// ForwardReply is an endpoint's answer to a forwarded request. Close must be called.
+	// ForwardReply is an endpoint's reply to a forwarded request. The receiver must call Close.
 	ForwardReply struct {
 		Status int
-		// Header is what is passed back to the caller.
+		// Header holds the fields that are returned to the caller.
 		Header http.Header
 		Body   io.Reader
-		// NotRun is the endpoint's word that it did not and will not run the request.
+		// NotRun is true if the endpoint states that it did not and will not run the request.
 		NotRun bool
-		// Misdirected is true where another endpoint has the address now; it implies NotRun.
+		// Misdirected is true if another endpoint has the address now; it implies NotRun.
 		Misdirected bool
-		// InputsGone is true where a result that the request needs is gone; it implies NotRun.
+		// InputsGone is true if a result that the request needs has been lost; it implies NotRun.
 		InputsGone bool
-		// Authentic is true where the reply bears the endpoint's signature.
+		// Authentic is true if the reply carries the endpoint's signature.
 		Authentic bool
-		// Load is what the endpoint reports; nil where it reports nothing.
+		// Load is the load that the endpoint reports; nil if it reports none.
 		Load *Load
-		// RateCap is what the endpoint says of the requests that it takes.
+		// RateCap limits the requests that the endpoint accepts.
 		RateCap RateCap
-		// Close ends the exchange. The connection is kept only if the body was read whole.
+		// Close ends the exchange. The connection is reused only if the body was read to its end.
 		Close func()
 	}
 
 	// Piece is one unit of a stage's work.
 	Piece struct {
 		Request string
-		// Digest is the request's.
+		// Digest is that of the request.
 		Digest Digest
 		Stage  int
 		Number int
-		// Key is set for stages that follow no other, Inputs for the others.
+		// Key is set for stages that depend on no other stage, Inputs for all others.
 		Key    string
 		Inputs []string
 		// Deadline is when the result stops being useful.
 		Deadline time.Time
 	}
 
-	// PieceResult is how a piece ended: Handle is empty unless it was made.
+	// PieceResult is the outcome of a piece. Handle names its result and is empty if there is none.
 	PieceResult struct {
 		Handle string
 		Fault  PieceFault
 	}
 
-	// PieceFault names why a piece was not made.
+	// PieceFault names the reason why a piece has no result.
 	PieceFault string
 )
 
-// WithDigest returns the request with what its repeats share.
+// WithDigest returns a copy of the request with the given digest.
 func (f Forward) WithDigest(d Digest) Forward {
 	f.Digest = d
 	return f
 }
 
-// FirstAttemptAt returns when the caller first asked: objectives count from there.
+// FirstAttemptAt returns when the caller sent its first attempt. Objectives are measured from there.
 func (f Forward) FirstAttemptAt() time.Time {
 	return f.ReceivedAt.Add(-f.Waited)
 }
 
-// WithWaited returns the request with another time that its caller had waited.
+// WithWaited returns a copy of the request with the given time that its caller had already waited.
 func (f Forward) WithWaited(waited time.Duration) Forward {
 	f.Waited = waited
 	return f
@@ -118,16 +118,16 @@
 
 // The faults of pieces.
 const (
-	// PieceLate: its deadline had passed when its turn came.
+	// PieceLate: its deadline had passed before it was started.
 	PieceLate PieceFault = "Late"
-	// PieceStarved: it could no longer be on time, and what could went before it for too long.
+	// PieceStarved: it could no longer be on time, and pieces that could were preferred to it for too long.
 	PieceStarved PieceFault = "Starved"
-	// PieceInputGone: a result that it needs is gone.
+	// PieceInputGone: a result that it needs has been lost.
 	PieceInputGone PieceFault = "InputGone"
-	// PieceNoRoom: the endpoint had no room for its result.
+	// PieceNoRoom: the endpoint had no memory left for its result.
 	PieceNoRoom PieceFault = "NoRoom"
-	// PieceMoved: another node batches for the pool now, and is to be asked.
+	// PieceMoved: another node batches for the pool now; the piece must be sent there.
 	PieceMoved PieceFault = "Moved"
-	// PieceFailed: the endpoint failed to make it, or the call failed.
+	// PieceFailed: the endpoint failed to process it, or the call failed.
 	PieceFailed PieceFault = "Failed"
 )
--- a/model/ratecap.go
+++ b/model/ratecap.go
@@ -1,14 +1,14 @@
 package model
 
-// RateCap is how many requests a second an endpoint states that it takes of all nodes together. The zero value stands for
-// no cap.
+// RateCap is the number of requests a second that an endpoint states to accept from all nodes together. The zero value
+// means that no cap is stated.
 type RateCap struct {
 	Stated bool
 	// PerSecond is not negative.
 	PerSecond float64
 }
 
-// NewRateCap returns a cap; one that is no rate states none.
+// NewRateCap returns a cap of perSecond requests a second. If that is negative or NaN, no cap is stated.
 func NewRateCap(perSecond float64) RateCap {
 	if !(perSecond >= 0) {
 		return RateCap{}
@@ -16,13 +16,13 @@
 	return RateCap{Stated: true, PerSecond: perSecond}
 }
 
-// WithPart returns the cap of who may use only a part of it, from 0 to 1.
+// WithPart returns the cap for a node that may use only a fraction of it, from 0 to 1.
 func (c RateCap) WithPart(fraction float64) RateCap {
 	c.PerSecond *= fraction
 	return c
 }
 
-// Stricter returns the cap that allows less.
+// Stricter returns the cap that allows fewer requests; a stated cap is stricter than none.
 func (c RateCap) Stricter(other RateCap) RateCap {
 	if !c.Stated || other.Stated && other.PerSecond < c.PerSecond {
 		return other
--- a/model/record.go
+++ b/model/record.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Record is what a node remembers of a request that it ran, for operators.
+// Record is what a node keeps of a request that it received, for operators.
 type Record struct {
 	Request  string
 	Node     string
@@ -11,7 +11,7 @@
 	Team     string
 	Pipeline string
 	Key      string
-	// Forwarded names the node that ran the request, if another did.
+	// Forwarded names the node that ran the request, if it was another one.
 	Forwarded string
 	Began     time.Time
 	Elapsed   time.Duration
--- a/model/request.go
+++ b/model/request.go
@@ -7,14 +7,14 @@
 
 // Request is one caller's request to a pipeline.
 type Request struct {
-	// ID is unique; its part before the first dot names the node that took the request.
+	// ID is unique. Its part before the first dot names the node that accepted the request.
 	ID       string
 	Team     string
 	Customer string
 	Pipeline string
-	// Key is the caller's idempotency key; empty for a pipeline that may be repeated.
+	// Key is the caller's idempotency key; empty for a pipeline without a non-idempotent stage.
 	Key string
-	// Attempt numbers the caller's tries with one key; zero where the caller does not count.
+	// Attempt numbers the caller's attempts with one key; zero if the caller does not number them.
 	Attempt int
 	// Deadline is when the answer stops being useful.
 	Deadline time.Time
@@ -28,20 +28,20 @@
 	MaxTokens int    `json:"MaxTokens,omitempty"`
 }
 
-// StageTiming says what one stage of a request cost.
+// StageTiming is the time and the calls that one stage of a request took.
 type StageTiming struct {
 	Stage    string
 	Endpoint string
-	// Attempts counts the calls made, hedges included.
+	// Attempts counts the calls, including hedged ones.
 	Attempts int
-	// Elapsed includes the wait for a place at the pool.
+	// Elapsed includes the time spent waiting for a slot in the pool.
 	Elapsed time.Duration
-	// Busy is the time in which endpoints worked for this stage, failed attempts included.
+	// Busy is the time that endpoints worked on this stage, including failed attempts.
 	Busy   time.Duration
 	Tokens int
 }
 
-// Answer is the whole answer to one request.
+// Answer is the complete answer to one request.
 type Answer struct {
 	ID       string
 	Pipeline string
@@ -53,7 +53,7 @@
 	Stages   []StageTiming
 	// RanOn names the node that ran the pipeline.
 	RanOn string
-	// Repeated is true where an earlier request with the same key produced this answer.
+	// Repeated is true if an earlier request with the same key produced this answer.
 	Repeated bool
 }
 
@@ -64,12 +64,12 @@
 	Text  string
 }
 
-// Digest returns what the repeats of the request share: who asks, and for what. Keys and deadlines are of one try.
+// Digest returns the digest of the request. Key and deadline are not part of it, since they belong to one attempt.
 func (r Request) Digest() Digest {
 	return NewDigest(r.Account(), r.Pipeline, r.Input.Text, r.Input.Prefix, strconv.Itoa(r.Input.MaxTokens))
 }
 
-// Account names the customer over all teams.
+// Account returns a name of the customer that is unique among all teams.
 func (r Request) Account() string {
 	return r.Team + "/" + r.Customer
 }
--- a/model/routing.go
+++ b/model/routing.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RouteKind says what of a route's requests may be repeated.
+// RouteKind determines how often the requests of a route may be repeated.
 type RouteKind string
 
 // The kinds of routes.
@@ -16,8 +16,8 @@
 )
 
 type (
-	// Routing is one version of what operators want served: routes, pools and API keys. It is
-	// immutable; versions only grow.
+	// Routing is one version of the routing table: routes, pools and API keys. It is immutable,
+	// and versions only increase.
 	Routing struct {
 		Version   uint64
 		Routes    []Route
@@ -29,56 +29,56 @@
 	// Route maps requests of one virtual host and path prefix to a pool.
 	Route struct {
 		Name string
-		// Host is compared without its port.
+		// Host is compared with the request's host without the port.
 		Host string
 		// Prefix begins and ends with a slash.
 		Prefix string
 		Kind   RouteKind
-		// Timeout is the longest time that a caller may be kept waiting.
+		// Timeout is the maximum time that a caller waits.
 		Timeout time.Duration
-		// Objective is the time within which an answer, or a stream's first event, is useful.
+		// Objective is the time within which an answer, or the first event of a stream, is useful.
 		Objective time.Duration
-		// GapTarget is the longest useful pause between two events of a stream.
+		// GapTarget is the longest acceptable pause between two events of a stream.
 		GapTarget time.Duration
-		// Priority is the route's rank; 0 comes first.
+		// Priority is the rank of the route's requests; 0 is served first.
 		Priority int
-		// Split holds one entry or more; their weights need not sum up to anything.
+		// Split holds at least one entry. The weights are relative and need not add up to a fixed sum.
 		Split []WeightedPool
-		// MaxAttempts bounds the endpoints that one attempt of a caller is sent to; at least 1.
+		// MaxAttempts limits how many endpoints one attempt of a caller is sent to; at least 1.
 		MaxAttempts int
-		// Stages is a DAG in topological order: each entry follows only earlier ones.
+		// Stages is a DAG in topological order: each entry depends only on earlier ones.
 		Stages []StageNode
-		// Public routes need no API key.
+		// Public routes require no API key.
 		Public bool
-		// Sticky routes carry prompts whose prefixes endpoints cache.
+		// Sticky routes carry prompts whose prefixes are cached by endpoints.
 		Sticky bool
-		// Resumable streams may go on at another endpoint.
+		// Resumable streams may be continued at another endpoint.
 		Resumable bool
-		// Homes lists the regions that requests may be served in; none means any.
+		// AllowedRegions lists the regions that requests may be served in; empty for any region.
 		AllowedRegions []string
 	}
 
-	// WeightedPool is a pool with its share of a route.
+	// WeightedPool is a pool with the weight of its share of a route.
 	WeightedPool struct {
 		Pool   string
 		Weight int
 	}
 
-	// StageNode is work that must be done before a request of the route can run.
+	// StageNode is a stage that must be completed before a request of the route can run.
 	StageNode struct {
 		Pool string
 		// After lists the indexes of the stages whose results this one needs.
 		After []int
-		// ResultBytes is the approximate size of one piece's result.
+		// ResultBytes is the approximate size of the result of one piece, in bytes.
 		ResultBytes int64
 	}
 
 	// Pool is a named set of endpoints.
 	Pool struct {
 		Name string
-		// MaxConns bounds the connections of all nodes together to one endpoint.
+		// MaxConns limits the connections from all nodes together to one endpoint.
 		MaxConns int
-		// ColdRate is how many requests a second a cold endpoint bears; zero where cold ones bear what others do.
+		// ColdRate is how many requests a second a cold endpoint can handle; zero if cold endpoints are not limited.
 		ColdRate float64
 		// Engine is nil for pools that are not model engines.
 		Engine *EngineTraits
@@ -86,28 +86,28 @@
 		Pieces *PieceTraits
 	}
 
-	// EngineTraits describes the model engines of a pool; each value is for one endpoint.
+	// EngineTraits describes the model engines of a pool. Each value applies to one endpoint.
 	EngineTraits struct {
 		Slots int
-		// Tokens is how many tokens fit into memory.
+		// KVCapacity is how many tokens fit into the KV cache.
 		KVCapacity int
 	}
 
-	// PieceTraits describes the endpoints that carry out pieces of stages; each value is for
+	// PieceTraits describes the endpoints that process pieces of stages. Each value applies to
 	// one endpoint.
 	PieceTraits struct {
-		// Slots is how many calls are carried out at the same time.
+		// Slots is how many calls run concurrently.
 		Slots int
-		// Batch is the most pieces of a call.
+		// MaxBatch is the maximum number of pieces in a call.
 		MaxBatch int
-		// CallTime is what a call costs whatever it holds; PieceTime is what each piece adds.
+		// CallTime is the fixed duration of a call, to which each piece adds PieceTime.
 		CallTime  time.Duration
 		PieceTime time.Duration
-		// Room is how many bytes of results an endpoint holds.
+		// Room is the memory for results, in bytes.
 		Room int64
-		// Keep is how long a result is held after its call unless it is freed.
+		// ResultTTL is how long a result is kept after its call unless it is freed.
 		ResultTTL time.Duration
-		// Link is how many bytes a second an endpoint's link carries; zero where that is not known.
+		// LinkBandwidth is the bandwidth of the endpoint's network link in bytes a second; zero if that is not known.
 		LinkBandwidth int64
 	}
 
@@ -115,13 +115,13 @@
 	KeyHolder struct {
 		Name string
 		Keys []string
-		// Priority replaces the route's if it is not negative.
+		// Priority overrides that of the route unless it is negative.
 		Priority int
-		// Homes lists the regions that the customer's requests may be served in; none means any.
+		// AllowedRegions lists the regions that the customer's requests may be served in; empty for any region.
 		AllowedRegions []string
 	}
 
-	// CallerLimits bound what callers may send.
+	// CallerLimits limit what callers may send and how long they may take.
 	CallerLimits struct {
 		MaxHeaderBytes int
 		MaxBodyBytes   int64
--- a/model/settings.go
+++ b/model/settings.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// StageKind names the plug-in that carries a stage out.
+// StageKind names the plug-in that carries out a stage.
 type StageKind string
 
-// KeyMode says what guards an idempotency key against a second run.
+// KeyMode is how a second run of a request with the same idempotency key is prevented.
 type KeyMode string
 
-// The kinds of stages that the project's own plug-ins carry out.
+// The kinds of stages that have a built-in plug-in.
 const (
 	Encode   StageKind = "Encode"
 	Retrieve StageKind = "Retrieve"
@@ -19,14 +19,14 @@
 
 // The key modes.
 const (
-	// Claims guards a UUIDv7: the owner of the key's interval arbitrates from memory.
+	// Claims is for UUIDv7 keys: the node that owns the key's time interval decides from memory.
 	Claims KeyMode = "Claims"
-	// Durable guards any other key: a conditional insert into the table arbitrates.
+	// Durable is for all other keys: a conditional insert into the table decides.
 	Durable KeyMode = "Durable"
 )
 
 type (
-	// TeamSettings is the document of one team's subtree.
+	// TeamSettings is the settings document of one team.
 	TeamSettings struct {
 		Team      string     `yaml:"Team"      validate:"required"`
 		Customers []Customer `yaml:"Customers" validate:"required,dive"`
@@ -37,16 +37,16 @@
 	Customer struct {
 		Name  string `yaml:"Name"  validate:"required"`
 		Token string `yaml:"Token" validate:"required,min=8"`
-		// Weight is the customer's share relative to the others'; 1 if not given.
+		// Weight is the customer's share relative to those of the others; 1 if not given.
 		Weight int `yaml:"Weight" validate:"gte=0,lte=1000"`
-		// RequestsPerSecond limits the customer over the whole fleet; 0 is no limit.
+		// RequestsPerSecond limits the customer across the whole fleet; 0 means no limit.
 		RequestsPerSecond float64 `yaml:"RequestsPerSecond" validate:"gte=0"`
 	}
 
-	// Pipeline is a chain of stages under one deadline.
+	// Pipeline is a chain of stages with a common deadline.
 	Pipeline struct {
 		Name string `yaml:"Name" validate:"required"`
-		// Deadline caps the deadline that a caller may ask for.
+		// Deadline is the maximum deadline that a caller may request.
 		Deadline time.Duration `yaml:"Deadline" validate:"required,gt=0"`
 		// Keys restricts the keys that a pipeline with a non-idempotent stage accepts: Claims
 		// to UUIDv7, Durable to any other form. Both are accepted if it is not given.
@@ -59,44 +59,44 @@
 		Name string    `yaml:"Name" validate:"required"`
 		Kind StageKind `yaml:"Kind" validate:"required"`
 		Pool string    `yaml:"Pool" validate:"required"`
-		// Model and Adapter are what a Generate stage needs loaded.
+		// Model and Adapter must be loaded for a Generate stage.
 		Model   string `yaml:"Model"`
 		Adapter string `yaml:"Adapter"`
-		// MaxTokens caps a Generate stage's output; 256 if not given.
+		// MaxTokens limits the output of a Generate stage; 256 if not given.
 		MaxTokens int `yaml:"MaxTokens" validate:"gte=0,lte=8192"`
-		// Operation names what a Call stage asks the service to do.
+		// Operation names the operation that a Call stage requests from the service.
 		Operation string `yaml:"Operation"`
-		// NonIdempotent marks a Call that must not be made twice.
+		// NonIdempotent marks a Call stage that must not run twice.
 		NonIdempotent bool `yaml:"NonIdempotent"`
 	}
 
-	// FleetSettings is the document that holds for the whole fleet.
+	// FleetSettings is the settings document that applies to the whole fleet.
 	FleetSettings struct {
-		// Horizon is how far ahead key intervals are given out: the longest table outage that
-		// keyed requests ride out.
+		// Horizon is how far ahead key intervals are assigned to nodes: the longest outage of the table
+		// during which requests with keys are still accepted.
 		Horizon time.Duration `yaml:"Horizon" validate:"gte=1s,lte=1h"`
-		// FirmHorizon is how far ahead the owners of keys are final: how long a crash closes
-		// its owner's keys.
+		// FirmHorizon is how far ahead the assignment of key intervals is final: how long the keys of a
+		// node stay closed after it crashes.
 		FirmHorizon time.Duration `yaml:"FirmHorizon" validate:"gte=1s,lte=1h"`
-		// Retention is how long a key and its answer are remembered.
+		// Retention is how long a key and its answer are kept.
 		Retention time.Duration `yaml:"Retention" validate:"gte=10s,lte=24h"`
-		// WeightLoadEvery is the weight store's rate: the least time between two loads that
-		// one pool's engines are ordered to make.
+		// WeightLoadEvery is the minimum time between two load orders to the engines of one pool. It
+		// matches the rate at which the weight store can serve loads.
 		WeightLoadEvery time.Duration `yaml:"WeightLoadEvery" validate:"gte=10ms,lte=10m"`
 		// Evacuated lists the failure domains whose endpoints get no work.
 		Evacuated []string `yaml:"Evacuated" validate:"unique,dive,required"`
-		// ColdRates holds, by pool, how many calls a second an endpoint bears of all nodes together while it is cold;
-		// cold endpoints of other pools bear what others do.
+		// ColdRates holds, by pool, how many calls a second a cold endpoint can handle from all nodes together. Cold
+		// endpoints of pools without an entry are not limited.
 		ColdRates map[string]float64 `yaml:"ColdRates" validate:"dive,keys,required,endkeys,gt=0"`
 	}
 
-	// Document is one settings document as the table holds it.
+	// Document is a settings document as it is stored in the table.
 	Document struct {
 		// Path is "fleet" or "teams/NAME".
 		Path string
-		// Revision is the fleet's head revision that this document's last change made.
+		// Revision is the head revision of the fleet that the last change of this document created.
 		Revision uint64
-		// Operation is the unique number of the change.
+		// Operation is the unique identifier of the change.
 		Operation string
 		Author    string
 		At        time.Time
@@ -110,7 +110,7 @@
 	}
 )
 
-// NonIdempotent tells whether a stage of the pipeline must not be repeated.
+// NonIdempotent reports whether any stage of the pipeline must not run twice.
 func (p Pipeline) NonIdempotent() bool {
 	for _, s := range p.Stages {
 		if s.NonIdempotent {
--- a/model/verdict.go
+++ b/model/verdict.go
@@ -7,23 +7,23 @@
 	"github.com/go-faster/errors"
 )
 
-// Verdict says whether a request that got no whole answer may have had an effect.
+// Verdict says whether a request without a complete answer may have had an effect.
 type Verdict string
 
-// Reason names why a request was refused, given up or repeated. Each has its own counter.
+// Reason names why a request was refused, aborted or retried. Each reason has its own counter.
 type Reason string
 
 // The three verdicts.
 const (
-	// NotRun: no endpoint was or will be asked to do anything for this request.
+	// NotRun: no endpoint has run or will run any part of the request.
 	NotRun Verdict = "NotRun"
-	// MayHaveRun: some of it ran, or the evidence does not tell.
+	// MayHaveRun: a part of the request ran, or it is not known whether it did.
 	MayHaveRun Verdict = "MayHaveRun"
-	// Ran: the request ran to its end.
+	// Ran: the request ran to completion.
 	Ran Verdict = "Ran"
 )
 
-// The reasons of refusals.
+// The reasons for refusals.
 const (
 	BadRequest       Reason = "BadRequest"
 	Unauthorized     Reason = "Unauthorized"
@@ -47,27 +47,27 @@
 	OutcomeUnknown   Reason = "OutcomeUnknown"
 	TableUnavailable Reason = "TableUnavailable"
 	AdapterNotLoaded Reason = "AdapterNotLoaded"
-	// StaleRouting: what is known of routes and keys is too old to decide by.
+	// StaleRouting: the known routes and API keys are too old for a decision.
 	StaleRouting Reason = "StaleRouting"
-	// TooLarge: the request exceeds what callers may send.
+	// TooLarge: the request exceeds the size limits for callers.
 	TooLarge Reason = "TooLarge"
-	// StageLate: a stage's results could not be made in time.
+	// StageLate: the results of a stage could not be produced in time.
 	StageLate Reason = "StageLate"
-	// Quarantined: endpoints ended that ran the request, and it is held back.
+	// Quarantined: the request is held back because endpoint processes crashed while they ran it.
 	Quarantined Reason = "Quarantined"
 	// PoolEvacuated: all endpoints of a pool that the request needs are in evacuated failure domains.
 	PoolEvacuated Reason = "PoolEvacuated"
-	// EndpointsCold: the endpoints have just started and bear no more requests now.
+	// EndpointsCold: the endpoints have just started and can handle no more requests now.
 	EndpointsCold Reason = "EndpointsCold"
-	// EndpointsCapped: the endpoints say how many requests they take, and take no more now.
+	// EndpointsCapped: the rate caps that the endpoints state allow no more requests now.
 	EndpointsCapped Reason = "EndpointsCapped"
-	// NoHome: no endpoint of a pool that the request needs is in a region that its route and customer allow.
+	// NoHome: no endpoint of a pool that the request needs is in a region that both its route and its customer allow.
 	NoHome Reason = "NoHome"
-	// EndpointRefused: the endpoint did not run the request, and no other could be asked.
+	// EndpointRefused: the endpoint did not run the request, and no other endpoint could be tried.
 	EndpointRefused Reason = "EndpointRefused"
 )
 
-// The reasons of repeated stage calls.
+// The reasons for retries of stage calls.
 const (
 	RetryRefused  Reason = "RetryRefused"
 	RetryCut      Reason = "RetryCut"
@@ -76,26 +76,26 @@
 	RetryMismatch Reason = "RetryMismatch"
 	RetryHedge    Reason = "RetryHedge"
 	RetryResume   Reason = "RetryResume"
-	// RetryNotRun: the endpoint said that it did not run the call.
+	// RetryNotRun: the endpoint reported that it did not run the call.
 	RetryNotRun Reason = "RetryNotRun"
-	// RetryWithdrawn: the endpoint may get no more work since it was chosen; nothing was sent.
+	// RetryWithdrawn: the endpoint became ineligible for work after it was chosen; nothing was sent.
 	RetryWithdrawn Reason = "RetryWithdrawn"
-	// RetryPiece: a piece was made again because its result or an input was gone.
+	// RetryPiece: a piece was processed again because its result or an input was lost.
 	RetryPiece Reason = "RetryPiece"
 )
 
-// Refusal is the error that ends a request without a whole answer.
+// Refusal is the error that ends a request without a complete answer.
 type Refusal struct {
 	// Verdict is never Ran.
 	Verdict Verdict
 	Reason  Reason
-	// RetryAfter is when the caller may come back; zero where coming back is of no use.
+	// RetryAfter is how long the caller should wait before it retries; zero if a retry is of no use.
 	RetryAfter time.Duration
-	// Detail is a sentence for the caller.
+	// Detail is an explanation for the caller.
 	Detail string
 }
 
-// NewRefusal returns a refusal.
+// NewRefusal returns a refusal with the given fields.
 func NewRefusal(verdict Verdict, reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Verdict: verdict, Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
@@ -105,14 +105,14 @@
 	return fmt.Sprintf("%s (%s): %s", r.Reason, r.Verdict, r.Detail)
 }
 
-// WithVerdict returns a copy of the refusal that carries another verdict.
+// WithVerdict returns a copy of the refusal with the given verdict.
 func (r Refusal) WithVerdict(v Verdict) *Refusal {
 	r.Verdict = v
 	return &r
 }
 
-// AsRefusal returns the refusal that err carries. An error that carries none says nothing
-// about what ran, so it becomes MayHaveRun.
+// AsRefusal returns the refusal that err wraps. An error that wraps none does not tell
+// what ran, so the result is a refusal with the verdict MayHaveRun.
 func AsRefusal(err error) *Refusal {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
