--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock waits, for the packages that do I/O; those that decide are handed the time.
+// Package clock provides a suspension-aware clock, sleeps and idle timeouts for the packages that do I/O. Packages
+// without I/O, such as kernel, get the time as an argument.
 package clock
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits for a duration and reports whether ctx still stands.
+// Sleep waits for a duration. It returns false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -18,11 +19,11 @@
 	}
 }
 
-// sleepPollInterval is how often SleepUntil looks at the time: by so much it may be late after a suspension.
+// sleepPollInterval is how often SleepUntil reads the clock, and so the maximum delay after a suspension.
 const sleepPollInterval = 100 * time.Millisecond
 
-// SleepUntil waits until a time on a clock that counts the time in which the host was suspended, and reports
-// whether ctx still stands. Timers do not count it.
+// SleepUntil waits until a deadline on a clock that includes the time in which the host was suspended, which timers do
+// not. It returns false if ctx ended first.
 func SleepUntil(ctx context.Context, now func() time.Time, deadline time.Time) bool {
 	for {
 		remaining := deadline.Sub(now())
--- a/clock/silence.go
+++ b/clock/silence.go
@@ -8,24 +8,24 @@
 	"github.com/go-faster/errors"
 )
 
-// maxReadSize is the most bytes that a reader asks for: one that fills a large buffer before it returns, as
-// that of a chunked HTTP body does, would look silent while it fills it.
+// maxReadSize limits the bytes requested by one Read. A reader that fills a large buffer before it returns, such as
+// that of a chunked HTTP body, would otherwise appear idle while it fills the buffer.
 const maxReadSize = 16 << 10
 
-// ErrIdleTimeout is the cause of the end of a call from which nothing came for too long.
+// ErrIdleTimeout is the cause of a context that ended because no data arrived in time.
 var ErrIdleTimeout = errors.New("clock: nothing came in time")
 
-// IdleTimeout ends a call from which nothing comes for a time, however long it takes otherwise. A limit on the
-// whole would have an answer that outgrows its link given up and asked for again for good. It is safe
-// for concurrent use.
+// IdleTimeout ends a call that receives no data for some time. The total duration of the call is not limited: an
+// answer too large for its link would otherwise be aborted and requested again forever. It is safe for concurrent
+// use.
 type IdleTimeout struct {
 	timer   *time.Timer
 	cancel  context.CancelCauseFunc
 	timeout time.Duration
 }
 
-// WithIdleTimeout returns a context that ends, with the cause ErrIdleTimeout, where nothing comes within a first time,
-// or later within another one. Stop is to be called at the call's end.
+// WithIdleTimeout returns a context that ends with the cause ErrIdleTimeout if no data arrives within the initial
+// timeout or, after the first data, within the other one. Stop must be called at the end of the call.
 func WithIdleTimeout(ctx context.Context, initial, timeout time.Duration) (context.Context, *IdleTimeout) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return ctx, &IdleTimeout{
@@ -35,18 +35,18 @@
 	}
 }
 
-// Reset notes that something came.
+// Reset restarts the timer, because data arrived.
 func (t *IdleTimeout) Reset() {
 	t.timer.Reset(t.timeout)
 }
 
-// Stop ends the context.
+// Stop stops the timer and ends the context.
 func (t *IdleTimeout) Stop() {
 	t.timer.Stop()
 	t.cancel(context.Canceled)
 }
 
-// Reader returns a reader whose bytes are heard.
+// Reader returns a reader that restarts the timer for each read that returns data.
 func (t *IdleTimeout) Reader(r io.Reader) io.Reader {
 	return &idleTimeoutReader{timeout: t, reader: r}
 }
--- a/clock/silence_test.go
+++ b/clock/silence_test.go
@@ -23,9 +23,9 @@
 		pauses []time.Duration
 		want   error
 	}{
-		{"nothing in the first time", []time.Duration{initialTimeout + 1}, clock.ErrIdleTimeout},
-		{"long, but never silent", []time.Duration{initialTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1}, nil},
-		{"silent in the middle", []time.Duration{0, idleTimeout - 1, idleTimeout + 1, 0}, clock.ErrIdleTimeout},
+		{"no data within the initial timeout", []time.Duration{initialTimeout + 1}, clock.ErrIdleTimeout},
+		{"long, but never idle", []time.Duration{initialTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1}, nil},
+		{"idle in the middle", []time.Duration{0, idleTimeout - 1, idleTimeout + 1, 0}, clock.ErrIdleTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// A body that came in one chunk was read with ever larger buffers, each filled before it was returned: over
-// a slow link, what had come was noticed only after the idle timeout.
+// io.ReadAll reads a body that arrives in one chunk with ever larger buffers, and each read returns only when its buffer
+// is full. Over a slow link, data must still be noticed before the idle timeout.
 func TestReaderThatFillsLargeBufferResetsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timeout := clock.WithIdleTimeout(context.Background(), initialTimeout, idleTimeout)
--- a/clock/sleep_test.go
+++ b/clock/sleep_test.go
@@ -10,8 +10,8 @@
 	"basilstall.example/basilstall/clock"
 )
 
-// A host that is suspended while its node leaves: timers go on where they stood, and a node that sleeps for the
-// grace time outlives it by as long as it was suspended.
+// The host is suspended while its node sleeps through the grace period of a shutdown. Timers do not include the
+// suspension, so that a plain sleep would end later than the grace period by as long as the host was suspended.
 func TestSleepUntilCountsSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const suspended = 3 * time.Second
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds all options of a node in one place: their defaults, and their parser
-// for flags, environment and a strictly checked YAML file.
+// Package config defines the options of a node and their defaults, and reads them from flags,
+// the environment and a YAML file in which unknown keys are errors.
 package config
 
 import (
@@ -15,7 +15,7 @@
 )
 
 const (
-	// EnvPrefix begins the names of environment variables, as in BASILSTALL_PLATFORM.
+	// EnvPrefix is the prefix of the names of environment variables, as in BASILSTALL_PLATFORM.
 	EnvPrefix = "BASILSTALL"
 
 	defaultListen     = "127.0.0.1:0"
@@ -28,25 +28,25 @@
 	Options struct {
 		// Name is unique among the entry hosts.
 		Name string
-		// FailureDomain is where the host stands.
+		// FailureDomain is the failure domain of the host.
 		FailureDomain string
-		// Platform is the address of table and list, HOST:PORT.
+		// Platform is the address of the platform's table and list, HOST:PORT.
 		Platform string
-		// CallersListen, OperatorsListen and PeersListen are the three listeners, HOST:PORT.
+		// CallersListen, OperatorsListen and PeersListen are the listen addresses, HOST:PORT.
 		CallersListen   string
 		OperatorsListen string
 		PeersListen     string
-		// OperatorsToken and PeersToken are what operators and other nodes must show.
+		// OperatorsToken and PeersToken are the tokens that operators and other nodes must present.
 		OperatorsToken string
 		PeersToken     string
-		// PeerSeeds are addresses of other nodes, for a start while the list is down.
+		// PeerSeeds are addresses of other nodes, for a start while the platform's list is unavailable.
 		PeerSeeds []string
-		// DrainDelay is how long a node that drains still takes requests, so that the
-		// balancer notices first.
+		// DrainDelay is how long a draining node still accepts requests, so that the load
+		// balancer can notice first that it drains.
 		DrainDelay time.Duration
-		// DrainLimit is how long a node that drains waits for requests in flight.
+		// DrainLimit is the maximum time that a draining node waits for requests in flight.
 		DrainLimit time.Duration
-		// Plain switches to the baseline policies, for comparisons.
+		// Plain selects the baseline policies, for comparisons.
 		Plain bool
 		// LogLevel is debug, info, warn or error.
 		LogLevel string
@@ -99,7 +99,7 @@
 	fs.StringVar(&o.LogLevel, 0, "log-level", o.LogLevel, "debug, info, warn or error")
 }
 
-// ParseFile parses the YAML file of that name and hands each given value to set.
+// ParseFile parses a YAML file and calls set for each value that it contains. The name is used in errors only.
 func ParseFile(name string, r io.Reader, set func(name, value string) error) error {
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return f.apply(set)
 }
 
-// apply hands each given value on, so that flags and environment keep their precedence.
+// apply calls set for each value of the file, so that flags and environment variables keep their precedence.
 func (f file) apply(set func(name, value string) error) error {
 	values := [][2]string{
 		{"name", f.Name},
@@ -151,7 +151,7 @@
 	return d.String()
 }
 
-// Validate returns the first thing that is wrong with the options.
+// Validate returns an error for the first option that is missing or invalid.
 func (o *Options) Validate() error {
 	required := [][2]string{
 		{"Name", o.Name},
@@ -166,7 +166,7 @@
 		}
 	}
 	if strings.ContainsAny(o.Name, "./ ") {
-		return errors.Errorf("config: Name %q holds a dot, a slash or a space", o.Name)
+		return errors.Errorf("config: Name %q contains a dot, a slash or a space", o.Name)
 	}
 	addresses := [][2]string{
 		{"Platform", o.Platform},
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,4 +1,4 @@
-// Package metric counts what a node does, one set a node, in the Prometheus text format.
+// Package metric collects the metrics of a node and writes them in the Prometheus text format.
 package metric
 
 import (
@@ -11,8 +11,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// Set holds a node's metrics. A counter exists once it was used, so that idle customers and
-// pools cost nothing.
+// Set holds the metrics of one node. A metric is created on first use, so that idle customers and
+// pools take no memory.
 type Set struct {
 	set *metrics.Set
 }
@@ -22,29 +22,29 @@
 	return &Set{set: metrics.NewSet()}
 }
 
-// CountRefusal counts a refusal that a caller was told.
+// CountRefusal counts a refusal that was sent to a caller.
 func (s *Set) CountRefusal(r *model.Refusal) {
 	s.count(`basilstall_refusals_total{reason=%q,verdict=%q}`, string(r.Reason), string(r.Verdict))
 }
 
-// ObserveRefusalTime notes how long a request had been here when it was refused.
+// ObserveRefusalTime records the time from the arrival of a request to its refusal.
 func (s *Set) ObserveRefusalTime(r *model.Refusal, elapsed time.Duration) {
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_refused_after_seconds{reason=%q}`, string(r.Reason))).Update(elapsed.Seconds())
 }
 
-// CountRetry counts a repeated stage call.
+// CountRetry counts a retry of a stage call.
 func (s *Set) CountRetry(reason model.Reason, pool string) {
 	s.count(`basilstall_retries_total{reason=%q,pool=%q}`, string(reason), pool)
 }
 
-// ObserveAnswer counts a whole answer and its time.
+// ObserveAnswer counts a complete answer and records its latency.
 func (s *Set) ObserveAnswer(pipeline string, elapsed time.Duration) {
 	s.count(`basilstall_answers_total{pipeline=%q}`, pipeline)
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_answer_seconds{pipeline=%q}`, pipeline)).Update(elapsed.Seconds())
 }
 
-// ObserveWaitError notes which wait a pool's batcher estimated for pieces and how long they waited: by how much they
-// waited longer, or less long.
+// ObserveWaitError records by how much the actual wait of pieces was longer or shorter than the wait that the pool's
+// batcher had estimated.
 func (s *Set) ObserveWaitError(pool string, estimated, waited time.Duration) {
 	side, deviation := "longer", waited-estimated
 	if deviation < 0 {
@@ -53,19 +53,19 @@
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_wait_error_seconds{pool=%q,side=%q}`, pool, side)).Update(deviation.Seconds())
 }
 
-// ObserveFeed notes an answer about the store's tables, from the store or another node, with its size in bytes
-// and the time since the question.
+// ObserveFeed records the size in bytes of an answer about the store's tables, from the store or from another node,
+// and the time since it was requested.
 func (s *Set) ObserveFeed(from string, size int64, elapsed time.Duration) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="taken"}`, from)).AddInt64(size)
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_feed_seconds{from=%q}`, from)).Update(elapsed.Seconds())
 }
 
-// CountAbandonedFeed notes how many bytes of such an answer had come when it was given up.
+// CountAbandonedFeed counts the bytes of such an answer that had been received when it was abandoned.
 func (s *Set) CountAbandonedFeed(from string, received int64) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="given up"}`, from)).AddInt64(received)
 }
 
-// AddStageUsage adds to a stage's cost.
+// AddStageUsage adds the endpoint time and the tokens of a stage to the usage of a pool and customer.
 func (s *Set) AddStageUsage(customer string, timing model.StageTiming, pool string) {
 	s.set.GetOrCreateFloatCounter(fmt.Sprintf(`basilstall_endpoint_seconds_total{pool=%q,customer=%q}`, pool, customer)).Add(timing.Busy.Seconds())
 	if timing.Tokens > 0 {
@@ -73,17 +73,17 @@
 	}
 }
 
-// CountEvent counts something else by its name.
+// CountEvent counts an event that has no metric of its own, by its name.
 func (s *Set) CountEvent(name string) {
 	s.count(`basilstall_events_total{event=%q}`, name)
 }
 
-// Gauge registers a value that is read when the metrics are.
+// Gauge registers a gauge whose value is obtained from read each time the metrics are written.
 func (s *Set) Gauge(name string, read func() float64) {
 	s.set.GetOrCreateGauge("basilstall_"+name, read)
 }
 
-// WritePrometheus writes all metrics and the process's own.
+// WritePrometheus writes all metrics of the set, and those of the process.
 func (s *Set) WritePrometheus(w io.Writer) {
 	s.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/yamldoc/yamldoc.go
+++ b/yamldoc/yamldoc.go
@@ -12,11 +12,11 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Error is what is wrong with a document.
+// Error is an error in a document.
 type Error struct {
-	// Document is the file's name or the settings' path.
+	// Document is the name of a file or the path of a settings document.
 	Document string
-	// Line counts from 1; 0 where the fault has no line.
+	// Line counts from 1; it is 0 if the line is not known.
 	Line   int
 	Reason string
 }
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%s:%d: %s", e.Document, e.Line, e.Reason)
 }
 
-// NewError returns an error without a line.
+// NewError returns an error without a line number.
 func NewError(document, format string, args ...any) *Error {
 	return &Error{Document: document, Reason: fmt.Sprintf(format, args...)}
 }
@@ -45,8 +45,8 @@
 	return &Error{Document: document, Line: errorLine(err, data), Reason: errorReason(err)}
 }
 
-// errorLine returns the line that the error names. Errors of time.ParseDuration come without
-// one: they quote the value, which is looked for.
+// errorLine returns the line number of an error, 0 if it is not known. Errors of time.ParseDuration
+// have no line number but quote the value, so the line is that of the value's first occurrence.
 func errorLine(err error, data []byte) int {
 	var yamlErr yaml.Error
 	if errors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
