--- a/cli/blame.go
+++ b/cli/blame.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/blame"
 )
 
-// defaultBlameWindow is the usual length of the windows that a report counts by.
+// defaultBlameWindow is the default length of the windows by which a report counts requests.
 const defaultBlameWindow = 2 * time.Second
 
 func (p *program) blameCommand() *ff.Command {
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: one file per command.
+// Package cli implements the command line, with one file for each command.
 package cli
 
 import (
@@ -23,16 +23,16 @@
 // The exit codes.
 const (
 	ExitOK = 0
-	// ExitFailed: the command was carried out and its outcome is bad: a refusal, a lost race,
-	// a missed outcome.
+	// ExitFailed: the command ran and failed: a refusal, a conflicting change or an outcome that was
+	// not reached.
 	ExitFailed = 1
-	// ExitUsage: the command line or a file is wrong; nothing was done.
+	// ExitUsage: the command line or a file is invalid; nothing was done.
 	ExitUsage = 2
-	// ExitUnreachable: the node was not reached or its answer is unknown.
+	// ExitUnreachable: the node was not reached, or it is not known whether it carried out the command.
 	ExitUnreachable = 3
 )
 
-// exitError carries an exit code.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	err  error
@@ -50,13 +50,13 @@
 	return exitWith(ExitUsage, errors.Errorf(format, args...))
 }
 
-// shell is what all commands share.
+// program is the state that all commands share.
 type program struct {
 	stdout io.Writer
 	stderr io.Writer
-	// nodeConfigFile is the node's settings file, which ff reads; other commands read theirs.
+	// nodeConfigFile is the --config file of serve, which ff reads. Other commands read their files themselves.
 	nodeConfigFile *string
-	// signals gets SIGTERM and SIGINT.
+	// signals receives SIGTERM and SIGINT.
 	signals chan os.Signal
 }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// parseNodeConfig is called for each command's --config; only that of serve is for ff to read.
+// parseNodeConfig is called by ff for the --config of each command, but parses only that of serve.
 func (p *program) parseNodeConfig(r io.Reader, set func(name, value string) error) error {
 	if *p.nodeConfigFile == "" {
 		return nil
@@ -134,7 +134,8 @@
 	}
 }
 
-// logger returns the log of a process that runs on: one line of JSON a change of state.
+// logger returns the logger of a long-running process, which writes one JSON line for each change of state. An unknown
+// level stands for info.
 func (p *program) logger(level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -77,7 +77,7 @@
 	return nodes, nil
 }
 
-// awaitReady waits until all nodes are ready and own keys together.
+// awaitReady waits until all nodes are ready and key intervals are assigned.
 func awaitReady(ctx context.Context, nodes []*node.Node) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
--- a/cli/edge.go
+++ b/cli/edge.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// logBufferLines is how many lines wait for the log's reader; further ones are dropped and counted.
+	// logBufferLines is how many lines are buffered for a slow reader of the log. Further lines are dropped and counted.
 	logBufferLines  = 4096
 	logPollInterval = 100 * time.Millisecond
 )
@@ -47,7 +47,7 @@
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	zerolog.DurationFieldUnit = time.Millisecond
 	writer := diode.NewWriter(p.stdout, logBufferLines, logPollInterval, func(missed int) {
-		// The line is written by the diode's own goroutine, in place of those it lost.
+		// The diode calls this function from its own goroutine, and the line replaces the dropped ones.
 		_, _ = p.stderr.Write([]byte(`{"level":"warn","Lost":` + strconv.Itoa(missed) + `,"message":"log lines dropped"}` + "\n"))
 	})
 	defer writer.Close()
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/replay"
 )
 
-// defaultLoads are the multiples of a trace's load that are measured.
+// defaultLoads are the multiples of a trace's load that are measured by default.
 var defaultLoads = []float64{0.5, 1, 1.5, 3}
 
 func (p *program) measureCommand() *ff.Command {
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/operator"
 )
 
-// operatorFlags are what all operators' commands share.
+// operatorFlags are the flags that all commands for operators share.
 type operatorFlags struct {
 	node   *string
 	token  *string
@@ -30,7 +30,7 @@
 	return &operator.Client{Base: "http://" + *f.node, Token: *f.token, HTTP: &http.Client{Timeout: 30 * time.Second}}
 }
 
-// get reads a path, and tells an answer from no answer by the exit code.
+// get reads a path. Its errors have exit code ExitFailed if the node answered, ExitUnreachable if it did not.
 func (f operatorFlags) get(ctx context.Context, path string, result any) error {
 	return operatorError(f.client().Get(ctx, path, result))
 }
--- a/cli/replay.go
+++ b/cli/replay.go
@@ -10,7 +10,6 @@
 	"basilstall.example/basilstall/replay"
 )
 
-// replayFlags are the flags of replay.
 type replayFlags struct {
 	trace     *string
 	outcomes  *string
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// writeFileAtomic writes a file so that whoever waits for it never reads a part.
+// writeFileAtomic writes a file under a temporary name and renames it, so that no reader sees a partial file.
 func writeFileAtomic(name, text string) error {
 	temp := name + ".part"
 	if err := os.WriteFile(temp, []byte(text), 0o600); err != nil {
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -126,7 +126,7 @@
 	return exitWith(ExitFailed, errors.Errorf("NotApplied: %s", result.Detail))
 }
 
-// difference shows the lines that only one of two documents has.
+// diffLines returns the lines that only one of two documents contains: those of current after +, of proposed after -.
 func diffLines(proposed, current string) string {
 	var b strings.Builder
 	printOnly := func(sign, text, other string) {
--- a/cli/version.go
+++ b/cli/version.go
@@ -8,7 +8,7 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// Version is the release; the build information adds the revision.
+// Version is the release. The revision comes from the build information.
 const Version = "0.1.0"
 
 type versionInfo struct {
--- a/engine/client.go
+++ b/engine/client.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// OrdersPath takes orders and StatePath reports what is loaded.
+	// OrdersPath is the path for orders.
 	OrdersPath = "/orders"
-	// StatePath reports what an engine has loaded.
+	// StatePath is the path for the state of an engine.
 	StatePath = "/state"
 
 	stateTimeout = time.Second
 )
 
-// ErrStaleFencing is returned where an engine refused an old fencing number.
-var ErrStaleFencing = errors.New("engine: the fencing number is old")
+// ErrStaleFencing is returned if an engine rejects an order because it knows a higher fencing number.
+var ErrStaleFencing = errors.New("engine: order rejected: stale fencing number")
 
 type (
-	// OrderMessage is an order as engines take it.
+	// OrderMessage is the body of an order to an engine.
 	OrderMessage struct {
 		// Kind is "Load" or "Evict".
 		Kind    string
@@ -33,26 +33,26 @@
 		Fencing uint64
 	}
 
-	// StateMessage is what an engine reports of itself.
+	// StateMessage is the state that an engine reports.
 	StateMessage struct {
 		Adapters []string
-		// Most is how many adapters it has room for.
+		// Most is the maximum number of loaded adapters.
 		Most    int
 		Fencing uint64
 	}
 
-	// Client gives orders to engines and reads their states.
+	// Client sends orders to engines and reads their states.
 	Client struct {
 		client *http.Client
 	}
 )
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient() *Client {
 	return &Client{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
 }
 
-// State reads what an engine has loaded.
+// State reads which adapters an engine has loaded.
 func (c *Client) State(ctx context.Context, address string) (StateMessage, error) {
 	var state StateMessage
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
@@ -72,8 +72,8 @@
 	return state, nil
 }
 
-// Order gives an order. It is given up after the longest time that an order may be under way,
-// so that a successor who waits that long meets none of it.
+// Order sends an order. It is aborted after kernel.OrderTimeout, so that the next holder of the lease, if it waits
+// as long, can rely on none of its predecessor's orders being in flight.
 func (c *Client) Order(ctx context.Context, address string, order kernel.Order, fencing uint64) error {
 	message := OrderMessage{Kind: "Load", Adapter: order.Adapter, Fencing: fencing}
 	if order.Evict {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,4 +1,5 @@
-// Package engine holds the plug-in for model engines: streams of tokens that can be resumed.
+// Package engine contains the plug-in for model engines, whose token streams can be resumed, and the client for
+// their state and orders.
 package engine
 
 import (
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool holds the plug-ins for the pools of encoders, retrievers and rerankers: unary
-// calls that may be repeated.
+// Package pool contains the plug-ins for pools of encoders, retrievers and rerankers, whose calls
+// are unary and may be repeated.
 package pool
 
 import (
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,5 @@
-// Package service holds the plug-in for plain services: one call, which may be one that must
-// not be repeated.
+// Package service contains the plug-in for Call stages, which make a single call to a service. The
+// call may be non-idempotent.
 package service
 
 import (
