--- a/cli/demo.go
+++ b/cli/demo.go
@@ -103,14 +103,14 @@
 func (p *program) sendDemoRequests(ctx context.Context, nodes []*node.Node, platform *standin.Standin) error {
 	client := func(i int) *caller.Client {
 		return &caller.Client{
-			Base:  "http://" + nodes[i].CallersAddress(),
-			Token: sample.BilbaoToken,
-			HTTP:  &http.Client{Timeout: demoTimeout},
+			BaseURL: "http://" + nodes[i].CallersAddress(),
+			Token:   sample.BilbaoToken,
+			HTTP:    &http.Client{Timeout: demoTimeout},
 		}
 	}
 	renewal := caller.Call{
 		Pipeline: "renewal",
-		Body:     caller.Body{Input: model.Input{Text: "renew the agreement of Bar Arriaga", MaxTokens: 12}, Stream: true},
+		Body:     caller.RequestBody{Input: model.Input{Text: "renew the agreement of Bar Arriaga", MaxTokens: 12}, Stream: true},
 		OnToken:  func(t caller.TokenBody) { fmt.Fprint(p.stdout, t.Text) },
 	}
 	fmt.Fprintln(p.stdout, "\nencode, retrieve, rerank, generate under one deadline, streamed:")
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	ticket := caller.Call{Pipeline: "collection-ticket", Key: key.String(), Body: caller.Body{Input: model.Input{Text: "collect at Bar Arriaga"}}}
+	ticket := caller.Call{Pipeline: "collection-ticket", Key: key.String(), Body: caller.RequestBody{Input: model.Input{Text: "collect at Bar Arriaga"}}}
 	for i := range nodes {
 		fmt.Fprintf(p.stdout, "\ncollection ticket with one key, through node %d:\n", i+1)
 		if err := p.sendDemoRequest(ctx, client(i), ticket); err != nil {
--- a/cli/request.go
+++ b/cli/request.go
@@ -38,7 +38,7 @@
 				return usageError("--pipeline and --text are needed")
 			}
 			call := caller.Call{Pipeline: *pipeline, Key: *key, Attempt: *attempt}
-			call.Body = caller.Body{
+			call.Body = caller.RequestBody{
 				Input:  model.Input{Text: *text, Prefix: *prefix, MaxTokens: *tokens},
 				Stream: *stream,
 			}
@@ -55,7 +55,7 @@
 			if *stream && !*asJSON {
 				call.OnToken = func(t caller.TokenBody) { fmt.Fprint(p.stdout, t.Text) }
 			}
-			client := &caller.Client{Base: "http://" + *node, Token: *token, HTTP: &http.Client{Timeout: time.Minute}}
+			client := &caller.Client{BaseURL: "http://" + *node, Token: *token, HTTP: &http.Client{Timeout: time.Minute}}
 			result, err := client.Send(ctx, call)
 			if err != nil {
 				return exitWith(ExitUnreachable, err)
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -93,7 +93,7 @@
 			if change.Operation == "" {
 				change.Operation = uuid.NewString()
 			}
-			result, err := flags.client().Set(ctx, path, change)
+			result, err := flags.client().SetDocument(ctx, path, change)
 			var response *operator.ResponseError
 			if err != nil && !errors.As(err, &response) {
 				// The node may have written the change before the answer was lost.
@@ -158,7 +158,7 @@
 			if err != nil {
 				return err
 			}
-			if err := flags.client().Check(ctx, path, []byte(text)); err != nil {
+			if err := flags.client().CheckDocument(ctx, path, []byte(text)); err != nil {
 				return operatorError(err)
 			}
 			fmt.Fprintln(p.stdout, "good")
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -221,7 +221,7 @@
 	if o.err == nil {
 		a.mayHaveRun = true
 		a.reportLeaving(o.target, &o.reply.Load)
-		carry, err := a.job.Plugin.Accept(a.job.Work, o.reply)
+		carry, err := a.job.Plugin.ParseReply(a.job.Work, o.reply)
 		if err == nil {
 			a.pool.recordSuccess(now, o.target, o.elapsed, &o.reply.Load)
 			a.carry = carry
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -189,7 +189,7 @@
 
 // Add adds a group to the queue. It returns false and when to retry if the group cannot be made in time.
 func (q *BatchQueue) Add(now time.Time, group PieceGroup) (accepted bool, retryAfter time.Duration) {
-	if len(q.workers) > 0 && q.activeWorkers() == 0 {
+	if len(q.workers) > 0 && q.countActiveWorkers() == 0 {
 		return false, ClampRetryAfter(evacuatedRetry)
 	}
 	wait := q.EstimateWait(now, group)
@@ -198,8 +198,8 @@
 	if late || finish.After(group.Until) {
 		return false, ClampRetryAfter(max(wait, q.callTime(q.traits.MaxBatch)))
 	}
-	if group.AskedAt.IsZero() {
-		group.AskedAt = now
+	if group.FirstSentAt.IsZero() {
+		group.FirstSentAt = now
 	}
 	q.groups[group.ID] = &waitingGroup{
 		PieceGroup:   group,
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -91,7 +91,7 @@
 	}
 	delete(s.heldResults, s.now)
 	for _, batch := range s.overdue[s.now] {
-		s.queue.Overdue(s.now, batch)
+		s.queue.RequeueOverdue(s.now, batch)
 	}
 	delete(s.overdue, s.now)
 	for _, batch := range s.running[s.now] {
--- a/kernel/batchslow.go
+++ b/kernel/batchslow.go
@@ -24,7 +24,7 @@
 // Overdue records that a call is overdue. Unless the pool has a backlog, the pieces that another endpoint could
 // still make on time are requeued, and the first result of each piece is used. It returns the number of requeued
 // pieces.
-func (q *BatchQueue) Overdue(now time.Time, batch PieceBatch) int {
+func (q *BatchQueue) RequeueOverdue(now time.Time, batch PieceBatch) int {
 	if _, runs := q.running[batch.ID]; !runs || !q.policy.Uses(AvoidSlowWorkers) {
 		return 0
 	}
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -69,7 +69,7 @@
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{endpointInRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
 	must.Nil(t, kernel.AdmitPools(registry, model.Forward{}, a))
-	a.Homes = kernel.AllowedRegionsFor(model.Route{AllowedRegions: []string{"south"}}, model.KeyHolder{})
+	a.Regions = kernel.AllowedRegionsFor(model.Route{AllowedRegions: []string{"south"}}, model.KeyHolder{})
 	refusal := kernel.AdmitPools(registry, model.Forward{}, a)
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.NoHome, refusal.Reason)
--- a/node/settings.go
+++ b/node/settings.go
@@ -9,25 +9,25 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// settingsEvery is how often the table's head revision is read. Peers pass newer settings on
+// settingsInterval is how often the table's head revision is read. Peers pass newer settings on
 // sooner.
-const settingsEvery = time.Second
+const settingsInterval = time.Second
 
 // Settings returns what is in force.
 func (n *Node) Settings() kernel.Settings {
 	return *n.settings.Load()
 }
 
-// followSettings reads the head until the node stops.
-func (n *Node) followSettings() {
-	n.every(settingsEvery, func(ctx context.Context) {
+// pollSettings reads the head until the node stops.
+func (n *Node) pollSettings() {
+	n.runPeriodically(settingsInterval, func(ctx context.Context) {
 		revision, err := n.store.Head(ctx)
-		n.noteTable(err)
+		n.recordTableResult(err)
 		if err != nil || revision <= n.Settings().Revision {
 			return
 		}
 		snapshot, err := n.store.Snapshot(ctx)
-		n.noteTable(err)
+		n.recordTableResult(err)
 		if err == nil {
 			n.applySettings(snapshot)
 		}
@@ -48,13 +48,13 @@
 		n.log.Warn().Err(err).Msg("settings document refused; what was in force stays")
 	}
 	n.settings.Store(&next)
-	n.evacuate(next.Fleet.Evacuated)
+	n.setEvacuated(next.Fleet.Evacuated)
 	n.metrics.CountEvent("SettingsApplied")
 	n.log.Info().Uint64("Revision", next.Revision).Msg("settings in force")
 }
 
 // evacuate keeps work off the endpoints of just some failure domains.
-func (n *Node) evacuate(domains []string) {
+func (n *Node) setEvacuated(domains []string) {
 	news := n.dispatcher.SetEvacuated(time.Now(), domains)
 	for _, domain := range news.Evacuated {
 		n.metrics.CountEvent("DomainEvacuated")
@@ -77,8 +77,8 @@
 	n.applySettings(reply.Snapshot)
 }
 
-// answerSettings gives a peer all documents: few and small beside what a lost one costs.
-func (n *Node) answerSettings(context.Context, []byte) (any, error) {
+// handleSettings gives a peer all documents: few and small beside what a lost one costs.
+func (n *Node) handleSettings(context.Context, []byte) (any, error) {
 	s := n.Settings()
 	snapshot := model.Snapshot{Revision: s.Revision}
 	for _, doc := range s.Documents {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -13,25 +13,25 @@
 
 func init() {
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Encode,
-		Path:    "/encode",
-		Prepare: prepareEncode,
-		Accept:  acceptEncode,
-		Check:   checkNoOperation,
+		Kind:       model.Encode,
+		Path:       "/encode",
+		Prepare:    prepareEncode,
+		ParseReply: acceptEncode,
+		Check:      checkNoOperation,
 	})
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Retrieve,
-		Path:    "/retrieve",
-		Prepare: prepareItems,
-		Accept:  acceptItems,
-		Check:   checkNoOperation,
+		Kind:       model.Retrieve,
+		Path:       "/retrieve",
+		Prepare:    prepareItems,
+		ParseReply: acceptItems,
+		Check:      checkNoOperation,
 	})
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Rerank,
-		Path:    "/rerank",
-		Prepare: prepareItems,
-		Accept:  acceptItems,
-		Check:   checkNoOperation,
+		Kind:       model.Rerank,
+		Path:       "/rerank",
+		Prepare:    prepareItems,
+		ParseReply: acceptItems,
+		Check:      checkNoOperation,
 	})
 }
 
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -274,7 +274,7 @@
 		}
 		remaining--
 		ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
-		err := c.deps.Call(ctx, p.Name, peer.KindHold, peer.Hold{Change: change}, &peer.Empty{})
+		err := c.deps.Call(ctx, p.Name, peer.KindStoreQuarantine, peer.StoreQuarantine{Change: change}, &peer.Empty{})
 		cancel()
 		if err == nil {
 			return true
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -164,10 +164,10 @@
 // Handlers returns the handlers of the messages that other nodes send to the coordinator.
 func (c *Coordinator) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
-		peer.KindCrash: c.handleCrash,
-		peer.KindTrial: c.handleTrial,
-		peer.KindClear: c.handleClear,
-		peer.KindHold:  c.handleHold,
+		peer.KindCrash:           c.handleCrash,
+		peer.KindTrial:           c.handleTrial,
+		peer.KindClear:           c.handleClear,
+		peer.KindStoreQuarantine: c.handleHold,
 	}
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (c *Coordinator) handleHold(ctx context.Context, body []byte) (any, error) {
-	var m peer.Hold
+	var m peer.StoreQuarantine
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -73,7 +73,7 @@
 		rank     int
 		rankedAt time.Time
 		// permits tells which of the nodes that share the cap, as of sharersAt, may be asked for a permit.
-		permits   kernel.Permits
+		permits   kernel.PermitRequester
 		sharersAt time.Time
 		// issuer grants permits to other nodes.
 		issuer kernel.PermitIssuer
@@ -129,7 +129,7 @@
 	if !view.Cap.Stated || l.deps.Part == nil {
 		return view
 	}
-	return view.WithPart(l.deps.Part(incarnation))
+	return view.WithFraction(l.deps.Part(incarnation))
 }
 
 // HasCap reports whether an endpoint states a cap.
@@ -158,7 +158,7 @@
 		}
 		at, ok := l.permitRequestAt(now, incarnation)
 		capped = append(capped, kernel.CappedEndpoint{
-			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), Asks: ok, AskAt: at,
+			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), MayRequestPermit: ok, NextPermitRequestAt: at,
 		})
 	}
 	return kernel.AdmitCapped(now, pool, capped)
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -212,7 +212,7 @@
 		Domain:       req.domain,
 		LocalityWait: req.localityWait,
 		Rank:         req.rank,
-		AskedAt:      req.askedAt,
+		FirstSentAt:  req.askedAt,
 		Due:          req.due,
 		Until:        req.until,
 	}
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -250,7 +250,7 @@
 func (b *batcher) handleOverdue(batch kernel.PieceBatch) {
 	r := b.relay
 	b.mu.Lock()
-	requeued := b.queue.Overdue(r.now(), batch)
+	requeued := b.queue.RequeueOverdue(r.now(), batch)
 	b.mu.Unlock()
 	r.metrics.CountEvent("PieceCallOverdue")
 	r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -101,7 +101,7 @@
 		peers:          peer.NewClient(options.Name, ""),
 		pools:          map[string]*pool{},
 	}
-	r.peers.SetSilence(peerSilenceTimeout)
+	r.peers.SetSilenceTimeout(peerSilenceTimeout)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.batchers = newBatcherSet(r)
 	r.remoteGroups = newRemoteGroups()
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -96,7 +96,7 @@
 	}
 	chosenAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
-		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
+		refusal := kernel.RecheckAdmission(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -204,9 +204,9 @@
 	if !active {
 		return peer.TakeOverReply{MovedTo: b.knownBatcher([]string{m.Node})}
 	}
-	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
-	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
-	switch kernel.AnswerClaim(b.queueName, own, other) {
+	own := kernel.BatcherCandidate{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
+	other := kernel.BatcherCandidate{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
+	switch kernel.DecideTakeOver(b.queueName, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
 	case kernel.SharePool:
--- a/service/service.go
+++ b/service/service.go
@@ -13,11 +13,11 @@
 
 func init() {
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Call,
-		Path:    "/call",
-		Prepare: prepare,
-		Accept:  accept,
-		Check:   check,
+		Kind:       model.Call,
+		Path:       "/call",
+		Prepare:    prepare,
+		ParseReply: accept,
+		Check:      check,
 	})
 }
 
