--- a/cli/version.go
+++ b/cli/version.go
@@ -8,7 +8,7 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// Version is the release; the build information adds the revision.
+// Version is the release. The revision comes from the build information.
 const Version = "0.1.0"
 
 type versionInfo struct {
@@ -17,7 +17,7 @@
 	Go       string
 }
 
-func (sh *shell) versionCommand() *ff.Command {
+func (p *program) versionCommand() *ff.Command {
 	fs := ff.NewFlagSet("version")
 	asJSON := fs.BoolLong("json", "print JSON")
 	return &ff.Command{
@@ -28,9 +28,9 @@
 		Exec: func(context.Context, []string) error {
 			v := newVersionInfo()
 			if *asJSON {
-				return sh.printJSON(v)
+				return p.printJSON(v)
 			}
-			fmt.Fprintf(sh.stdout, "basilstall %s %s %s\n", v.Version, v.Revision, v.Go)
+			fmt.Fprintf(p.stdout, "basilstall %s %s %s\n", v.Version, v.Revision, v.Go)
 			return nil
 		},
 	}
--- a/kernel/homes.go
+++ b/kernel/homes.go
@@ -18,7 +18,7 @@
 // AllowedRegionsFor returns the regions that both a route and a customer allow. A route or customer that lists no
 // regions allows all.
 func AllowedRegionsFor(route model.Route, customer model.KeyHolder) AllowedRegions {
-	return AllowedRegions{}.intersect(route.Homes).intersect(customer.Homes)
+	return AllowedRegions{}.intersect(route.AllowedRegions).intersect(customer.AllowedRegions)
 }
 
 // intersect returns the regions that are also in a list. An empty list allows any region.
--- a/node/claims.go
+++ b/node/claims.go
@@ -172,7 +172,7 @@
 	var conflict *table.Conflict
 	if errors.As(err, &conflict) {
 		// The row has changed since it was read; the next iteration of maintainClaims reads it.
-		n.metrics.Event("ClaimsConflict")
+		n.metrics.CountEvent("ClaimsConflict")
 		return
 	}
 	n.recordTableResult(err)
--- a/node/drain.go
+++ b/node/drain.go
@@ -90,7 +90,7 @@
 	n.keys.mu.Unlock()
 	close(handoverDone)
 	if !ok {
-		n.metrics.Event("HandoverFailed")
+		n.metrics.CountEvent("HandoverFailed")
 		n.log.Warn().Msg("handover of keys failed; the keys of this node stay unavailable up to the horizon")
 		return
 	}
@@ -213,7 +213,7 @@
 	n.keys.mu.Lock()
 	defer n.keys.mu.Unlock()
 	n.keys.ledger.Import(message.From.ID(), message.Entries, message.Cutoff)
-	n.metrics.Event("HandoverTaken")
+	n.metrics.CountEvent("HandoverTaken")
 	return peer.HandoverReply{Held: len(message.Entries)}, nil
 }
 
@@ -228,7 +228,7 @@
 		return
 	}
 	if !n.sendEntries(ctx, *successor, ended, cutoff) {
-		n.metrics.Event("HandoverFailed")
+		n.metrics.CountEvent("HandoverFailed")
 	}
 }
 
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -80,7 +80,7 @@
 	defer cancel()
 	var reply peer.Heartbeat
 	if err := n.peers.Call(ctx, address, peer.KindHeartbeat, n.newHeartbeat(), &reply); err != nil {
-		n.metrics.Event("HeartbeatFailed")
+		n.metrics.CountEvent("HeartbeatFailed")
 		return
 	}
 	n.applyHeartbeat(reply)
@@ -141,7 +141,7 @@
 	if !n.dispatcher.MarkLeaving(pool, endpoint) {
 		return
 	}
-	n.metrics.Event("EndpointLeaving")
+	n.metrics.CountEvent("EndpointLeaving")
 	n.log.Info().Str("Pool", pool).Str("Endpoint", endpoint).Msg("endpoint is leaving")
 	n.fleet.mu.Lock()
 	n.fleet.membership.AnnounceLeaving(pool, endpoint)
@@ -153,7 +153,7 @@
 	n.runPeriodically(listInterval, func(ctx context.Context) {
 		hosts, err := n.list.Get(ctx)
 		if err != nil {
-			n.metrics.Event("ListFailed")
+			n.metrics.CountEvent("ListFailed")
 			return
 		}
 		n.applyList(hosts)
@@ -203,6 +203,6 @@
 		State:         state,
 	}
 	if err := n.list.Announce(ctx, host); err != nil {
-		n.metrics.Event("AnnounceFailed")
+		n.metrics.CountEvent("AnnounceFailed")
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	n.peerServer.OnTokenRefused = func(remote string) {
-		n.metrics.Event("PeerTokenRefused")
+		n.metrics.CountEvent("PeerTokenRefused")
 		n.log.Warn().Str("Remote", remote).Msg("peer token refused")
 	}
 	handlers := n.quarantine.Handlers()
@@ -204,7 +204,7 @@
 func (n *Node) PeersAddress() string { return n.member.Address }
 
 // EventCount returns the value of an event's counter.
-func (n *Node) EventCount(name string) uint64 { return n.metrics.Count(name) }
+func (n *Node) EventCount(name string) uint64 { return n.metrics.EventCount(name) }
 
 // Close stops the node at once and aborts the requests in flight.
 func (n *Node) Close() {
@@ -250,7 +250,7 @@
 	}
 	down := err != nil
 	if down {
-		n.metrics.Event("TableFailed")
+		n.metrics.CountEvent("TableFailed")
 	}
 	if n.tableDown.Swap(down) == down {
 		return
--- a/node/orders.go
+++ b/node/orders.go
@@ -166,7 +166,7 @@
 	}
 	n.setLeaseView(name, view.WithWrite(time.Now(), sent, next, version))
 	if next.Number != view.Lease.Number {
-		n.metrics.Event("LeaseTaken")
+		n.metrics.CountEvent("LeaseTaken")
 		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease acquired")
 	}
 }
@@ -193,7 +193,7 @@
 	}
 	var reply peer.Empty
 	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: demands}, &reply); err != nil {
-		n.metrics.Event("DemandFailed")
+		n.metrics.CountEvent("DemandFailed")
 	}
 }
 
@@ -280,12 +280,12 @@
 		}
 		view := n.leaseView(name)
 		if !view.MayOrder(time.Now()) {
-			n.metrics.Event("OrderHeldBack")
+			n.metrics.CountEvent("OrderHeldBack")
 			return
 		}
-		n.metrics.Event("OrderSent")
+		n.metrics.CountEvent("OrderSent")
 		if err := n.orderer.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
-			n.metrics.Event("OrderFailed")
+			n.metrics.CountEvent("OrderFailed")
 		}
 	}
 }
--- a/node/rates.go
+++ b/node/rates.go
@@ -160,13 +160,13 @@
 	if n.rateLimiter.recordHolderResult(now, req.Account(), len(waits) > 0) {
 		granted, wait := n.rateLimiter.take(now, req.Account(), rate, n.fleet.aliveCount())
 		if granted {
-			n.metrics.Event("RateServedAlone")
+			n.metrics.CountEvent("RateServedAlone")
 			return nil
 		}
 		waits = append(waits, wait)
 	}
 	if len(waits) == 0 {
-		n.metrics.Event("RateHoldersSilent")
+		n.metrics.CountEvent("RateHoldersSilent")
 		return model.NewRefusal(model.NotRun, model.OwnerUnreachable, rateHoldersRetryAfter, "the nodes that hold the customer's rate do not answer")
 	}
 	wait := slices.Min(waits)
@@ -190,7 +190,7 @@
 	var reply peer.RatePermitReply
 	err = n.callMember(ctx, holder, peer.KindRatePermit, peer.RatePermit{Team: req.Team, Customer: req.Customer}, &reply)
 	if err != nil {
-		n.metrics.Event("RateHolderUnanswered")
+		n.metrics.CountEvent("RateHolderUnanswered")
 	}
 	return reply.Granted, reply.Wait, err
 }
--- a/node/serve.go
+++ b/node/serve.go
@@ -22,8 +22,8 @@
 		NewID:        func() string { return n.options.Name + "." + uuid.NewString() },
 		Draining:     n.Draining,
 		Ready:        n.Ready,
-		CountEvent:   n.metrics.Event,
-		CountRefusal: n.metrics.Refused,
+		CountEvent:   n.metrics.CountEvent,
+		CountRefusal: n.metrics.CountRefusal,
 	}
 }
 
@@ -36,8 +36,8 @@
 		Endpoints:         n.dispatcher.Status,
 		Explain:           n.Explain,
 		Ready:             n.Ready,
-		WriteMetrics:      n.metrics.Write,
-		CountEvent:        n.metrics.Event,
+		WriteMetrics:      n.metrics.WritePrometheus,
+		CountEvent:        n.metrics.CountEvent,
 	}
 }
 
@@ -58,7 +58,7 @@
 		n.recordRequest(req, began, answer, p, refusal, "")
 	}
 	if refusal == nil {
-		n.metrics.Answered(req.Pipeline, time.Since(began))
+		n.metrics.ObserveAnswer(req.Pipeline, time.Since(began))
 	}
 	return answer, refusal
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -87,13 +87,13 @@
 // CallUnlessSilent is like Call, for replies that may be large: the call fails if nothing is received from the peer for
 // timeout, or when ctx is done.
 func (c *Client) CallUnlessSilent(ctx context.Context, timeout time.Duration, address string, kind Kind, message, reply any) error {
-	ctx, silence := clock.WithSilence(ctx, timeout, timeout)
+	ctx, silence := clock.WithIdleTimeout(ctx, timeout, timeout)
 	defer silence.Stop()
 	return c.callWithSilence(ctx, silence, address, kind, message, reply)
 }
 
 // callWithSilence performs a call. If silence is not nil, it is reset whenever bytes are received on the connection.
-func (c *Client) callWithSilence(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
+func (c *Client) callWithSilence(ctx context.Context, silence *clock.IdleTimeout, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -25,7 +25,7 @@
 	// calls holds the channels of the calls that wait for a reply, by number.
 	calls map[uint64]chan Frame
 	// silences holds the timers of those calls that fail if nothing is received, by number. Each is also in calls.
-	silences   map[uint64]*clock.Silence
+	silences   map[uint64]*clock.IdleTimeout
 	lastNumber uint64
 	// writeMu keeps frames from being interleaved.
 	writeMu sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 func newClientConn(raw net.Conn, silenceTimeout time.Duration) *clientConn {
-	c := &clientConn{conn: raw, silenceTimeout: silenceTimeout, calls: map[uint64]chan Frame{}, silences: map[uint64]*clock.Silence{}, done: make(chan struct{})}
+	c := &clientConn{conn: raw, silenceTimeout: silenceTimeout, calls: map[uint64]chan Frame{}, silences: map[uint64]*clock.IdleTimeout{}, done: make(chan struct{})}
 	c.lastReadAt.Store(time.Now().UnixNano())
 	go func() {
 		defer c.close()
@@ -94,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, silence := range c.silences {
-		silence.Heard()
+		silence.Reset()
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // call sends a frame and waits for its reply. If silence is not nil, it is reset whenever bytes are received. The error
 // is a *CallError.
-func (c *clientConn) call(ctx context.Context, silence *clock.Silence, kind Kind, body []byte) (Frame, error) {
+func (c *clientConn) call(ctx context.Context, silence *clock.IdleTimeout, kind Kind, body []byte) (Frame, error) {
 	reply := make(chan Frame, 1)
 	bytesBefore := c.bytesRead.Load()
 	c.mu.Lock()
--- a/yamldoc/yamldoc.go
+++ b/yamldoc/yamldoc.go
@@ -12,11 +12,11 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Error is what is wrong with a document.
+// Error is an error in a document.
 type Error struct {
-	// Document is the file's name or the settings' path.
+	// Document is the name of a file or the path of a settings document.
 	Document string
-	// Line counts from 1; 0 where the fault has no line.
+	// Line counts from 1; it is 0 if the line is not known.
 	Line   int
 	Reason string
 }
@@ -29,45 +29,45 @@
 	return fmt.Sprintf("%s:%d: %s", e.Document, e.Line, e.Reason)
 }
 
-// NewError returns an error without a line.
+// NewError returns an error without a line number.
 func NewError(document, format string, args ...any) *Error {
 	return &Error{Document: document, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Decode decodes data into value, a pointer to a struct, and checks its validate tags.
 func Decode(document string, data []byte, value any) error {
-	check := validator.New(validator.WithRequiredStructEnabled())
-	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict(), yaml.Validator(check))
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict(), yaml.Validator(validate))
 	err := decoder.Decode(value)
 	if err == nil {
 		return nil
 	}
-	return &Error{Document: document, Line: lineOf(err, data), Reason: reasonOf(err)}
+	return &Error{Document: document, Line: errorLine(err, data), Reason: errorReason(err)}
 }
 
-// lineOf returns the line that the error names. Errors of time.ParseDuration come without
-// one: they quote the value, which is looked for.
-func lineOf(err error, data []byte) int {
-	var withToken yaml.Error
-	if errors.As(err, &withToken) && withToken.GetToken() != nil {
-		return withToken.GetToken().Position.Line
+// errorLine returns the line number of an error, 0 if it is not known. Errors of time.ParseDuration
+// have no line number but quote the value, so the line is that of the value's first occurrence.
+func errorLine(err error, data []byte) int {
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		return yamlErr.GetToken().Position.Line
 	}
 	_, quoted, found := strings.Cut(err.Error(), "duration ")
 	value := strings.Trim(quoted, "\"")
 	if !found || value == "" {
 		return 0
 	}
-	at := bytes.Index(data, []byte(value))
-	if at < 0 {
+	offset := bytes.Index(data, []byte(value))
+	if offset < 0 {
 		return 0
 	}
-	return 1 + bytes.Count(data[:at], []byte("\n"))
+	return 1 + bytes.Count(data[:offset], []byte("\n"))
 }
 
-func reasonOf(err error) string {
-	var withToken yaml.Error
-	if errors.As(err, &withToken) {
-		return firstLine(withToken.GetMessage())
+func errorReason(err error) string {
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) {
+		return firstLine(yamlErr.GetMessage())
 	}
 	return firstLine(err.Error())
 }
