--- a/cli/demo.go
+++ b/cli/demo.go
@@ -128,7 +128,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(sh.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoAccount+"/"+key.String()])
+	fmt.Fprintf(sh.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoCustomer+"/"+key.String()])
 	late := renewal
 	late.Body.Timeout = "1ms"
 	late.Body.Stream = false
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			replay.PrintMeasurementsHead(sh.stdout)
+			replay.PrintMeasurementsHeader(sh.stdout)
 			for _, file := range files {
 				trace, err := replay.ReadTrace(file)
 				if err != nil {
--- a/cli/replay.go
+++ b/cli/replay.go
@@ -55,16 +55,16 @@
 			return exitWith(ExitUsage, err)
 		}
 	}
-	condition, ok := replay.ConditionNamed(*flags.condition)
+	condition, ok := replay.ConditionByName(*flags.condition)
 	if !ok {
 		return usageError("unknown condition %q", *flags.condition)
 	}
-	setup, err := replay.NewSetup(ctx, trace.Head, *flags.plain, sh.logger("fatal"))
+	setup, err := replay.NewSetup(ctx, trace.Header, *flags.plain, sh.logger("fatal"))
 	if err != nil {
 		return exitWith(ExitFailed, err)
 	}
 	defer setup.Close()
-	condition.Begin(setup)
+	condition.Apply(setup)
 	run := replay.NewReplay(trace.WithLoad(*flags.load), setup)
 	run.Durable = *flags.durable
 	report := run.Run(ctx)
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -36,7 +36,7 @@
 				f.round(kind.pipeline)
 			}
 			cold, _ := f.busiest(kind.pool)
-			f.platform.Fault(standin.Fault{Target: kind.pool + "/" + cold, Kind: standin.FaultCold, Delay: time.Minute})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool + "/" + cold, Kind: standin.FaultCold, Delay: time.Minute})
 			for began := time.Now(); time.Since(began) < coldKnown; {
 				f.round(kind.pipeline)
 			}
@@ -60,7 +60,7 @@
 	t.Parallel()
 	f := newFleet(t, 3)
 	f.setFleet(1, "ColdRates: {encoders: 2}\n")
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
 	time.Sleep(capSettled)
 	served := 0
 	var refused []model.Reason
@@ -81,7 +81,7 @@
 	const rate = 2
 	f := newFleet(t, 1)
 	f.setFleet(1, "ColdRates: {encoders: 2}\n")
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
 	time.Sleep(coldKnown)
 	began := time.Now()
 	var sent sync.WaitGroup
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -150,7 +150,7 @@
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			f := newFleet(t, 3)
-			f.platform.Fault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poison, Delay: restart})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poison, Delay: restart})
 			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("others of the caller are served before"))
 			f.endEnough(kind.pool, kind.pipeline)
 			within(patience, f.allLearned)
@@ -169,7 +169,7 @@
 // A fleet that started as a whole knows what was held back: it is in the table.
 func TestANodeThatStartsKnowsWhichCallsAreHeldBack(t *testing.T) {
 	f := newFleet(t, 2)
-	f.platform.Fault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poison, Delay: restart})
+	f.platform.InjectFault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poison, Delay: restart})
 	f.endEnough("runners", "route-note")
 	within(patience, f.allLearned)
 	for i, n := range f.nodes {
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -116,7 +116,7 @@
 				f.round(kind.pipeline)
 			}
 			capped, _ := f.busiest(kind.pool)
-			f.platform.Fault(standin.Fault{Target: kind.pool + "/" + capped, Kind: standin.FaultRateCap, PerSecond: perSecond})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool + "/" + capped, Kind: standin.FaultRateCap, PerSecond: perSecond})
 			for range 5 {
 				f.round(kind.pipeline)
 			}
@@ -141,7 +141,7 @@
 	t.Parallel()
 	f := newFleet(t, 3)
 	time.Sleep(capSettled)
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultRateCap, PerSecond: 0.5})
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultRateCap, PerSecond: 0.5})
 	for range 10 {
 		f.round("renewal")
 	}
@@ -171,10 +171,10 @@
 	t.Parallel()
 	const perSecond = 2.0
 	f := newFleet(t, 5)
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-2", Kind: standin.FaultLeave})
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-3", Kind: standin.FaultLeave})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-2", Kind: standin.FaultLeave})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-3", Kind: standin.FaultLeave})
 	time.Sleep(capSettled)
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-1", Kind: standin.FaultRateCap, PerSecond: perSecond})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-1", Kind: standin.FaultRateCap, PerSecond: perSecond})
 	f.round("renewal")
 	f.round("renewal")
 	time.Sleep(capKnown)
--- a/standin/link.go
+++ b/standin/link.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Link is a slow link to an address: what comes back shares so many bytes in so much time, over all connections. What
+// ThrottledProxy is a slow link to an address: what comes back shares so many bytes in so much time, over all connections. What
 // callers send passes at once.
-type Link struct {
+type ThrottledProxy struct {
 	listener net.Listener
-	to       string
-	// piece is in bytes; pause is the time that each takes.
-	piece int
-	pause time.Duration
-	// line is held while a piece is under way.
-	line sync.Mutex
+	target   string
+	// chunkBytes is in bytes; pause is the time that each takes.
+	chunkBytes int
+	chunkDelay time.Duration
+	// transmitMu is held while a piece is under way.
+	transmitMu sync.Mutex
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// NewLink opens a link to an address, HOST:PORT, over which a piece of so many bytes takes so long to come back.
-func NewLink(to string, piece int, pause time.Duration) *Link {
+// NewThrottledProxy opens a link to an address, HOST:PORT, over which a piece of so many bytes takes so long to come back.
+func NewThrottledProxy(target string, chunkBytes int, chunkDelay time.Duration) *ThrottledProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	l := &Link{listener: listener, to: to, piece: piece, pause: pause}
+	p := &ThrottledProxy{listener: listener, target: target, chunkBytes: chunkBytes, chunkDelay: chunkDelay}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -35,58 +35,58 @@
 				return
 			}
 			go func() {
-				l.pass(conn)
+				p.forward(conn)
 			}()
 		}
 	}()
-	return l
+	return p
 }
 
 // Address returns where the link begins.
-func (l *Link) Address() string { return l.listener.Addr().String() }
+func (p *ThrottledProxy) Address() string { return p.listener.Addr().String() }
 
 // Close ends the link with all connections over it.
-func (l *Link) Close() {
-	_ = l.listener.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, conn := range l.conns {
+func (p *ThrottledProxy) Close() {
+	_ = p.listener.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-func (l *Link) pass(caller net.Conn) {
-	defer caller.Close()
-	callee, err := net.Dial("tcp", l.to)
+func (p *ThrottledProxy) forward(client net.Conn) {
+	defer client.Close()
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer callee.Close()
-	l.mu.Lock()
-	l.conns = append(l.conns, caller, callee)
-	l.mu.Unlock()
+	defer upstream.Close()
+	p.mu.Lock()
+	p.conns = append(p.conns, client, upstream)
+	p.mu.Unlock()
 	go func() {
-		defer callee.Close()
-		copyAll(callee, caller, l.piece, func(int) {})
+		defer upstream.Close()
+		copyChunks(upstream, client, p.chunkBytes, func(int) {})
 	}()
-	copyAll(caller, callee, l.piece, l.wait)
+	copyChunks(client, upstream, p.chunkBytes, p.throttle)
 }
 
-// wait takes the time that a piece takes.
-func (l *Link) wait(size int) {
-	l.line.Lock()
-	defer l.line.Unlock()
-	time.Sleep(l.pause * time.Duration(size) / time.Duration(l.piece))
+// throttle takes the time that a piece takes.
+func (p *ThrottledProxy) throttle(size int) {
+	p.transmitMu.Lock()
+	defer p.transmitMu.Unlock()
+	time.Sleep(p.chunkDelay * time.Duration(size) / time.Duration(p.chunkBytes))
 }
 
-// copyAll passes pieces of at most so many bytes on, with a pause before each.
-func copyAll(to, from net.Conn, piece int, pause func(size int)) {
-	buffer := make([]byte, piece)
+// copyChunks passes pieces of at most so many bytes on, with a pause before each.
+func copyChunks(dst, src net.Conn, chunkBytes int, wait func(size int)) {
+	buffer := make([]byte, chunkBytes)
 	for {
-		n, err := from.Read(buffer)
+		n, err := src.Read(buffer)
 		if n > 0 {
-			pause(n)
-			if _, err := to.Write(buffer[:n]); err != nil {
+			wait(n)
+			if _, err := dst.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
