--- a/standin/table.go
+++ b/standin/table.go
@@ -23,7 +23,7 @@
 		delay            time.Duration
 		mu               sync.Mutex
 		rows             map[string]table.Row
-		version          uint64
+		lastVersion      uint64
 		undoLog          []undoRecord
 		readCount        uint64
 		transactionCount uint64
@@ -155,16 +155,16 @@
 	if len(failed) > 0 {
 		return 0, failed
 	}
-	t.version++
+	t.lastVersion++
 	for _, write := range tx.Writes {
 		before, existed := t.rows[write.Key]
 		t.undoLog = append(t.undoLog, undoRecord{at: time.Now(), key: write.Key, before: before, existed: existed})
-		t.rows[write.Key] = table.Row{Key: write.Key, Version: t.version, Value: write.Value}
+		t.rows[write.Key] = table.Row{Key: write.Key, Version: t.lastVersion, Value: write.Value}
 	}
 	if len(t.undoLog) > 2*minUndoRecords {
 		t.undoLog = slices.Clone(t.undoLog[len(t.undoLog)-minUndoRecords:])
 	}
-	return t.version, nil
+	return t.lastVersion, nil
 }
 
 // usage returns how many reads and transactions the table has served.
