--- a/standin/config.go
+++ b/standin/config.go
@@ -11,58 +11,58 @@
 )
 
 type (
-	// Config says what a stand-in stands in for.
+	// Config configures a stand-in.
 	Config struct {
-		// Platform is the address of the platform's services, HOST:PORT; port 0 takes any.
+		// Platform is the address on which the platform's services listen, HOST:PORT; port 0 takes any free port.
 		Platform string `yaml:"Platform" validate:"required"`
-		// ListLag is how late the list shows a change.
+		// ListLag is the delay with which the list shows a change; 0 shows changes at once.
 		ListLag time.Duration `yaml:"ListLag"`
-		// TableDelay is how long each call to the table takes.
+		// TableDelay is added to each call to the table.
 		TableDelay time.Duration `yaml:"TableDelay"`
 		Pools      []PoolConfig  `yaml:"Pools" validate:"dive"`
-		// Settings are documents that are in the table from the start.
+		// Settings are the documents that the table holds from the start.
 		Settings []SettingsFile `yaml:"Settings" validate:"dive"`
 	}
 
-	// PoolConfig is one pool of like endpoints.
+	// PoolConfig configures a pool of identical endpoints.
 	PoolConfig struct {
 		Name string          `yaml:"Name" validate:"required"`
 		Kind model.StageKind `yaml:"Kind" validate:"required,oneof=Encode Retrieve Rerank Generate Call"`
-		// Endpoints counts the endpoints; they are spread over the failure domains.
+		// Endpoints is the number of endpoints, which are spread evenly over FailureDomains.
 		Endpoints      int      `yaml:"Endpoints"      validate:"gte=1,lte=1000"`
 		FailureDomains []string `yaml:"FailureDomains" validate:"required,min=1"`
-		// Host is where the endpoints listen; if not given, each has a loopback address of its own.
+		// Host is the address on which the endpoints listen; if empty, each gets its own loopback address.
 		Host string `yaml:"Host"`
-		// FirstPort is the first endpoint's port; 0 takes any.
+		// FirstPort is the first endpoint's port, and each further endpoint has the next one; 0 takes any free ports.
 		FirstPort int `yaml:"FirstPort"`
-		// Slots is how many calls an endpoint works on at once.
+		// Slots is the number of calls that an endpoint processes concurrently.
 		Slots int `yaml:"Slots" validate:"gte=1"`
-		// ServiceTime is the time of a call; for an engine, until the first token.
+		// ServiceTime is the processing time of a call; for an engine, the time to the first token.
 		ServiceTime time.Duration `yaml:"ServiceTime"`
-		// PromptTime is an engine's further time until the first token for each KiB of the
-		// prompt; a cached prefix saves most of it.
+		// PromptTime is added to an engine's time to the first token for each KiB of the prompt. A cached prefix
+		// divides it by cachedPrefixSpeedup.
 		PromptTime time.Duration `yaml:"PromptTime"`
-		// TokenTime is the time between an engine's tokens.
+		// TokenTime is the time between two tokens of an engine.
 		TokenTime time.Duration `yaml:"TokenTime"`
-		// HonoursFencing tells whether the pool's engines refuse an old fencing number.
+		// HonoursFencing makes the pool's engines refuse orders with a fencing number below the highest accepted one.
 		HonoursFencing bool `yaml:"HonoursFencing"`
-		// MostAdapters is how many adapters an engine has room for; 0 means that it needs none
-		// loaded.
+		// MostAdapters is the number of adapters for which an engine reports room. With 0, calls need no loaded
+		// adapter.
 		MostAdapters int `yaml:"MostAdapters" validate:"gte=0"`
 		// LoadTime is how long an engine takes to load an adapter from the weight store.
 		LoadTime time.Duration `yaml:"LoadTime"`
 	}
 
-	// SettingsFile is one settings document.
+	// SettingsFile is one settings document, given as a file or inline. File takes precedence.
 	SettingsFile struct {
 		Path string `yaml:"Path" validate:"required"`
-		// File is relative to the working directory; YAML is the document itself.
+		// File is a path relative to the working directory; YAML is the document itself.
 		File string `yaml:"File"`
 		YAML string `yaml:"YAML"`
 	}
 )
 
-// ReadConfig reads a configuration file, strictly.
+// ReadConfig reads a configuration file; unknown keys are errors.
 func ReadConfig(file string) (Config, error) {
 	var c Config
 	data, err := os.ReadFile(file)
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,4 +1,5 @@
-// Package standin is a small stand-in for what basilstall meets outside: the platform (table,
-// object store, list of hosts, weight store) and the endpoints (engines, encoders, retrievers,
-// rerankers, plain services). Faults are switched on over HTTP, and a journal tells what ran.
+// Package standin simulates the external systems that basilstall talks to: the platform (table, object store, list of
+// hosts) and the endpoints (engines, encoders, retrievers, rerankers, plain services). The weight store is simulated
+// only by the time that engines take to load an adapter. Faults are injected over HTTP or with InjectFault, and a
+// journal records the calls and orders that the endpoints received.
 package standin
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -15,8 +15,8 @@
 
 const maxCallBytes = 4 << 20
 
-// endpoint is one endpoint of a pool: it works on as many calls at once as it has slots, and
-// the rest wait in its queue.
+// endpoint is one simulated endpoint of a pool. It processes as many calls concurrently as it has slots; further calls
+// queue for a slot.
 type endpoint struct {
 	name     string
 	pool     PoolConfig
@@ -29,15 +29,15 @@
 	queued   atomic.Int64
 	running  atomic.Int64
 	leaving  atomic.Bool
-	// calls, busy (nanoseconds with a slot held) and tokens sum up the work done.
+	// calls, busyNanos (nanoseconds with a slot held, summed over slots) and tokens are totals since the start.
 	calls     atomic.Int64
 	busyNanos atomic.Int64
 	tokens    atomic.Int64
-	// crashes counts the ends of its process.
+	// crashes counts simulated crashes of the process.
 	crashes atomic.Int64
 	cache   *prefixCache
 	engine  *engineState
-	// previous is the identity of an earlier call, for replies in another's name.
+	// mu guards previousCall, an earlier call whose reply FaultSwap sends in place of the current call's.
 	mu           sync.Mutex
 	previousCall model.StageCall
 }
@@ -88,8 +88,8 @@
 	return load
 }
 
-// admit decodes a call and applies the faults that strike before any work. It reports
-// whether the work may begin.
+// admit decodes a call and applies the faults that occur before any work. It reports whether the call may proceed;
+// if not, the response has been written.
 func (e *endpoint) admit(w http.ResponseWriter, r *http.Request) (model.StageCall, bool) {
 	var call model.StageCall
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCallBytes)).Decode(&call); err != nil {
@@ -113,8 +113,7 @@
 	return call, true
 }
 
-// acquireSlot waits for a slot and returns the function that gives it back, or nil where the
-// caller went away first.
+// acquireSlot waits for a slot and returns the function that releases it, or nil if ctx ended first.
 func (e *endpoint) acquireSlot(ctx context.Context) (release func()) {
 	e.queued.Add(1)
 	defer e.queued.Add(-1)
@@ -133,8 +132,7 @@
 	}
 }
 
-// simulateWork takes the time of a call, made longer by faults; it reports false where the caller
-// went away.
+// simulateWork sleeps for d, extended by FaultSlow and FaultDelay. It reports false if ctx ended first.
 func (e *endpoint) simulateWork(ctx context.Context, d time.Duration) bool {
 	if slow, triggered := e.faults.trigger(e.target(), FaultSlow); triggered {
 		d = time.Duration(float64(d) * slow.Factor)
@@ -157,7 +155,7 @@
 	defer release()
 	e.recordRun(call)
 	e.crashIfMatched(call)
-	// A plain service finishes what it began, also when nobody waits any more.
+	// A plain service completes a call that it has started, even after the caller has disconnected.
 	ctx := r.Context()
 	if e.pool.Kind == model.Call {
 		ctx = context.WithoutCancel(ctx)
@@ -202,7 +200,8 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// swapCall returns the call before this one, so that another request's reply can be sent.
+// swapCall returns the call of the last swap, so that the reply belongs to another request. If there is none or it is of
+// the same request, it returns a made-up call of another request.
 func (e *endpoint) swapCall(call model.StageCall) model.StageCall {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -216,7 +215,8 @@
 	return other
 }
 
-// crashIfMatched ends the endpoint's process where the call is one that does so, and starts it again later.
+// crashIfMatched simulates a crash of the endpoint's process if a FaultCrash matches the call, and restarts the
+// endpoint after the fault's Delay.
 func (e *endpoint) crashIfMatched(call model.StageCall) {
 	fault, triggered := e.faults.trigger(e.target(), FaultCrash)
 	if !triggered || !strings.Contains(call.Text, fault.Text) {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// maxCachedPrefixes is how many prompt prefixes an engine keeps.
+	// maxCachedPrefixes is the number of prompt prefixes that an engine caches.
 	maxCachedPrefixes = 8
-	// cachedPrefixSpeedup is how much less time a prompt takes with a cached prefix.
+	// cachedPrefixSpeedup divides the prompt's processing time if its prefix is cached.
 	cachedPrefixSpeedup = 5
 	bytesPerKiB         = 1024
-	// tokensPerCachedPrefix is what a cached prefix counts for.
+	// tokensPerCachedPrefix is the number of cached tokens reported for a cached prefix.
 	tokensPerCachedPrefix = 512
 )
 
 type (
-	// prefixCache keeps the prefixes last used.
+	// prefixCache is an LRU cache of prompt prefixes.
 	prefixCache struct {
-		mu       sync.Mutex
+		mu sync.Mutex
+		// prefixes are ordered from least to most recently used.
 		prefixes []string
 	}
 
-	// engineState is what orders change.
+	// engineState is the part of an engine that orders change.
 	engineState struct {
 		endpoint *endpoint
 		mu       sync.Mutex
 		adapters []string
-		// highestFencing is the highest fencing number of any order that was obeyed.
+		// highestFencing is the highest fencing number of all accepted orders.
 		highestFencing uint64
 	}
 )
@@ -44,7 +45,7 @@
 	return &prefixCache{}
 }
 
-// use notes that a prefix was used and reports whether it was cached.
+// use marks a prefix as most recently used and reports whether it was cached.
 func (c *prefixCache) use(prefix string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +60,7 @@
 	return i >= 0
 }
 
-// tokenStream is one answer of an engine on its way.
+// tokenStream writes the events of one streamed answer and applies FaultDouble and FaultReorder to them.
 type tokenStream struct {
 	encoder   *json.Encoder
 	flush     func()
@@ -105,11 +106,11 @@
 	e.recordRun(call)
 	e.crashIfMatched(call)
 	cached := call.Prefix != "" && e.cache.use(call.Prefix)
-	prompt := time.Duration(len(call.Text)) * e.pool.PromptTime / bytesPerKiB
+	promptTime := time.Duration(len(call.Text)) * e.pool.PromptTime / bytesPerKiB
 	if cached {
-		prompt /= cachedPrefixSpeedup
+		promptTime /= cachedPrefixSpeedup
 	}
-	if !e.simulateWork(r.Context(), e.pool.ServiceTime+prompt) {
+	if !e.simulateWork(r.Context(), e.pool.ServiceTime+promptTime) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -134,8 +135,8 @@
 	s.send(final)
 }
 
-// sendTokens sends the tokens that were asked for; it reports false where the caller went
-// away. The first one carries the load.
+// sendTokens streams the requested tokens, from call.From on; the first one carries the load. It reports false if ctx
+// ended first.
 func (e *endpoint) sendTokens(ctx context.Context, s *tokenStream, call model.StageCall) bool {
 	cut, hasCut := e.faults.trigger(e.target(), FaultCutAfter)
 	hang, hasHang := e.faults.trigger(e.target(), FaultHangAfter)
@@ -165,7 +166,7 @@
 	return &engineState{endpoint: e}
 }
 
-// adapterLoaded tells whether the engine has what a call needs.
+// adapterLoaded reports whether the adapter that a call needs is loaded. Engines without a limit of adapters need none.
 func (s *engineState) adapterLoaded(call model.StageCall) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +201,8 @@
 	s.handleState(w, r)
 }
 
-// checkFencing checks the fencing number, if the engine is one that does.
+// checkFencing reports whether an order is accepted, and records its fencing number if so. Only engines that honour
+// fencing refuse orders with an old number.
 func (s *engineState) checkFencing(o engine.OrderMessage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/expected.go
+++ b/standin/expected.go
@@ -10,15 +10,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-// retrievedItems is how many items a retriever returns; a reranker keeps half of them.
+// retrievedItems is the number of items that a retriever returns; a reranker keeps half of them.
 const retrievedItems = 4
 
-// EncodeText is what an encoder answers.
+// EncodeText returns the reply of an encoder to a text.
 func EncodeText(text string) string {
 	return "vec-" + strconv.FormatUint(xxhash.Sum64String(text), 16)
 }
 
-// RetrieveItems is what a retriever answers.
+// RetrieveItems returns the reply of a retriever to an encoded text.
 func RetrieveItems(vector string) []string {
 	items := make([]string, retrievedItems)
 	for i := range items {
@@ -27,23 +27,23 @@
 	return items
 }
 
-// RerankItems is what a reranker answers.
+// RerankItems returns the reply of a reranker to items: their second half.
 func RerankItems(items []string) []string {
 	return items[len(items)/2:]
 }
 
-// TokenText is the token at an index of an engine's answer to a prompt.
+// TokenText returns the token at an index of an engine's answer to a prompt.
 func TokenText(prompt string, index int) string {
 	return " " + strconv.FormatUint(xxhash.Sum64String(prompt+"#"+strconv.Itoa(index)), 36)
 }
 
-// CallText is what a plain service answers.
+// CallText returns the reply of a plain service to an operation on a text.
 func CallText(operation, text string) string {
 	return operation + "-" + strconv.FormatUint(xxhash.Sum64String(text), 16)
 }
 
-// ExpectedOutput is the whole answer of a pipeline to an input, for checks that an answer is
-// whole and belongs to its request.
+// ExpectedOutput returns the complete answer of a pipeline to an input. Tests and replays compare answers with it to
+// check that they are complete and belong to their request.
 func ExpectedOutput(p model.Pipeline, in model.Input, maxTokens int) string {
 	var vector, output string
 	var items []string
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -7,87 +7,92 @@
 	"time"
 )
 
-// FaultKind names a fault that the stand-in can cause.
+// FaultKind is a kind of fault that the stand-in can inject.
 type FaultKind string
 
-// The faults.
+// Kinds of faults.
 const (
-	// FaultDelay adds Delay to each call.
+	// FaultDelay adds Delay to each call, and on engines also to the time between two tokens.
 	FaultDelay FaultKind = "Delay"
-	// FaultSlow multiplies service and token times by Factor.
+	// FaultSlow multiplies service, prompt and token times by Factor.
 	FaultSlow FaultKind = "Slow"
-	// FaultError answers with status 500 after the work was done.
+	// FaultError does the work and replies with status 500.
 	FaultError FaultKind = "Error"
-	// FaultRefuse answers with status 503 and the verdict NotRun, before any work.
+	// FaultRefuse replies with status 503 before any work; replies of endpoints have the verdict NotRun.
 	FaultRefuse FaultKind = "Refuse"
-	// FaultHang takes the call and never answers.
+	// FaultHang accepts the call and never replies.
 	FaultHang FaultKind = "Hang"
-	// FaultDown closes each connection on which a call arrives, before any work.
+	// FaultDown closes the connection of each incoming call before any work.
 	FaultDown FaultKind = "Down"
-	// FaultLostAnswer does the work and closes the connection.
+	// FaultLostAnswer does the work and closes the connection without a reply.
 	FaultLostAnswer FaultKind = "LostAnswer"
-	// FaultSilent makes the connections that are open now silent.
+	// FaultSilent discards all further data on the connections that are open when it is injected, without closing them.
+	// New connections work.
 	FaultSilent FaultKind = "Silent"
-	// FaultCut closes the connections that are open now.
+	// FaultCut closes the connections that are open when it is injected.
 	FaultCut FaultKind = "Cut"
-	// FaultCutAfter cuts a stream after Count tokens.
+	// FaultCutAfter closes the connection of a stream after Count tokens.
 	FaultCutAfter FaultKind = "CutAfter"
-	// FaultHangAfter lets a stream hang after Count tokens.
+	// FaultHangAfter stops sending on a stream after Count tokens and keeps the connection open.
 	FaultHangAfter FaultKind = "HangAfter"
-	// FaultCrash ends an endpoint's process as it begins to work on a call whose text holds Text: its connections
-	// are reset, and nothing listens at its address for Delay.
+	// FaultCrash simulates a crash of an endpoint's process when it begins a call whose text contains Text: its
+	// connections are closed, and nothing listens at its address for Delay.
 	FaultCrash FaultKind = "Crash"
-	// FaultSwap answers in the name of another request.
+	// FaultSwap replies in the name of another request: with its identity and result, or on a stream only with its
+	// identity in the final event.
 	FaultSwap FaultKind = "Swap"
 	// FaultDouble sends each event of a stream twice.
 	FaultDouble FaultKind = "Double"
-	// FaultReorder swaps neighbouring events of a stream.
+	// FaultReorder swaps adjacent events of a stream.
 	FaultReorder FaultKind = "Reorder"
-	// FaultStale answers reads of the table from an older state, Delay ago.
+	// FaultStale serves reads of the table from its state Delay ago.
 	FaultStale FaultKind = "Stale"
-	// FaultRateCap lets endpoints say that they take PerSecond calls a second of all nodes together.
+	// FaultRateCap makes endpoints state that they take PerSecond calls a second from all nodes together.
 	FaultRateCap FaultKind = "RateCap"
-	// FaultCold lets endpoints say, in the list and in their answers, that they stay cold for Delay.
+	// FaultCold makes endpoints state, in the list and in their replies, that they stay cold for Delay.
 	FaultCold FaultKind = "Cold"
-	// FaultLeave lets endpoints say that they are leaving; the list shows it after its lag.
+	// FaultLeave makes endpoints state in their replies that they are leaving; the list shows it after its lag.
 	FaultLeave FaultKind = "Leave"
-	// FaultLeaveList shows endpoints as leaving in the list alone.
+	// FaultLeaveList shows endpoints as leaving only in the list.
 	FaultLeaveList FaultKind = "LeaveList"
 )
 
 type (
-	// Fault is a fault that is switched on.
+	// Fault describes a fault to inject. Which fields apply depends on Kind.
 	Fault struct {
-		// Target is "table", "list", "objects", "weights", a pool's name, or POOL/ENDPOINT.
+		// Target is "table", "list", "objects", "weights" (no effect yet), a pool's name, or POOL/ENDPOINT.
+		// FaultSilent and FaultCut also take "platform"; with it, "table" and "list" they affect the connections of
+		// all services of the platform.
 		Target string
 		Kind   FaultKind
 		Delay  time.Duration `json:",omitempty"`
 		Factor float64       `json:",omitempty"`
-		// Count is the tokens after which a stream is cut.
+		// Count is the number of tokens after which a stream is closed or hangs.
 		Count int `json:",omitempty"`
-		// Times bounds how often the fault strikes; 0 is no bound.
+		// Times is how often the fault is triggered before it is removed; 0 means no limit.
 		Times int `json:",omitempty"`
-		// Operation restricts the fault to calls on table keys with this prefix.
+		// Operation is a prefix of table keys to which the fault is to be restricted. It has no effect yet.
 		Operation string  `json:",omitempty"`
 		PerSecond float64 `json:",omitempty"`
-		// Text is part of the text of the calls that end an endpoint.
+		// Text is a substring of the texts of calls on which an endpoint crashes.
 		Text string `json:",omitempty"`
 	}
 
+	// faultSet holds the active faults. It is safe for concurrent use.
 	faultSet struct {
 		mu     sync.Mutex
 		active []*Fault
 	}
 )
 
-// add switches a fault on.
+// add activates a fault.
 func (f *faultSet) add(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.active = append(f.active, &fault)
 }
 
-// clear switches all faults of a target off; all faults for an empty target.
+// clear removes all faults of a target, or all faults if target is empty.
 func (f *faultSet) clear(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,7 +101,8 @@
 	})
 }
 
-// trigger returns the first fault of one of the kinds that is on for a target and counts it.
+// trigger returns the first active fault of one of the kinds for a target, and removes the fault once it has been
+// triggered Times times.
 func (f *faultSet) trigger(target string, kinds ...FaultKind) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,6 +122,7 @@
 	return Fault{}, false
 }
 
+// matchesTarget reports whether a fault's target, a pool or a single endpoint, covers target.
 func matchesTarget(fault, target string) bool {
 	if fault == target {
 		return true
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxJournalRuns bounds the journal; what comes later is counted only.
+// maxJournalRuns is the number of runs that the journal stores; later runs are only counted.
 const maxJournalRuns = 500_000
 
 type (
-	// Run is one call that an endpoint worked on.
+	// Run is a call that an endpoint began to process.
 	Run struct {
 		Endpoint  string
 		Stage     string
@@ -21,7 +21,7 @@
 		At        time.Time
 	}
 
-	// OrderRecord is one order that an engine received.
+	// OrderRecord is an order that an engine received.
 	OrderRecord struct {
 		Endpoint string
 		Kind     string
@@ -31,7 +31,7 @@
 		At       time.Time
 	}
 
-	// Journal is what ran, for tests to check.
+	// Journal records runs and orders for checks in tests and replays. It is safe for concurrent use.
 	Journal struct {
 		mu             sync.Mutex
 		runs           []Run
@@ -40,11 +40,11 @@
 		callsByRequest map[string]int
 	}
 
-	// JournalSummary counts what ran.
+	// JournalSummary holds the numbers of runs by key and by request.
 	JournalSummary struct {
-		// Keys counts the runs of each key; those that ran twice are the doubles.
+		// Keys counts the runs of each idempotency key, as CUSTOMER/KEY. A count above 1 means duplicate runs.
 		Keys map[string]int
-		// Requests counts the calls of each request.
+		// Requests counts the runs of each request.
 		Requests map[string]int
 	}
 )
@@ -71,21 +71,21 @@
 	j.orders = append(j.orders, o)
 }
 
-// Runs returns the calls that endpoints worked on, in order.
+// Runs returns the recorded runs in order.
 func (j *Journal) Runs() []Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]Run(nil), j.runs...)
 }
 
-// Orders returns the orders that engines received, in order.
+// Orders returns the received orders in order.
 func (j *Journal) Orders() []OrderRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]OrderRecord(nil), j.orders...)
 }
 
-// Summary counts the runs by key and by request.
+// Summary returns the numbers of runs, including those that are no longer stored.
 func (j *Journal) Summary() JournalSummary {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/link.go
+++ b/standin/link.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// ThrottledProxy is a slow link to an address: what comes back shares so many bytes in so much time, over all connections. What
-// callers send passes at once.
+// ThrottledProxy is a TCP proxy that limits the bandwidth of responses: all connections together share chunkBytes in
+// each chunkDelay. Requests are forwarded without delay.
 type ThrottledProxy struct {
 	listener net.Listener
 	target   string
-	// chunkBytes is in bytes; pause is the time that each takes.
+	// chunkBytes is the size of a chunk; chunkDelay is its transfer time.
 	chunkBytes int
 	chunkDelay time.Duration
-	// transmitMu is held while a piece is under way.
+	// transmitMu is held during the transfer of a chunk, so that connections share the bandwidth.
 	transmitMu sync.Mutex
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// NewThrottledProxy opens a link to an address, HOST:PORT, over which a piece of so many bytes takes so long to come back.
+// NewThrottledProxy starts a proxy to target, HOST:PORT, over which chunkBytes of a response take chunkDelay. It panics
+// if it can't listen.
 func NewThrottledProxy(target string, chunkBytes int, chunkDelay time.Duration) *ThrottledProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,10 +43,10 @@
 	return p
 }
 
-// Address returns where the link begins.
+// Address returns the address on which the proxy listens.
 func (p *ThrottledProxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the link with all connections over it.
+// Close stops the proxy and closes its connections.
 func (p *ThrottledProxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -72,14 +73,14 @@
 	copyChunks(client, upstream, p.chunkBytes, p.throttle)
 }
 
-// throttle takes the time that a piece takes.
+// throttle sleeps for the transfer time of size bytes.
 func (p *ThrottledProxy) throttle(size int) {
 	p.transmitMu.Lock()
 	defer p.transmitMu.Unlock()
 	time.Sleep(p.chunkDelay * time.Duration(size) / time.Duration(p.chunkBytes))
 }
 
-// copyChunks passes pieces of at most so many bytes on, with a pause before each.
+// copyChunks copies chunks of at most chunkBytes from src to dst and calls wait before it writes each.
 func copyChunks(dst, src net.Conn, chunkBytes int, wait func(size int)) {
 	buffer := make([]byte, chunkBytes)
 	for {
--- a/standin/list.go
+++ b/standin/list.go
@@ -11,11 +11,11 @@
 	"basilstall.example/basilstall/model"
 )
 
-// hostTTL is how long the list keeps a host that says nothing.
+// hostTTL is how long the list keeps a host after its last announcement.
 const hostTTL = 10 * time.Second
 
 type (
-	// listService is the platform's list. What it shows is as old as its lag.
+	// listService is the platform's list of hosts and endpoints. It shows the state of lag ago.
 	listService struct {
 		faults    *faultSet
 		lag       time.Duration
@@ -74,7 +74,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// laggedList returns the list as it was a lag ago, or the oldest state known.
+// laggedList returns the list as it was lag before now, or the oldest recorded one. States are recorded on reads only.
 func (l *listService) laggedList(now time.Time) model.HostList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -9,17 +9,18 @@
 )
 
 type (
-	// faultListener is a listener whose open connections can be made silent: nothing that is
-	// written to them arrives and nothing comes back, while new connections work.
+	// faultListener is a listener whose open connections can be made silent, in which they stay open and discard all
+	// data in both directions, while new connections work. It can also be stopped and restarted at the same address.
 	faultListener struct {
 		net.Listener
 		mu sync.Mutex
-		// current is what listens now, after each end another one.
+		// current is the listener in use; restart replaces it.
 		current net.Listener
 		stopped bool
 		conns   map[*faultConn]struct{}
 	}
 
+	// faultConn is a connection of a faultListener.
 	faultConn struct {
 		net.Conn
 		listener *faultListener
@@ -52,7 +53,7 @@
 	return c, nil
 }
 
-// silenceConns makes all open connections silent and returns how many there were.
+// silenceConns makes all open connections silent and returns their number.
 func (l *faultListener) silenceConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +63,7 @@
 	return len(l.conns)
 }
 
-// stop stops listening and cuts all open connections; it tells whether it listened.
+// stop stops listening and closes all open connections. It reports whether the listener was open.
 func (l *faultListener) stop() bool {
 	l.mu.Lock()
 	wasStopped, listener := l.stopped, l.current
@@ -75,7 +76,7 @@
 	return !wasStopped
 }
 
-// restart listens once more at the same address.
+// restart listens at the same address again, after stop.
 func (l *faultListener) restart() (net.Listener, error) {
 	listener, err := net.Listen("tcp", l.Addr().String())
 	if err != nil {
@@ -87,7 +88,7 @@
 	return restartedListener{Listener: listener, parent: l}, nil
 }
 
-// restartedListener is what listens after an end.
+// restartedListener is the listener after a restart; its connections belong to parent.
 type restartedListener struct {
 	net.Listener
 	parent *faultListener
@@ -109,7 +110,7 @@
 	}
 }
 
-// Read implements net.Conn; what arrives on a silent connection is lost.
+// Read implements net.Conn. On a silent connection, it discards what it receives.
 func (c *faultConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -119,7 +120,7 @@
 	}
 }
 
-// Write implements net.Conn; what is written to a silent connection is lost.
+// Write implements net.Conn. On a silent connection, it discards p and reports success.
 func (c *faultConn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
--- a/standin/loopback.go
+++ b/standin/loopback.go
@@ -6,11 +6,12 @@
 	"sync/atomic"
 )
 
-// loopbackHosts counts the addresses that NewLoopbackHost has returned.
+// loopbackHosts is the number of addresses that NewLoopbackHost has returned.
 var loopbackHosts atomic.Uint32
 
-// NewLoopbackHost returns a loopback address (127.0.0.0/8) of its own. What listens there can stop and listen at the same port
-// again: on 127.0.0.1 any listener or connection of another process may have taken the port meanwhile.
+// NewLoopbackHost returns a loopback address (127.0.0.0/8) that other code is unlikely to use. A server on it can stop
+// and listen at the same port again; on 127.0.0.1, a listener or connection of another process may take the port in the
+// meantime.
 func NewLoopbackHost() string {
 	pid := os.Getpid()
 	n := loopbackHosts.Add(1)
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -16,9 +16,9 @@
 	"basilstall.example/basilstall/table"
 )
 
-// Standin is a running stand-in.
+// Standin simulates a platform and its endpoints in this process.
 type Standin struct {
-	// Journal tells what ran.
+	// Journal records the runs and orders of all endpoints.
 	Journal *Journal
 
 	faults    *faultSet
@@ -29,26 +29,26 @@
 }
 
 type (
-	// Usage is how much was used.
+	// Usage holds totals since the start.
 	Usage struct {
 		TableReads  uint64
 		TableWrites uint64
-		// Pools has the work of each pool.
+		// Pools maps a pool's name to its usage.
 		Pools map[string]PoolUsage
 	}
 
-	// PoolUsage is the work of one pool.
+	// PoolUsage sums the work of a pool's endpoints.
 	PoolUsage struct {
 		Calls int
-		// Crashes counts the ends of endpoints' processes.
+		// Crashes counts simulated crashes of endpoints' processes.
 		Crashes int
-		// BusySeconds sums the time in which calls held a slot.
+		// BusySeconds is the time for which calls held a slot, summed over calls.
 		BusySeconds float64
 		Tokens      int
 	}
 )
 
-// NewStandin starts a stand-in; Close ends it.
+// NewStandin starts a stand-in. The caller must close it with Close.
 func NewStandin(c Config) (*Standin, error) {
 	s := &Standin{Journal: newJournal(), faults: &faultSet{}}
 	s.table = newTableService(s.faults, c.TableDelay)
@@ -77,7 +77,7 @@
 	return s.listener.Addr().String()
 }
 
-// Endpoints returns all endpoints.
+// Endpoints returns all endpoints, as live, regardless of faults.
 func (s *Standin) Endpoints() []model.Endpoint {
 	out := make([]model.Endpoint, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
@@ -86,7 +86,8 @@
 	return out
 }
 
-// InjectFault switches a fault on.
+// InjectFault activates a fault. FaultSilent and FaultCut act once, on the connections that are open; the others last
+// until they are cleared or have been triggered Times times.
 func (s *Standin) InjectFault(f Fault) {
 	switch f.Kind {
 	case FaultSilent:
@@ -109,7 +110,7 @@
 	}
 }
 
-// ClearFaults switches the faults of a target off; all faults for an empty target.
+// ClearFaults removes the faults of a target, or all faults if target is empty.
 func (s *Standin) ClearFaults(target string) {
 	s.faults.clear(target)
 	for _, e := range s.endpoints {
@@ -119,7 +120,7 @@
 	}
 }
 
-// Usage returns how much was used.
+// Usage returns the totals since the start.
 func (s *Standin) Usage() Usage {
 	reads, writes := s.table.usage()
 	u := Usage{TableReads: reads, TableWrites: writes, Pools: map[string]PoolUsage{}}
@@ -134,7 +135,7 @@
 	return u
 }
 
-// Close ends the stand-in.
+// Close stops all servers of the stand-in.
 func (s *Standin) Close() {
 	for _, e := range s.endpoints {
 		_ = e.server.Close()
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// listedEndpoints returns the endpoints as the list shows them before its lag.
+// listedEndpoints returns the current endpoints for the list, with FaultLeave, FaultLeaveList and FaultCold applied.
 func (s *Standin) listedEndpoints() []model.Endpoint {
 	out := s.Endpoints()
 	for i, e := range s.endpoints {
@@ -192,7 +193,7 @@
 	return out
 }
 
-// seed writes the documents that are in the table from the start.
+// seed writes the configured settings documents to the table.
 func (s *Standin) seed(files []SettingsFile) error {
 	for i, file := range files {
 		text := file.YAML
--- a/standin/table.go
+++ b/standin/table.go
@@ -12,12 +12,12 @@
 	"basilstall.example/basilstall/table"
 )
 
-// minUndoRecords bounds how many old states of the table are kept for stale reads.
+// minUndoRecords is the number of writes that remain after the undo log is trimmed. It bounds how
+// far stale reads can go back.
 const minUndoRecords = 256
 
 type (
-	// tableService is the platform's table: rows in memory, one lock, old states for stale
-	// reads.
+	// tableService is the platform's table. It keeps rows in memory under one lock, and an undo log for stale reads.
 	tableService struct {
 		faults           *faultSet
 		delay            time.Duration
@@ -29,7 +29,7 @@
 		transactionCount uint64
 	}
 
-	// undoRecord undoes one write.
+	// undoRecord holds a row's state before a write.
 	undoRecord struct {
 		at      time.Time
 		key     string
@@ -47,7 +47,7 @@
 	mux.HandleFunc("POST "+table.TransactionsPath, t.commit)
 }
 
-// applyFaults applies the faults that strike before any work.
+// applyFaults applies the table's delay and the faults that occur before any work.
 func (t *tableService) applyFaults(r *http.Request) {
 	if _, triggered := t.faults.trigger("table", FaultDown); triggered {
 		panic(http.ErrAbortHandler)
@@ -83,6 +83,7 @@
 	_ = json.NewEncoder(w).Encode(rows)
 }
 
+// read returns the rows whose keys are wanted, sorted by key, as they were at the time before, or now if it is zero.
 func (t *tableService) read(wanted func(string) bool, before time.Time) []table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,6 +102,7 @@
 	return rows
 }
 
+// rowsAt returns the rows as they were at a time, by undoing later writes.
 func (t *tableService) rowsAt(before time.Time) map[string]table.Row {
 	view := make(map[string]table.Row, len(t.rows))
 	for k, v := range t.rows {
@@ -143,6 +145,7 @@
 	_ = json.NewEncoder(w).Encode(table.Committed{Version: version})
 }
 
+// apply commits a transaction if all its conditions hold. Otherwise it returns the keys whose conditions failed.
 func (t *tableService) apply(tx table.Transaction) (version uint64, failed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,7 +170,7 @@
 	return t.lastVersion, nil
 }
 
-// usage returns how many reads and transactions the table has served.
+// usage returns the numbers of reads and transactions that the table has served.
 func (t *tableService) usage() (reads, writes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
