--- a/sample/sample.go
+++ b/sample/sample.go
@@ -1,5 +1,5 @@
-// Package sample holds the two users' set-ups in small, for the demo, tests and replays: pools,
-// customers and pipelines as the brief describes them.
+// Package sample provides small configurations of two deployments, Bilbao and Moravia, with pools, customers and
+// pipelines. The demo, tests and replays use them.
 package sample
 
 import (
@@ -13,7 +13,7 @@
 const (
 	// BilbaoToken is the token of the first customer of team bilbao.
 	BilbaoToken = "token-bar-arriaga"
-	// BilbaoCustomer is that customer's account.
+	// BilbaoCustomer is the same customer, as TEAM/CUSTOMER.
 	BilbaoCustomer = "bilbao/bar-arriaga"
 	// MoraviaToken is the token of the first customer of team moravia.
 	MoraviaToken = "token-kiosk-brno"
@@ -33,22 +33,22 @@
 	fleetYAML string
 )
 
-// Bilbao returns the stand-in for the co-operative: long agreements, few large customers.
+// Bilbao returns the stand-in configuration for a co-operative with few large customers and long generated agreements.
 func Bilbao() standin.Config {
 	return config("bilbao", bilbaoYAML, BilbaoDomains, []string{"lorry-scheduling", "billing", "portal", "depot-tablets"})
 }
 
-// Moravia returns the stand-in for the distribution agency: many small confirmations.
+// Moravia returns the stand-in configuration for a distribution agency with many small confirmations.
 func Moravia() standin.Config {
 	return config("moravia", moraviaYAML, MoraviaDomains, []string{"depot-stock", "invoicing", "handheld", "route-planning"})
 }
 
-// BilbaoSnapshot returns the co-operative's settings as the table would give them.
+// BilbaoSnapshot returns the settings of Bilbao as read from the table.
 func BilbaoSnapshot() model.Snapshot {
 	return snapshot("bilbao", bilbaoYAML)
 }
 
-// MoraviaSnapshot returns the agency's settings as the table would give them.
+// MoraviaSnapshot returns the settings of Moravia as read from the table.
 func MoraviaSnapshot() model.Snapshot {
 	return snapshot("moravia", moraviaYAML)
 }
