--- a/replay/doc.go
+++ b/replay/doc.go
@@ -1,4 +1,4 @@
-// Package replay sends a recorded trace as callers would, open loop, on the trace's own time
-// line, and checks what came back against stated outcomes. Latencies count from the planned
-// send time, so that a slow system cannot hide behind requests that were sent late.
+// Package replay sends the requests of a recorded trace in an open loop, at the times that the trace plans, and checks
+// the results against required outcomes. Latencies are measured from the planned send time, so that requests sent late
+// do not hide a slow system.
 package replay
--- a/replay/measure.go
+++ b/replay/measure.go
@@ -12,28 +12,29 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// nodeKillDelay is when, after the start of a trace, a node is killed.
+// nodeKillDelay is the time from the start of a trace until a node is killed.
 const nodeKillDelay = 3 * time.Second
 
 type (
-	// Condition is what goes wrong during a measurement.
+	// Condition is a fault that is present during a measurement.
 	Condition struct {
 		Name string
-		// Apply causes it on a set-up; it must not block.
+		// Apply injects the fault into a set-up. It must not block.
 		Apply func(*Setup)
 	}
 
-	// Measurement is one trace under one load and condition, with both policies at once.
+	// Measurement holds the results of a trace at one load and condition under both policies.
 	Measurement struct {
 		Trace     string
 		Load      float64
 		Condition string
-		Default   Report
-		Plain     Report
+		// Default is the report of the default policies, Plain of the baseline policies (option Plain).
+		Default Report
+		Plain   Report
 	}
 )
 
-// Conditions are what each measurement is made under.
+// Conditions returns all conditions under which traces are measured.
 func Conditions() []Condition {
 	return []Condition{
 		{Name: "healthy", Apply: func(*Setup) {}},
@@ -55,7 +56,7 @@
 	}
 }
 
-// ConditionByName returns the condition of that name.
+// ConditionByName returns the condition with a name, or false if there is none.
 func ConditionByName(name string) (Condition, bool) {
 	for _, c := range Conditions() {
 		if c.Name == name {
@@ -65,7 +66,7 @@
 	return Condition{}, false
 }
 
-// Measure runs a trace with both policies at the same time, each on a set-up of its own.
+// Measure replays a trace under both policies concurrently, each on its own set-up.
 func Measure(ctx context.Context, trace Trace, load float64, condition Condition) (Measurement, error) {
 	m := Measurement{Trace: trace.Header.Sample, Load: load, Condition: condition.Name}
 	var wg sync.WaitGroup
@@ -98,13 +99,13 @@
 	return m, nil
 }
 
-// PrintMeasurementsHeader writes the head of a table in Markdown.
+// PrintMeasurementsHeader writes the header of a Markdown table of measurements.
 func PrintMeasurementsHeader(w io.Writer) {
-	fmt.Fprintln(w, "| trace | load | condition | attained | plain | goodput/s | plain | least customer | plain | endpoint-s an answer | plain | tokens an answer | plain | p99 of the small calls | plain | doubles |")
+	fmt.Fprintln(w, "| trace | load | condition | attained | plain | goodput/s | plain | lowest customer attainment | plain | endpoint-seconds per answer | plain | tokens per answer | plain | p99 of call pipelines | plain | duplicate runs |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
 
-// Print writes a row of the table.
+// Print writes the measurement as a row of the table.
 func (m Measurement) Print(w io.Writer) {
 	fmt.Fprintf(w, "| %s | %g | %s | %.1f%% | %.1f%% | %.1f | %.1f | %.1f%% | %.1f%% | %.3f | %.3f | %.1f | %.1f | %s | %s | %d |\n",
 		m.Trace, m.Load, m.Condition,
@@ -117,7 +118,7 @@
 		max(0, m.Default.MostRunsPerKey-1)+max(0, m.Plain.MostRunsPerKey-1))
 }
 
-// minCustomerAttainment returns the attainment of the customer that fared worst.
+// minCustomerAttainment returns the lowest attainment of all customers.
 func (r Report) minCustomerAttainment() float64 {
 	least := 1.0
 	for _, g := range r.Customers {
@@ -126,7 +127,8 @@
 	return least
 }
 
-// callPipelineP99 returns the 99th percentile of the pipelines that only call a plain service.
+// callPipelineP99 returns the 99th percentile of the latency of the sample's short pipeline that ends in a call of a
+// plain service, or 0 if the trace has none.
 func (r Report) callPipelineP99() time.Duration {
 	for _, name := range []string{"collection-ticket", "drop-confirmation"} {
 		if g := r.Pipelines[name]; g != nil {
--- a/replay/names.go
+++ b/replay/names.go
@@ -6,7 +6,7 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// sortedNames returns the keys of the maps that reports hold, in order.
+// sortedNames returns the sorted keys of one of a report's maps.
 func sortedNames(groups any) []string {
 	var names []string
 	switch m := groups.(type) {
--- a/replay/outcomes.go
+++ b/replay/outcomes.go
@@ -10,22 +10,23 @@
 	"basilstall.example/basilstall/yamldoc"
 )
 
-// Outcomes are what a replay must reach. A figure that is not given is not checked.
+// Outcomes are the requirements that a replay's report must meet. Those that are not given are not checked, except
+// MostRunsPerKey.
 type Outcomes struct {
-	// Attainment is the least share of requests answered whole within their deadlines.
+	// Attainment is the minimum share of requests with a complete answer within their deadlines.
 	Attainment float64 `yaml:"Attainment" validate:"gte=0,lte=1"`
-	// AttainmentByPipeline and AttainmentByCustomer hold for one of them each.
+	// AttainmentByPipeline and AttainmentByCustomer are the minimum shares for single pipelines and customers.
 	AttainmentByPipeline map[string]float64 `yaml:"AttainmentByPipeline"`
 	AttainmentByCustomer map[string]float64 `yaml:"AttainmentByCustomer"`
-	// MostRunsPerKey is 1 unless a trace says otherwise.
+	// MostRunsPerKey is the maximum number of runs of an idempotency key; 1 if the file does not give it.
 	MostRunsPerKey int `yaml:"MostRunsPerKey" validate:"gte=0"`
-	// MostRefusals bounds the refusals.
+	// MostRefusals is the maximum number of refused requests.
 	MostRefusals *int `yaml:"MostRefusals"`
-	// MostBusySeconds bounds the endpoint-seconds of a pool for each complete answer.
+	// MostBusySeconds is the maximum of a pool's endpoint-seconds per answer within its deadline.
 	MostBusySeconds map[string]float64 `yaml:"MostBusySeconds"`
 }
 
-// ReadOutcomes reads an outcomes file, strictly.
+// ReadOutcomes reads an outcomes file; unknown keys are errors.
 func ReadOutcomes(file string) (Outcomes, error) {
 	o := Outcomes{MostRunsPerKey: 1}
 	data, err := os.ReadFile(file)
@@ -35,40 +36,41 @@
 	return o, yamldoc.Decode(file, data, &o)
 }
 
-// Missed returns a sentence for each outcome that a report misses, in order.
+// Missed returns a message for each requirement that a report does not meet. It always checks that no answer was wrong
+// and that no request ran that was refused with verdict NotRun.
 func (o Outcomes) Missed(r Report) []string {
 	var missed []string
 	miss := func(format string, args ...any) {
 		missed = append(missed, fmt.Sprintf(format, args...))
 	}
 	if r.Attainment < o.Attainment {
-		miss("attainment is %.4f, wanted %.4f", r.Attainment, o.Attainment)
+		miss("attainment is %.4f, want at least %.4f", r.Attainment, o.Attainment)
 	}
 	for _, name := range sortedKeys(o.AttainmentByPipeline) {
 		if got := r.Pipelines[name].Attainment(); got < o.AttainmentByPipeline[name] {
-			miss("attainment of pipeline %s is %.4f, wanted %.4f", name, got, o.AttainmentByPipeline[name])
+			miss("attainment of pipeline %s is %.4f, want at least %.4f", name, got, o.AttainmentByPipeline[name])
 		}
 	}
 	for _, name := range sortedKeys(o.AttainmentByCustomer) {
 		if got := r.Customers[name].Attainment(); got < o.AttainmentByCustomer[name] {
-			miss("attainment of customer %s is %.4f, wanted %.4f", name, got, o.AttainmentByCustomer[name])
+			miss("attainment of customer %s is %.4f, want at least %.4f", name, got, o.AttainmentByCustomer[name])
 		}
 	}
 	if r.MostRunsPerKey > o.MostRunsPerKey {
 		miss("a key ran %d times", r.MostRunsPerKey)
 	}
 	if r.Wrong > 0 {
-		miss("%d answers were not whole or not their request's", r.Wrong)
+		miss("%d answers were incomplete or belonged to another request", r.Wrong)
 	}
 	if r.NotRunUntrue > 0 {
-		miss("%d requests were refused as NotRun and ran", r.NotRunUntrue)
+		miss("%d requests were refused with verdict NotRun but ran", r.NotRunUntrue)
 	}
 	if o.MostRefusals != nil && r.Refused > *o.MostRefusals {
-		miss("%d requests were refused, wanted at most %d", r.Refused, *o.MostRefusals)
+		miss("%d requests were refused, want at most %d", r.Refused, *o.MostRefusals)
 	}
 	for _, pool := range sortedKeys(o.MostBusySeconds) {
 		if got := r.BusyPerAnswer(pool); got > o.MostBusySeconds[pool] {
-			miss("pool %s was busy for %.4f s an answer, wanted at most %.4f", pool, got, o.MostBusySeconds[pool])
+			miss("pool %s was busy for %.4f s per answer, want at most %.4f", pool, got, o.MostBusySeconds[pool])
 		}
 	}
 	return missed
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// lateAnswerTimeout is how long the replay waits for an answer that is already late.
+	// lateAnswerTimeout is how long after its deadline the replay still waits for an answer.
 	lateAnswerTimeout   = 3 * time.Second
 	maxIdleConnsPerHost = 512
 )
 
 type (
-	// sentRequest is one request that was sent, and how it ended.
+	// sentRequest is a request that was sent, and its result.
 	sentRequest struct {
-		entry   Entry
-		result  caller.Result
-		err     error
+		entry  Entry
+		result caller.Result
+		err    error
+		// latency counts from the planned send time.
 		latency time.Duration
-		// correct is true if the answer is whole and its request's own.
+		// correct is true if the answer is complete and belongs to the request.
 		correct bool
 	}
 
-	// Replay sends one trace to one set-up.
+	// Replay sends a trace to a set-up.
 	Replay struct {
-		// Durable sends keys of a form that the table arbitrates instead of UUIDv7.
+		// Durable sends durable keys (UUIDv4), for which the table arbitrates duplicates, instead of UUIDv7.
 		Durable bool
 
 		trace  Trace
 		setup  *Setup
 		client *http.Client
 		keysMu sync.Mutex
-		// keys has the key that each name in the trace stands for.
+		// keys maps the key names of the trace to the idempotency keys that are sent.
 		keys map[string]string
 	}
 )
@@ -55,7 +56,7 @@
 	}
 }
 
-// Run sends the trace and returns the report.
+// Run sends the trace, waits for all results and returns the report.
 func (r *Replay) Run(ctx context.Context) Report {
 	defer r.client.CloseIdleConnections()
 	before := r.setup.Standin.Usage()
@@ -97,7 +98,7 @@
 	return s
 }
 
-// key returns the key that a name stands for, made when the name is first sent.
+// key returns the idempotency key for a key name of the trace, and generates it on first use.
 func (r *Replay) key(name string) string {
 	if name == "" {
 		return ""
@@ -126,7 +127,7 @@
 	return s.result.Answer != nil && s.correct && s.latency <= time.Duration(s.entry.Deadline)
 }
 
-// recordUsage takes the endpoints' work during the replay from the stand-in's counts.
+// recordUsage sets the report's usage to the difference of the stand-in's totals before and after the replay.
 func (r *Report) recordUsage(before, after standin.Usage) {
 	r.TableReads = after.TableReads - before.TableReads
 	r.TableWrites = after.TableWrites - before.TableWrites
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -18,7 +18,7 @@
 			setup, err := replay.NewSetup(t.Context(), trace.Header, false, zerolog.Nop())
 			must.NoError(t, err)
 			defer setup.Close()
-			// A tenth of the load: what is checked here does not depend on the machine's speed.
+			// A tenth of the load keeps the checks independent of the machine's speed.
 			report := replay.NewReplay(trace.WithLoad(0.1), setup).Run(t.Context())
 			must.EqOp(t, 1, report.MostRunsPerKey)
 			must.EqOp(t, 0, report.Wrong)
--- a/replay/report.go
+++ b/replay/report.go
@@ -12,44 +12,48 @@
 )
 
 const (
+	// maxLatencyMicros is the maximum of the latency histograms; higher latencies are recorded as this one.
 	maxLatencyMicros           = int64(time.Minute / time.Microsecond)
 	histogramSignificantDigits = 3
 )
 
 type (
-	// Report is what a replay measured.
+	// Report holds the results of a replay.
 	Report struct {
 		Requests int
+		// Attained counts correct answers within their deadlines.
 		Attained int
-		// Attainment is Attained over Requests.
+		// Attainment is Attained divided by Requests.
 		Attainment float64
 		Refused    int
-		// Failed counts requests that got neither answer nor refusal.
+		// Failed counts requests that received neither an answer nor a refusal.
 		Failed int
-		// Late counts whole answers that came after the deadline.
+		// Late counts correct answers after the deadline.
 		Late int
-		// Wrong counts answers that were not whole or not their request's.
-		Wrong        int
+		// Wrong counts answers that are incomplete or belong to another request.
+		Wrong int
+		// NotRunUntrue counts requests that were refused with verdict NotRun although an endpoint ran them.
 		NotRunUntrue int
-		// MostRunsPerKey is read from the stand-in's journal.
+		// MostRunsPerKey is the highest number of runs of an idempotency key in the stand-in's journal.
 		MostRunsPerKey int
 		Pipelines      map[string]*Group
 		Customers      map[string]*Group
-		Reasons        map[string]int
-		// Pools is the endpoints' work by the stand-in's own count.
+		// Reasons counts refusals by REASON/VERDICT, failed requests as NoAnswer and late answers as Late.
+		Reasons map[string]int
+		// Pools is the work of each pool during the replay, as counted by the stand-in.
 		Pools map[string]standin.PoolUsage
-		// TableReads and TableWrites were made during the replay.
+		// TableReads and TableWrites count the calls to the table during the replay.
 		TableReads  uint64
 		TableWrites uint64
-		// Goodput is attained requests a second of the trace's length.
+		// Goodput is Attained per second of the trace's length.
 		Goodput float64
 	}
 
-	// Group is the requests of one pipeline or customer.
+	// Group holds the results of one pipeline or customer.
 	Group struct {
 		Requests int
 		Attained int
-		// P50 and P99 are latencies of whole answers from the planned send time.
+		// P50 and P99 are percentiles of the latencies of answers, from the planned send time.
 		P50 time.Duration
 		P99 time.Duration
 
@@ -57,7 +61,7 @@
 	}
 )
 
-// Attainment returns the share that was attained; zero for a group that is not there.
+// Attainment returns the share of attained requests, or 0 if g is nil or empty.
 func (g *Group) Attainment() float64 {
 	if g == nil || g.Requests == 0 {
 		return 0
@@ -65,12 +69,12 @@
 	return float64(g.Attained) / float64(g.Requests)
 }
 
-// BusyPerAnswer returns a pool's endpoint-seconds for each attained answer.
+// BusyPerAnswer returns a pool's endpoint-seconds per attained answer.
 func (r Report) BusyPerAnswer(pool string) float64 {
 	return r.Pools[pool].BusySeconds / float64(max(1, r.Attained))
 }
 
-// TotalBusyPerAnswer returns all pools' endpoint-seconds for each attained answer.
+// TotalBusyPerAnswer returns the endpoint-seconds of all pools per attained answer.
 func (r Report) TotalBusyPerAnswer() float64 {
 	sum := 0.0
 	for pool := range r.Pools {
@@ -79,7 +83,7 @@
 	return sum
 }
 
-// TokensPerAnswer returns the tokens generated for each attained answer.
+// TokensPerAnswer returns the number of generated tokens per attained answer.
 func (r Report) TokensPerAnswer() float64 {
 	tokens := 0
 	for _, u := range r.Pools {
@@ -149,7 +153,7 @@
 	}
 }
 
-// checkJournal reads the journal: runs by key, and calls of requests that were refused as NotRun.
+// checkJournal sets MostRunsPerKey and NotRunUntrue from the stand-in's journal.
 func (r *Report) checkJournal(requests []sentRequest, journal standin.JournalSummary) {
 	for _, n := range journal.Keys {
 		r.MostRunsPerKey = max(r.MostRunsPerKey, n)
@@ -162,7 +166,7 @@
 	}
 }
 
-// Print writes the report as tables.
+// Print writes the report as text.
 func (r Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "requests %d, attained %d (%.2f%%), refused %d, late %d, wrong %d, no answer %d, goodput %.1f/s\n",
 		r.Requests, r.Attained, 100*r.Attainment, r.Refused, r.Late, r.Wrong, r.Failed, r.Goodput)
@@ -176,7 +180,7 @@
 	for _, reason := range sortedNames(r.Reasons) {
 		fmt.Fprintf(w, "%-40s %d\n", reason, r.Reasons[reason])
 	}
-	fmt.Fprintf(w, "most runs of a key %d, NotRun untrue %d, table reads %d, writes %d\n", r.MostRunsPerKey, r.NotRunUntrue, r.TableReads, r.TableWrites)
+	fmt.Fprintf(w, "max runs per key %d, NotRun but ran %d, table reads %d, writes %d\n", r.MostRunsPerKey, r.NotRunUntrue, r.TableReads, r.TableWrites)
 }
 
 func printGroups(w io.Writer, title string, groups map[string]*Group) {
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -24,28 +24,32 @@
 	readinessInterval = 100 * time.Millisecond
 )
 
-// Setup is a sample's stand-in with nodes in this process, and the balancer's view of them.
+// Setup runs a sample's stand-in and nodes in this process, and simulates the platform's load balancer in front of the
+// nodes.
 type Setup struct {
 	Standin  *standin.Standin
 	Settings kernel.Settings
 	Team     string
 
-	// firstDomain is the first failure domain.
-	firstDomain    string
-	nodes          []*node.Node
-	tokens         map[string]string
-	cancel         context.CancelFunc
+	// firstDomain is the sample's first failure domain.
+	firstDomain string
+	nodes       []*node.Node
+	// tokens maps the customers' names to their tokens.
+	tokens map[string]string
+	cancel context.CancelFunc
+	// mu guards readyAddresses and requestCount.
 	mu             sync.Mutex
 	readyAddresses []string
 	requestCount   int
 }
 
-// NewSetup starts a sample with nodes and waits until they own keys together.
-func NewSetup(ctx context.Context, head Header, plain bool, log zerolog.Logger) (*Setup, error) {
+// NewSetup starts a sample with nodes and waits until all are ready and members of an era in force. plain selects the
+// baseline policies.
+func NewSetup(ctx context.Context, header Header, plain bool, log zerolog.Logger) (*Setup, error) {
 	s := &Setup{tokens: map[string]string{}}
 	var c standin.Config
 	var domains []string
-	switch head.Sample {
+	switch header.Sample {
 	case "Bilbao":
 		c, domains, s.Team = sample.Bilbao(), sample.BilbaoDomains, "bilbao"
 		s.Settings, _ = kernel.NewSettings().WithSnapshot(sample.BilbaoSnapshot())
@@ -53,7 +57,7 @@
 		c, domains, s.Team = sample.Moravia(), sample.MoraviaDomains, "moravia"
 		s.Settings, _ = kernel.NewSettings().WithSnapshot(sample.MoraviaSnapshot())
 	default:
-		return nil, errors.Errorf("replay: unknown sample %q", head.Sample)
+		return nil, errors.Errorf("replay: unknown sample %q", header.Sample)
 	}
 	s.firstDomain = domains[0]
 	for _, team := range s.Settings.Teams() {
@@ -65,7 +69,7 @@
 	if s.Standin, err = standin.NewStandin(c); err != nil {
 		return nil, err
 	}
-	for i := range max(1, head.Nodes) {
+	for i := range max(1, header.Nodes) {
 		options := config.NewOptions()
 		options.Name = fmt.Sprintf("entry-%d", i+1)
 		options.FailureDomain = domains[i%len(domains)]
@@ -80,9 +84,9 @@
 		}
 		s.nodes = append(s.nodes, n)
 	}
-	balance, cancel := context.WithCancel(ctx)
+	balancerCtx, cancel := context.WithCancel(ctx)
 	s.cancel = cancel
-	go s.trackReadiness(balance)
+	go s.trackReadiness(balancerCtx)
 	return s, s.awaitReady(ctx)
 }
 
@@ -91,12 +95,12 @@
 	return s.Settings.Pipeline(s.Team, name)
 }
 
-// KillNode ends a node at once, in the order of their start.
+// KillNode closes the node with index i, in the order of their start, without draining it.
 func (s *Setup) KillNode(i int) {
 	s.nodes[i].Close()
 }
 
-// FailFirstDomain ends what stands in the first failure domain: its endpoints and its node.
+// FailFirstDomain fails all endpoints of the first failure domain and kills the first node, which belongs to it.
 func (s *Setup) FailFirstDomain() {
 	for _, e := range s.Standin.Endpoints() {
 		if e.FailureDomain == s.firstDomain {
@@ -106,7 +110,7 @@
 	s.KillNode(0)
 }
 
-// Close ends nodes and stand-in.
+// Close stops the nodes and the stand-in.
 func (s *Setup) Close() {
 	if s.cancel != nil {
 		s.cancel()
@@ -117,7 +121,8 @@
 	s.Standin.Close()
 }
 
-// nextAddress returns a node for the next request, as the balancer picks it.
+// nextAddress returns the callers' address of the node for the next request: round robin over the ready nodes, or the
+// first node if none is ready.
 func (s *Setup) nextAddress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +133,7 @@
 	return s.readyAddresses[s.requestCount%len(s.readyAddresses)]
 }
 
-// trackReadiness follows the nodes' readiness as the platform's balancer does.
+// trackReadiness polls the nodes' readiness until ctx ends, as the platform's load balancer does.
 func (s *Setup) trackReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
@@ -150,21 +155,22 @@
 	}
 }
 
+// awaitReady waits until all nodes are ready and members of the same era, and that era has begun.
 func (s *Setup) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		settled := 0
+		readyCount := 0
 		for _, n := range s.nodes {
 			status := n.Status()
 			if status.Ready && len(status.EraMembers) == len(s.nodes) && status.EraFrom.Before(time.Now()) {
-				settled++
+				readyCount++
 			}
 		}
-		if settled == len(s.nodes) {
+		if readyCount == len(s.nodes) {
 			return nil
 		}
 		time.Sleep(setupPollInterval)
 	}
-	return errors.New("replay: the nodes did not settle")
+	return errors.New("replay: not all nodes became ready and joined the era in time")
 }
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -16,37 +16,38 @@
 const maxLineBytes = 1 << 20
 
 type (
-	// Trace is a recorded trace: a head, then entries in order of their times.
+	// Trace is a recorded trace: a header and entries in the order of their send times.
 	Trace struct {
 		Header  Header
 		Entries []Entry
 	}
 
-	// Header is the first line: what the trace was recorded on.
+	// Header is the first line of a trace and describes the set-up it runs on.
 	Header struct {
-		// Sample names the set-up that the trace runs on: Bilbao or Moravia.
+		// Sample is the name of the sample: Bilbao or Moravia.
 		Sample string
-		// Nodes is how many nodes it runs on.
+		// Nodes is the number of nodes; values below 1 mean 1.
 		Nodes int
 	}
 
-	// Entry is one request.
+	// Entry is one request of a trace.
 	Entry struct {
-		// At is the planned send time after the start.
+		// At is the planned send time, from the start of the replay.
 		At       Duration
 		Customer string
 		Pipeline string
-		// Deadline is the time in which the answer is of use.
+		// Deadline is the time for a complete answer, from the planned send time.
 		Deadline Duration
-		// Key names the idempotency key; entries with one name carry one key.
+		// Key is a name for the idempotency key, which is generated: entries with the same name share a key. Empty for
+		// requests without a key.
 		Key string `json:",omitempty"`
-		// Size is the length of the request's text in bytes.
+		// Size is the minimum length of the request's text in bytes.
 		Size   int
 		Prefix string `json:",omitempty"`
 		Tokens int    `json:",omitempty"`
 	}
 
-	// Duration is a duration that reads as "1.5s".
+	// Duration is a time.Duration that is encoded in JSON as a string, such as "1.5s".
 	Duration time.Duration
 )
 
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// ReadTrace reads a trace of JSON lines.
+// ReadTrace reads a trace from a file of JSON lines.
 func ReadTrace(file string) (Trace, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return ParseTrace(file, data)
 }
 
-// ParseTrace parses a trace strictly; an error names file and line.
+// ParseTrace parses a trace. Unknown fields are errors; errors name the file and line.
 func ParseTrace(file string, data []byte) (Trace, error) {
 	var t Trace
 	scanner := bufio.NewScanner(bytes.NewReader(data))
@@ -102,14 +103,15 @@
 	return t, scanner.Err()
 }
 
+// decodeStrict decodes JSON and treats unknown fields as errors.
 func decodeStrict(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(into)
 }
 
-// WithLoad returns the trace with its load multiplied: entries are left out or doubled evenly,
-// and a doubled entry has a key of its own.
+// WithLoad returns the trace with its load multiplied by factor: entries are left out or repeated evenly, and each
+// repetition gets its own key.
 func (t Trace) WithLoad(factor float64) Trace {
 	var entries []Entry
 	credit := 0.0
@@ -128,12 +130,13 @@
 	return t
 }
 
-// Length returns the time of the last entry.
+// Length returns the planned send time of the last entry. It panics if the trace has no entries.
 func (t Trace) Length() time.Duration {
 	return time.Duration(t.Entries[len(t.Entries)-1].At)
 }
 
-// text returns the entry's text, of the recorded size: unique, but the same for one key.
+// text returns the entry's text, padded to Size. It is the same for entries with the same key and otherwise unique to
+// the index.
 func (e Entry) text(index int) string {
 	subject := e.Key
 	if subject == "" {
