--- a/cli/replay.go
+++ b/cli/replay.go
@@ -21,7 +21,7 @@
 	asJSON    *bool
 }
 
-func (sh *shell) replayCommand() *ff.Command {
+func (sh *program) replayCommand() *ff.Command {
 	fs := ff.NewFlagSet("replay")
 	flags := replayFlags{
 		trace:     fs.StringLong("trace", "", "the recorded trace, JSON lines"),
@@ -44,7 +44,7 @@
 	}
 }
 
-func (sh *shell) replay(ctx context.Context, flags replayFlags) error {
+func (sh *program) replay(ctx context.Context, flags replayFlags) error {
 	trace, err := replay.ReadTrace(*flags.trace)
 	if err != nil {
 		return exitWith(ExitUsage, err)
@@ -79,7 +79,7 @@
 	return sh.printMissed(wanted.Missed(report))
 }
 
-func (sh *shell) printMissed(missed []string) error {
+func (sh *program) printMissed(missed []string) error {
 	if len(missed) == 0 {
 		return nil
 	}
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -85,11 +85,11 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateAnswerTimeout))
 	defer cancel()
 	call := caller.Call{Pipeline: entry.Pipeline, Key: r.key(entry.Key)}
-	call.Body = caller.Body{
+	call.Body = caller.RequestBody{
 		Input:    model.Input{Text: entry.text(i), Prefix: entry.Prefix, MaxTokens: entry.Tokens},
 		Deadline: deadline.Format(time.RFC3339Nano),
 	}
-	client := &caller.Client{Base: "http://" + r.setup.nextAddress(), Token: r.setup.tokens[entry.Customer], HTTP: r.client}
+	client := &caller.Client{BaseURL: "http://" + r.setup.nextAddress(), Token: r.setup.tokens[entry.Customer], HTTP: r.client}
 	s.result, s.err = client.Send(ctx, call)
 	s.latency = time.Since(planned)
 	if s.result.Answer != nil {
