--- a/replay/measure.go
+++ b/replay/measure.go
@@ -12,51 +12,52 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// killAfter is when, after the start of a trace, a node is killed.
-const killAfter = 3 * time.Second
+// nodeKillDelay is the time from the start of a trace until a node is killed.
+const nodeKillDelay = 3 * time.Second
 
 type (
-	// Condition is what goes wrong during a measurement.
+	// Condition is a fault that is present during a measurement.
 	Condition struct {
 		Name string
-		// Begin causes it on a set-up; it must not block.
-		Begin func(*Setup)
+		// Apply injects the fault into a set-up. It must not block.
+		Apply func(*Setup)
 	}
 
-	// Measurement is one trace under one load and condition, with both policies at once.
+	// Measurement holds the results of a trace at one load and condition under both policies.
 	Measurement struct {
 		Trace     string
 		Load      float64
 		Condition string
-		Ours      Report
-		Plain     Report
+		// Default is the report of the default policies, Plain of the baseline policies (option Plain).
+		Default Report
+		Plain   Report
 	}
 )
 
-// Conditions are what each measurement is made under.
+// Conditions returns all conditions under which traces are measured.
 func Conditions() []Condition {
 	return []Condition{
-		{Name: "healthy", Begin: func(*Setup) {}},
-		{Name: "rerankers ten times slower", Begin: func(s *Setup) {
-			s.Standin.Fault(standin.Fault{Target: "rerankers", Kind: standin.FaultSlow, Factor: 10})
+		{Name: "healthy", Apply: func(*Setup) {}},
+		{Name: "rerankers ten times slower", Apply: func(s *Setup) {
+			s.Standin.InjectFault(standin.Fault{Target: "rerankers", Kind: standin.FaultSlow, Factor: 10})
 		}},
-		{Name: "a quarter of the runners failing", Begin: func(s *Setup) {
+		{Name: "a quarter of the runners failing", Apply: func(s *Setup) {
 			for i := 1; i <= 3; i++ {
-				s.Standin.Fault(standin.Fault{Target: fmt.Sprintf("runners/runners-%d", i), Kind: standin.FaultDown})
+				s.Standin.InjectFault(standin.Fault{Target: fmt.Sprintf("runners/runners-%d", i), Kind: standin.FaultDown})
 			}
 		}},
-		{Name: "a failure domain gone", Begin: func(s *Setup) { s.LoseDomain() }},
-		{Name: "table down", Begin: func(s *Setup) {
-			s.Standin.Fault(standin.Fault{Target: "table", Kind: standin.FaultDown})
+		{Name: "a failure domain gone", Apply: func(s *Setup) { s.FailFirstDomain() }},
+		{Name: "table down", Apply: func(s *Setup) {
+			s.Standin.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultDown})
 		}},
-		{Name: "a node killed", Begin: func(s *Setup) {
-			time.AfterFunc(killAfter, func() { s.KillNode(len(s.nodes) - 1) })
+		{Name: "a node killed", Apply: func(s *Setup) {
+			time.AfterFunc(nodeKillDelay, func() { s.KillNode(len(s.nodes) - 1) })
 		}},
 	}
 }
 
-// ConditionNamed returns the condition of that name.
-func ConditionNamed(name string) (Condition, bool) {
+// ConditionByName returns the condition with a name, or false if there is none.
+func ConditionByName(name string) (Condition, bool) {
 	for _, c := range Conditions() {
 		if c.Name == name {
 			return c, true
@@ -65,27 +66,27 @@
 	return Condition{}, false
 }
 
-// Measure runs a trace with both policies at the same time, each on a set-up of its own.
+// Measure replays a trace under both policies concurrently, each on its own set-up.
 func Measure(ctx context.Context, trace Trace, load float64, condition Condition) (Measurement, error) {
-	m := Measurement{Trace: trace.Head.Sample, Load: load, Condition: condition.Name}
+	m := Measurement{Trace: trace.Header.Sample, Load: load, Condition: condition.Name}
 	var wg sync.WaitGroup
 	errs := make([]error, 2)
 	for i, plain := range []bool{false, true} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			setup, err := NewSetup(ctx, trace.Head, plain, zerolog.Nop())
+			setup, err := NewSetup(ctx, trace.Header, plain, zerolog.Nop())
 			if err != nil {
 				errs[i] = err
 				return
 			}
 			defer setup.Close()
-			condition.Begin(setup)
+			condition.Apply(setup)
 			report := NewReplay(trace.WithLoad(load), setup).Run(ctx)
 			if plain {
 				m.Plain = report
 			} else {
-				m.Ours = report
+				m.Default = report
 			}
 		}()
 	}
@@ -98,27 +99,27 @@
 	return m, nil
 }
 
-// PrintMeasurementsHead writes the head of a table in Markdown.
-func PrintMeasurementsHead(w io.Writer) {
-	fmt.Fprintln(w, "| trace | load | condition | attained | plain | goodput/s | plain | least customer | plain | endpoint-s an answer | plain | tokens an answer | plain | p99 of the small calls | plain | doubles |")
+// PrintMeasurementsHeader writes the header of a Markdown table of measurements.
+func PrintMeasurementsHeader(w io.Writer) {
+	fmt.Fprintln(w, "| trace | load | condition | attained | plain | goodput/s | plain | lowest customer attainment | plain | endpoint-seconds per answer | plain | tokens per answer | plain | p99 of call pipelines | plain | duplicate runs |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
 
-// Print writes a row of the table.
+// Print writes the measurement as a row of the table.
 func (m Measurement) Print(w io.Writer) {
 	fmt.Fprintf(w, "| %s | %g | %s | %.1f%% | %.1f%% | %.1f | %.1f | %.1f%% | %.1f%% | %.3f | %.3f | %.1f | %.1f | %s | %s | %d |\n",
 		m.Trace, m.Load, m.Condition,
-		100*m.Ours.Attainment, 100*m.Plain.Attainment,
-		m.Ours.Goodput, m.Plain.Goodput,
-		100*m.Ours.leastCustomer(), 100*m.Plain.leastCustomer(),
-		m.Ours.TotalBusyPerAnswer(), m.Plain.TotalBusyPerAnswer(),
-		m.Ours.TokensPerAnswer(), m.Plain.TokensPerAnswer(),
-		m.Ours.smallCalls(), m.Plain.smallCalls(),
-		max(0, m.Ours.MostRunsPerKey-1)+max(0, m.Plain.MostRunsPerKey-1))
+		100*m.Default.Attainment, 100*m.Plain.Attainment,
+		m.Default.Goodput, m.Plain.Goodput,
+		100*m.Default.minCustomerAttainment(), 100*m.Plain.minCustomerAttainment(),
+		m.Default.TotalBusyPerAnswer(), m.Plain.TotalBusyPerAnswer(),
+		m.Default.TokensPerAnswer(), m.Plain.TokensPerAnswer(),
+		m.Default.callPipelineP99(), m.Plain.callPipelineP99(),
+		max(0, m.Default.MostRunsPerKey-1)+max(0, m.Plain.MostRunsPerKey-1))
 }
 
-// leastCustomer returns the attainment of the customer that fared worst.
-func (r Report) leastCustomer() float64 {
+// minCustomerAttainment returns the lowest attainment of all customers.
+func (r Report) minCustomerAttainment() float64 {
 	least := 1.0
 	for _, g := range r.Customers {
 		least = min(least, g.Attainment())
@@ -126,8 +127,9 @@
 	return least
 }
 
-// smallCalls returns the 99th percentile of the pipelines that only call a plain service.
-func (r Report) smallCalls() time.Duration {
+// callPipelineP99 returns the 99th percentile of the latency of the sample's short pipeline that ends in a call of a
+// plain service, or 0 if the trace has none.
+func (r Report) callPipelineP99() time.Duration {
 	for _, name := range []string{"collection-ticket", "drop-confirmation"} {
 		if g := r.Pipelines[name]; g != nil {
 			return g.P99.Round(100 * time.Microsecond)
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	// graceAfterDeadline is how long the replay waits for an answer that is already late.
-	graceAfterDeadline = 3 * time.Second
-	idleConnections    = 512
+	// lateAnswerTimeout is how long after its deadline the replay still waits for an answer.
+	lateAnswerTimeout   = 3 * time.Second
+	maxIdleConnsPerHost = 512
 )
 
 type (
-	// sent is one request that was sent, and how it ended.
-	sent struct {
-		entry   Entry
-		result  caller.Result
-		err     error
+	// sentRequest is a request that was sent, and its result.
+	sentRequest struct {
+		entry  Entry
+		result caller.Result
+		err    error
+		// latency counts from the planned send time.
 		latency time.Duration
-		// whole is true if the answer is whole and its request's own.
-		whole bool
+		// correct is true if the answer is complete and belongs to the request.
+		correct bool
 	}
 
-	// Replay sends one trace to one set-up.
+	// Replay sends a trace to a set-up.
 	Replay struct {
-		// Durable sends keys of a form that the table arbitrates instead of UUIDv7.
+		// Durable sends durable keys (UUIDv4), for which the table arbitrates duplicates, instead of UUIDv7.
 		Durable bool
 
 		trace  Trace
 		setup  *Setup
 		client *http.Client
 		keysMu sync.Mutex
-		// keys has the key that each name in the trace stands for.
+		// keys maps the key names of the trace to the idempotency keys that are sent.
 		keys map[string]string
 	}
 )
 
 // NewReplay returns a replay of a trace on a set-up.
 func NewReplay(trace Trace, setup *Setup) *Replay {
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}
 	return &Replay{
 		trace:  trace,
 		setup:  setup,
@@ -55,11 +56,11 @@
 	}
 }
 
-// Run sends the trace and returns the report.
+// Run sends the trace, waits for all results and returns the report.
 func (r *Replay) Run(ctx context.Context) Report {
 	defer r.client.CloseIdleConnections()
 	before := r.setup.Standin.Usage()
-	all := make([]sent, len(r.trace.Entries))
+	requests := make([]sentRequest, len(r.trace.Entries))
 	var wg sync.WaitGroup
 	start := time.Now()
 	for i, entry := range r.trace.Entries {
@@ -68,36 +69,36 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			all[i] = r.send(ctx, i, entry, planned)
+			requests[i] = r.send(ctx, i, entry, planned)
 		}()
 	}
 	wg.Wait()
-	report := newReport(all, r.trace.Length())
-	report.check(all, r.setup.Standin.Journal.Summary())
-	report.charge(before, r.setup.Standin.Usage())
+	report := newReport(requests, r.trace.Length())
+	report.checkJournal(requests, r.setup.Standin.Journal.Summary())
+	report.recordUsage(before, r.setup.Standin.Usage())
 	return report
 }
 
-func (r *Replay) send(ctx context.Context, i int, entry Entry, planned time.Time) sent {
-	s := sent{entry: entry}
+func (r *Replay) send(ctx context.Context, i int, entry Entry, planned time.Time) sentRequest {
+	s := sentRequest{entry: entry}
 	deadline := planned.Add(time.Duration(entry.Deadline))
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(graceAfterDeadline))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateAnswerTimeout))
 	defer cancel()
 	call := caller.Call{Pipeline: entry.Pipeline, Key: r.key(entry.Key)}
 	call.Body = caller.RequestBody{
 		Input:    model.Input{Text: entry.text(i), Prefix: entry.Prefix, MaxTokens: entry.Tokens},
 		Deadline: deadline.Format(time.RFC3339Nano),
 	}
-	client := &caller.Client{BaseURL: "http://" + r.setup.address(), Token: r.setup.tokens[entry.Customer], HTTP: r.client}
+	client := &caller.Client{BaseURL: "http://" + r.setup.nextAddress(), Token: r.setup.tokens[entry.Customer], HTTP: r.client}
 	s.result, s.err = client.Send(ctx, call)
 	s.latency = time.Since(planned)
 	if s.result.Answer != nil {
-		s.whole = r.isWhole(call, s.result.Answer)
+		s.correct = r.isCorrect(call, s.result.Answer)
 	}
 	return s
 }
 
-// key returns the key that a name stands for, made when the name is first sent.
+// key returns the idempotency key for a key name of the trace, and generates it on first use.
 func (r *Replay) key(name string) string {
 	if name == "" {
 		return ""
@@ -117,17 +118,17 @@
 	return uuid.Must(uuid.NewV7()).String()
 }
 
-func (r *Replay) isWhole(call caller.Call, answer *caller.AnswerBody) bool {
+func (r *Replay) isCorrect(call caller.Call, answer *caller.AnswerBody) bool {
 	pipeline, ok := r.setup.Pipeline(call.Pipeline)
 	return ok && answer.Output == standin.ExpectedOutput(pipeline, call.Body.Input, call.Body.MaxTokens)
 }
 
-func (s sent) attained() bool {
-	return s.result.Answer != nil && s.whole && s.latency <= time.Duration(s.entry.Deadline)
+func (s sentRequest) attained() bool {
+	return s.result.Answer != nil && s.correct && s.latency <= time.Duration(s.entry.Deadline)
 }
 
-// charge takes the endpoints' work during the replay from the stand-in's counts.
-func (r *Report) charge(before, after standin.Usage) {
+// recordUsage sets the report's usage to the difference of the stand-in's totals before and after the replay.
+func (r *Report) recordUsage(before, after standin.Usage) {
 	r.TableReads = after.TableReads - before.TableReads
 	r.TableWrites = after.TableWrites - before.TableWrites
 	r.Pools = map[string]standin.PoolUsage{}
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -19,33 +19,37 @@
 )
 
 const (
-	setupWait    = 20 * time.Second
-	setupPoll    = 20 * time.Millisecond
-	balanceEvery = 100 * time.Millisecond
+	setupTimeout      = 20 * time.Second
+	setupPollInterval = 20 * time.Millisecond
+	readinessInterval = 100 * time.Millisecond
 )
 
-// Setup is a sample's stand-in with nodes in this process, and the balancer's view of them.
+// Setup runs a sample's stand-in and nodes in this process, and simulates the platform's load balancer in front of the
+// nodes.
 type Setup struct {
 	Standin  *standin.Standin
 	Settings kernel.Settings
 	Team     string
 
-	// domain is the first failure domain.
-	domain string
-	nodes  []*node.Node
+	// firstDomain is the sample's first failure domain.
+	firstDomain string
+	nodes       []*node.Node
+	// tokens maps the customers' names to their tokens.
 	tokens map[string]string
 	cancel context.CancelFunc
-	mu     sync.Mutex
-	ready  []string
-	turn   int
+	// mu guards readyAddresses and requestCount.
+	mu             sync.Mutex
+	readyAddresses []string
+	requestCount   int
 }
 
-// NewSetup starts a sample with nodes and waits until they own keys together.
-func NewSetup(ctx context.Context, head Head, plain bool, log zerolog.Logger) (*Setup, error) {
+// NewSetup starts a sample with nodes and waits until all are ready and members of an era in force. plain selects the
+// baseline policies.
+func NewSetup(ctx context.Context, header Header, plain bool, log zerolog.Logger) (*Setup, error) {
 	s := &Setup{tokens: map[string]string{}}
 	var c standin.Config
 	var domains []string
-	switch head.Sample {
+	switch header.Sample {
 	case "Bilbao":
 		c, domains, s.Team = sample.Bilbao(), sample.BilbaoDomains, "bilbao"
 		s.Settings, _ = kernel.NewSettings().WithSnapshot(sample.BilbaoSnapshot())
@@ -53,9 +57,9 @@
 		c, domains, s.Team = sample.Moravia(), sample.MoraviaDomains, "moravia"
 		s.Settings, _ = kernel.NewSettings().WithSnapshot(sample.MoraviaSnapshot())
 	default:
-		return nil, errors.Errorf("replay: unknown sample %q", head.Sample)
+		return nil, errors.Errorf("replay: unknown sample %q", header.Sample)
 	}
-	s.domain = domains[0]
+	s.firstDomain = domains[0]
 	for _, team := range s.Settings.Teams() {
 		for _, customer := range team.Customers {
 			s.tokens[customer.Name] = customer.Token
@@ -65,7 +69,7 @@
 	if s.Standin, err = standin.NewStandin(c); err != nil {
 		return nil, err
 	}
-	for i := range max(1, head.Nodes) {
+	for i := range max(1, header.Nodes) {
 		options := config.NewOptions()
 		options.Name = fmt.Sprintf("entry-%d", i+1)
 		options.FailureDomain = domains[i%len(domains)]
@@ -80,10 +84,10 @@
 		}
 		s.nodes = append(s.nodes, n)
 	}
-	balance, cancel := context.WithCancel(ctx)
+	balancerCtx, cancel := context.WithCancel(ctx)
 	s.cancel = cancel
-	go s.balance(balance)
-	return s, s.await(ctx)
+	go s.trackReadiness(balancerCtx)
+	return s, s.awaitReady(ctx)
 }
 
 // Pipeline returns a pipeline of the sample.
@@ -91,22 +95,22 @@
 	return s.Settings.Pipeline(s.Team, name)
 }
 
-// KillNode ends a node at once, in the order of their start.
+// KillNode closes the node with index i, in the order of their start, without draining it.
 func (s *Setup) KillNode(i int) {
 	s.nodes[i].Close()
 }
 
-// LoseDomain ends what stands in the first failure domain: its endpoints and its node.
-func (s *Setup) LoseDomain() {
+// FailFirstDomain fails all endpoints of the first failure domain and kills the first node, which belongs to it.
+func (s *Setup) FailFirstDomain() {
 	for _, e := range s.Standin.Endpoints() {
-		if e.FailureDomain == s.domain {
-			s.Standin.Fault(standin.Fault{Target: e.Pool + "/" + e.Name, Kind: standin.FaultDown})
+		if e.FailureDomain == s.firstDomain {
+			s.Standin.InjectFault(standin.Fault{Target: e.Pool + "/" + e.Name, Kind: standin.FaultDown})
 		}
 	}
 	s.KillNode(0)
 }
 
-// Close ends nodes and stand-in.
+// Close stops the nodes and the stand-in.
 func (s *Setup) Close() {
 	if s.cancel != nil {
 		s.cancel()
@@ -117,19 +121,20 @@
 	s.Standin.Close()
 }
 
-// address returns a node for the next request, as the balancer picks it.
-func (s *Setup) address() string {
+// nextAddress returns the callers' address of the node for the next request: round robin over the ready nodes, or the
+// first node if none is ready.
+func (s *Setup) nextAddress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.ready) == 0 {
+	if len(s.readyAddresses) == 0 {
 		return s.nodes[0].CallersAddress()
 	}
-	s.turn++
-	return s.ready[s.turn%len(s.ready)]
+	s.requestCount++
+	return s.readyAddresses[s.requestCount%len(s.readyAddresses)]
 }
 
-// balance follows the nodes' readiness as the platform's balancer does.
-func (s *Setup) balance(ctx context.Context) {
+// trackReadiness polls the nodes' readiness until ctx ends, as the platform's load balancer does.
+func (s *Setup) trackReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
 		var ready []string
@@ -144,27 +149,28 @@
 			}
 		}
 		s.mu.Lock()
-		s.ready = ready
+		s.readyAddresses = ready
 		s.mu.Unlock()
-		time.Sleep(balanceEvery)
+		time.Sleep(readinessInterval)
 	}
 }
 
-func (s *Setup) await(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, setupWait)
+// awaitReady waits until all nodes are ready and members of the same era, and that era has begun.
+func (s *Setup) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		settled := 0
+		readyCount := 0
 		for _, n := range s.nodes {
 			status := n.Status()
 			if status.Ready && len(status.EraMembers) == len(s.nodes) && status.EraFrom.Before(time.Now()) {
-				settled++
+				readyCount++
 			}
 		}
-		if settled == len(s.nodes) {
+		if readyCount == len(s.nodes) {
 			return nil
 		}
-		time.Sleep(setupPoll)
+		time.Sleep(setupPollInterval)
 	}
-	return errors.New("replay: the nodes did not settle")
+	return errors.New("replay: not all nodes became ready and joined the era in time")
 }
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -16,41 +16,41 @@
 	"basilstall.example/basilstall/table"
 )
 
-// Standin is a running stand-in.
+// Standin simulates a platform and its endpoints in this process.
 type Standin struct {
-	// Journal tells what ran.
+	// Journal records the runs and orders of all endpoints.
 	Journal *Journal
 
-	faults    *faults
+	faults    *faultSet
 	table     *tableService
 	endpoints []*endpoint
-	listener  *silencer
+	listener  *faultListener
 	server    *http.Server
 }
 
 type (
-	// Usage is how much was used.
+	// Usage holds totals since the start.
 	Usage struct {
 		TableReads  uint64
 		TableWrites uint64
-		// Pools has the work of each pool.
+		// Pools maps a pool's name to its usage.
 		Pools map[string]PoolUsage
 	}
 
-	// PoolUsage is the work of one pool.
+	// PoolUsage sums the work of a pool's endpoints.
 	PoolUsage struct {
 		Calls int
-		// Crashes counts the ends of endpoints' processes.
+		// Crashes counts simulated crashes of endpoints' processes.
 		Crashes int
-		// BusySeconds sums the time in which calls held a slot.
+		// BusySeconds is the time for which calls held a slot, summed over calls.
 		BusySeconds float64
 		Tokens      int
 	}
 )
 
-// NewStandin starts a stand-in; Close ends it.
+// NewStandin starts a stand-in. The caller must close it with Close.
 func NewStandin(c Config) (*Standin, error) {
-	s := &Standin{Journal: newJournal(), faults: &faults{}}
+	s := &Standin{Journal: newJournal(), faults: &faultSet{}}
 	s.table = newTableService(s.faults, c.TableDelay)
 	if err := s.seed(c.Settings); err != nil {
 		return nil, err
@@ -77,29 +77,30 @@
 	return s.listener.Addr().String()
 }
 
-// Endpoints returns all endpoints.
+// Endpoints returns all endpoints, as live, regardless of faults.
 func (s *Standin) Endpoints() []model.Endpoint {
 	out := make([]model.Endpoint, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
-		out = append(out, e.model())
+		out = append(out, e.toModel())
 	}
 	return out
 }
 
-// Fault switches a fault on.
-func (s *Standin) Fault(f Fault) {
+// InjectFault activates a fault. FaultSilent and FaultCut act once, on the connections that are open; the others last
+// until they are cleared or have been triggered Times times.
+func (s *Standin) InjectFault(f Fault) {
 	switch f.Kind {
 	case FaultSilent:
-		for _, l := range s.listeners(f.Target) {
-			l.silence()
+		for _, l := range s.listenersOf(f.Target) {
+			l.silenceConns()
 		}
 	case FaultCut:
-		for _, l := range s.listeners(f.Target) {
-			l.cut()
+		for _, l := range s.listenersOf(f.Target) {
+			l.closeConns()
 		}
 	case FaultLeave:
 		for _, e := range s.endpoints {
-			if covers(f.Target, e.target()) {
+			if matchesTarget(f.Target, e.target()) {
 				e.leaving.Store(true)
 			}
 		}
@@ -109,24 +110,24 @@
 	}
 }
 
-// ClearFaults switches the faults of a target off; all faults for an empty target.
+// ClearFaults removes the faults of a target, or all faults if target is empty.
 func (s *Standin) ClearFaults(target string) {
 	s.faults.clear(target)
 	for _, e := range s.endpoints {
-		if target == "" || covers(target, e.target()) {
+		if target == "" || matchesTarget(target, e.target()) {
 			e.leaving.Store(false)
 		}
 	}
 }
 
-// Usage returns how much was used.
+// Usage returns the totals since the start.
 func (s *Standin) Usage() Usage {
 	reads, writes := s.table.usage()
 	u := Usage{TableReads: reads, TableWrites: writes, Pools: map[string]PoolUsage{}}
 	for _, e := range s.endpoints {
 		pool := u.Pools[e.pool.Name]
 		pool.Calls += int(e.calls.Load())
-		pool.BusySeconds += time.Duration(e.busy.Load()).Seconds()
+		pool.BusySeconds += time.Duration(e.busyNanos.Load()).Seconds()
 		pool.Crashes += int(e.crashes.Load())
 		pool.Tokens += int(e.tokens.Load())
 		u.Pools[e.pool.Name] = pool
@@ -134,7 +135,7 @@
 	return u
 }
 
-// Close ends the stand-in.
+// Close stops all servers of the stand-in.
 func (s *Standin) Close() {
 	for _, e := range s.endpoints {
 		_ = e.server.Close()
@@ -144,13 +145,13 @@
 	}
 }
 
-func (s *Standin) listeners(target string) []*silencer {
+func (s *Standin) listenersOf(target string) []*faultListener {
 	if target == "table" || target == "list" || target == "platform" {
-		return []*silencer{s.listener}
+		return []*faultListener{s.listener}
 	}
-	var out []*silencer
+	var out []*faultListener
 	for _, e := range s.endpoints {
-		if covers(target, e.target()) {
+		if matchesTarget(target, e.target()) {
 			out = append(out, e.listener)
 		}
 	}
@@ -161,7 +162,7 @@
 	for i := range pool.Endpoints {
 		host := pool.Host
 		if host == "" {
-			host = NewHost()
+			host = NewLoopbackHost()
 		}
 		port := 0
 		if pool.FirstPort > 0 {
@@ -178,21 +179,21 @@
 	return nil
 }
 
-// listed returns the endpoints as the list shows them before its lag.
-func (s *Standin) listed() []model.Endpoint {
+// listedEndpoints returns the current endpoints for the list, with FaultLeave, FaultLeaveList and FaultCold applied.
+func (s *Standin) listedEndpoints() []model.Endpoint {
 	out := s.Endpoints()
 	for i, e := range s.endpoints {
-		if _, hit := s.faults.strike(e.target(), FaultLeave, FaultLeaveList); hit {
+		if _, triggered := s.faults.trigger(e.target(), FaultLeave, FaultLeaveList); triggered {
 			out[i].State = model.Leaving
 		}
-		if fault, hit := s.faults.strike(e.target(), FaultCold); hit {
+		if fault, triggered := s.faults.trigger(e.target(), FaultCold); triggered {
 			out[i].ColdFor = fault.Delay
 		}
 	}
 	return out
 }
 
-// seed writes the documents that are in the table from the start.
+// seed writes the configured settings documents to the table.
 func (s *Standin) seed(files []SettingsFile) error {
 	for i, file := range files {
 		text := file.YAML
@@ -215,7 +216,7 @@
 func (s *Standin) routes(c Config) http.Handler {
 	mux := http.NewServeMux()
 	s.table.register(mux)
-	newListService(s.faults, c.ListLag, s.listed).register(mux)
+	newListService(s.faults, c.ListLag, s.listedEndpoints).register(mux)
 	newObjectService(s.faults).register(mux)
 	mux.HandleFunc("POST /faults", s.postFault)
 	mux.HandleFunc("DELETE /faults", s.deleteFaults)
@@ -232,7 +233,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Fault(f)
+	s.InjectFault(f)
 }
 
 func (s *Standin) deleteFaults(_ http.ResponseWriter, r *http.Request) {
