--- a/cli/check.go
+++ b/cli/check.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return exitWith(ExitUsage, inFile(name, err))
 	}
-	fmt.Fprintf(sh.stdout, "%s: node %s in %s, store at %s, keys trusted for %s\n", name, s.Name, s.FailureDomain, s.Store, s.KeyTrust)
+	fmt.Fprintf(sh.stdout, "%s: node %s in %s, store at %s, keys trusted for %s\n", name, s.Name, s.FailureDomain, s.StoreAddress, s.MaxRoutingAge)
 	return nil
 }
 
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -23,7 +23,7 @@
 	cs.mu.Unlock()
 	runs := map[string][]ranAt{}
 	for _, s := range c.endpoints {
-		for _, id := range s.Mixed() {
+		for _, id := range s.RequestsWithForeignInputs() {
 			c.breach("%s was given results of another request at %s", id, s.Name)
 		}
 		for _, run := range s.Runs() {
@@ -57,7 +57,7 @@
 
 // checkAnswer checks what a caller was given.
 func (c *cluster) checkAnswer(s *sent, ran []ranAt) {
-	if s.Status == http.StatusOK && s.Whole {
+	if s.Status == http.StatusOK && s.Complete {
 		signed := false
 		for _, r := range ran {
 			signed = signed || s.Signature == r.run.Signature()
@@ -69,13 +69,13 @@
 			c.breach("%s got a success with another body: %q", s.ID, s.Answer.Body)
 		}
 	}
-	if s.Status == http.StatusOK && !s.Whole && !strings.HasPrefix(expected(s), s.Answer.Body) {
+	if s.Status == http.StatusOK && !s.Complete && !strings.HasPrefix(expected(s), s.Answer.Body) {
 		c.breach("%s got a broken answer that isn't the beginning of its own: %q", s.ID, s.Answer.Body)
 	}
 	if s.Status == http.StatusServiceUnavailable && s.Route != "get" && s.Route != "res" && len(ran) > 0 {
 		c.breach("%s was told that it did not run, and ran", s.ID)
 	}
-	if s.Key == goodKey && !addedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
+	if s.APIKey == goodKey && !addedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
 		c.breach("%s got %d although its key and route always stood", s.ID, s.Status)
 	}
 }
@@ -111,7 +111,7 @@
 	if r.run.Customer() != standin.Customer || r.run.Credentials() != "" {
 		c.breach("%s reached an endpoint with customer %q", s.ID, r.run.Customer())
 	}
-	if s.Key == badKey {
+	if s.APIKey == badKey {
 		c.breach("%s ran with a key that nobody ever held", s.ID)
 	}
 	if s.Route == "gen" && len(r.run.Inputs()) != 3 {
@@ -121,8 +121,8 @@
 	if !unlisted.IsZero() && s.at.After(unlisted.Add(drain+slack)) {
 		c.breach("%s was sent to %s, which had left %v before", s.ID, r.server.Name, s.at.Sub(unlisted))
 	}
-	c.checkEvacuated(s.ID, r.run.At, r.server)
-	if at, gone := c.revokedAt(s.Key); gone && s.at.After(at.Add(revoke)) {
+	c.checkEvacuated(s.ID, r.run.StartedAt, r.server)
+	if at, gone := c.revokedAt(s.APIKey); gone && s.at.After(at.Add(revoke)) {
 		c.breach("%s ran although its key was taken away %v before it was sent", s.ID, s.at.Sub(at))
 	}
 }
@@ -148,7 +148,7 @@
 				break
 			}
 			s := cs.send(n, fmt.Sprintf("%s-%s-%d", phase, n.name, i), routes[i%len(routes)], goodKey)
-			if s.Status == http.StatusOK && s.Whole {
+			if s.Status == http.StatusOK && s.Complete {
 				served++
 				continue
 			}
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -151,12 +151,12 @@
 			c.breach("an endpoint can't be started: %v", err)
 		}
 		time.Sleep(lapsesAfter - replacedAfter)
-		c.store.Unlist(s.Name)
+		c.store.RemoveEndpoint(s.Name)
 	})
 }
 
 func (c *cluster) list(s *server, draining bool) {
-	c.store.List(standin.Entry{Name: s.Name, Pool: s.pool, Address: s.proxy.address(), Domain: s.domain, Draining: draining, Cold: time.Until(s.cold.to), Started: s.Started()})
+	c.store.PutEndpoint(standin.Entry{Name: s.Name, Pool: s.pool, Address: s.proxy.address(), Domain: s.domain, Draining: draining, Cold: time.Until(s.cold.to), Started: s.Started()})
 }
 
 // configure writes the next version of the routing. Versions are written in their order, as the platform has it: else
@@ -166,18 +166,18 @@
 	defer c.writing.Unlock()
 	c.mu.Lock()
 	c.version += 2
-	routing := standin.Routing{Version: c.version, Keys: slices.Clone(c.keys), Routes: []standin.Route{
-		{Name: "post", Kind: "unsafe", Pool: "plain", Attempts: 2},
-		{Name: "get", Kind: "safe", Pool: "plain", Attempts: 2},
-		{Name: "gen", Kind: "stream", Pool: "engines", Attempts: 2, Stages: 2},
-		{Name: "res", Kind: "stream", Pool: "engines", Attempts: 2, Resumable: true},
+	routing := standin.Routing{Version: c.version, APIKeys: slices.Clone(c.keys), Routes: []standin.Route{
+		{Name: "post", Kind: "unsafe", Pool: "plain", MaxAttempts: 2},
+		{Name: "get", Kind: "safe", Pool: "plain", MaxAttempts: 2},
+		{Name: "gen", Kind: "stream", Pool: "engines", MaxAttempts: 2, Stages: 2},
+		{Name: "res", Kind: "stream", Pool: "engines", MaxAttempts: 2, Resumable: true},
 	}}
 	c.added = c.extra
 	for i := range c.added {
-		routing.Routes = append(routing.Routes, standin.Route{Name: fmt.Sprint(addedPrefix, i), Kind: "safe", Pool: "plain", Attempts: 2})
+		routing.Routes = append(routing.Routes, standin.Route{Name: fmt.Sprint(addedPrefix, i), Kind: "safe", Pool: "plain", MaxAttempts: 2})
 	}
 	c.mu.Unlock()
-	c.store.Configure(routing)
+	c.store.PutRouting(routing)
 }
 
 // newNode prepares a host and starts its process.
@@ -193,8 +193,8 @@
 	if n.log, err = os.Create(filepath.Join(c.dir, n.name+".log")); err != nil {
 		return err
 	}
-	settings := standin.Node{Name: n.name, Domain: n.domain, Store: n.link.address(), Drain: drain, Grace: grace, Revoke: revoke}
-	if err := os.WriteFile(n.settingsPath(), []byte(settings.Settings()), 0o600); err != nil {
+	settings := standin.NodeSettings{Name: n.name, Domain: n.domain, StoreAddress: n.link.address(), MaxDrainDelay: drain, GracePeriod: grace, RevocationTime: revoke}
+	if err := os.WriteFile(n.settingsPath(), []byte(settings.TOML()), 0o600); err != nil {
 		return err
 	}
 	c.mu.Lock()
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -41,7 +41,7 @@
 	if random.IntN(2) == 0 {
 		c.store.Evacuate(emptied)
 		time.Sleep(last / 4)
-		c.store.TakeBack(emptied)
+		c.store.Restore(emptied)
 	}
 	c.store.Evacuate(emptied)
 	from := time.Now()
@@ -49,7 +49,7 @@
 	c.mu.Lock()
 	c.evacuated[emptied] = append(c.evacuated[emptied], period{from: from, to: time.Now()})
 	c.mu.Unlock()
-	c.store.TakeBack(emptied)
+	c.store.Restore(emptied)
 	time.Sleep(last / 2)
 }
 
@@ -67,7 +67,7 @@
 	for _, e := range c.endpoints {
 		for _, batch := range e.Batches() {
 			for _, item := range batch {
-				c.checkEvacuated(item.ID, item.At, e)
+				c.checkEvacuated(item.ID, item.ReceivedAt, e)
 			}
 		}
 	}
@@ -98,8 +98,8 @@
 		}
 		var at []time.Time
 		for _, run := range e.Runs() {
-			if run.At.After(e.cold.from.Add(slack)) && run.At.Before(e.cold.to) {
-				at = append(at, run.At)
+			if run.StartedAt.After(e.cold.from.Add(slack)) && run.StartedAt.Before(e.cold.to) {
+				at = append(at, run.StartedAt)
 			}
 		}
 		slices.SortFunc(at, time.Time.Compare)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -110,9 +110,9 @@
 }
 
 func storeFails(c *cluster, random *rand.Rand, last time.Duration) {
-	c.store.SetFault([]standin.StoreFault{standin.StoreBusy, standin.StoreSilent, standin.StoreLost}[random.IntN(3)])
+	c.store.SetFault([]standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent, standin.StoreReplyLost}[random.IntN(3)])
 	time.Sleep(last)
-	c.store.SetFault(standin.StoreFine)
+	c.store.SetFault(standin.StoreHealthy)
 }
 
 // storeAway takes the store away for longer than nodes trust what they know, and counts the calls that it gets
@@ -122,8 +122,8 @@
 		return
 	}
 	defer c.away.Unlock()
-	c.store.SetFault([]standin.StoreFault{standin.StoreBusy, standin.StoreSilent}[random.IntN(2)])
-	defer c.store.SetFault(standin.StoreFine)
+	c.store.SetFault([]standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent}[random.IntN(2)])
+	defer c.store.SetFault(standin.StoreHealthy)
 	time.Sleep(noticedAfter)
 	before, began := c.store.Calls(), time.Now()
 	time.Sleep(countedFor)
@@ -197,9 +197,9 @@
 
 func endpointFails(c *cluster, random *rand.Rand, last time.Duration) {
 	s := c.anyServer(random)
-	s.SetFault(standin.EndpointFine + 1 + standin.EndpointFault(random.IntN(int(standin.EndpointUnsigned))))
+	s.SetFault(standin.EndpointHealthy + 1 + standin.EndpointFault(random.IntN(int(standin.EndpointUnsigned))))
 	time.Sleep(last)
-	s.SetFault(standin.EndpointFine)
+	s.SetFault(standin.EndpointHealthy)
 }
 
 // endpointLeaves replaces an endpoint: the new one is listed first, the old one drains.
@@ -224,7 +224,7 @@
 	c.mu.Lock()
 	old.unlistedAt = time.Now()
 	c.mu.Unlock()
-	c.store.Unlist(old.Name)
+	c.store.RemoveEndpoint(old.Name)
 }
 
 // endpointStartsAgain restarts an endpoint under its name, at times behind a cut.
--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -54,7 +54,7 @@
 	cs.mu.Lock()
 	id := fmt.Sprint(subject, mark, len(cs.all))
 	cs.mu.Unlock()
-	cs.sendCall(n, standin.Call{ID: id, Route: route, Subject: subject, Key: goodKey})
+	cs.sendCall(n, standin.Call{ID: id, Route: route, Content: subject, APIKey: goodKey})
 }
 
 // reached counts the repeats of a subject that have ended an endpoint.
@@ -63,7 +63,7 @@
 	defer c.mu.Unlock()
 	ids := map[string]bool{}
 	for _, s := range c.endpoints {
-		if by := s.EndedBy(); strings.HasPrefix(by, subject+mark) {
+		if by := s.CrashedBy(); strings.HasPrefix(by, subject+mark) {
 			ids[by] = true
 		}
 	}
--- a/soak/ratecap_test.go
+++ b/soak/ratecap_test.go
@@ -87,16 +87,16 @@
 	knownAt := map[string]time.Time{}
 	for _, run := range runs {
 		s := known[run.ID]
-		if s == nil || run.At.Before(p.from) || run.At.After(p.to) {
+		if s == nil || run.StartedAt.Before(p.from) || run.StartedAt.After(p.to) {
 			continue
 		}
 		since, asked := knownAt[s.node]
-		if !asked || c.troubledSince(s.node, since.Add(-capKnown), run.At) {
-			knownAt[s.node] = run.At.Add(capKnown)
+		if !asked || c.troubledSince(s.node, since.Add(-capKnown), run.StartedAt) {
+			knownAt[s.node] = run.StartedAt.Add(capKnown)
 			continue
 		}
-		if run.At.After(since) {
-			out = append(out, run.At)
+		if run.StartedAt.After(since) {
+			out = append(out, run.StartedAt)
 		}
 	}
 	slices.SortFunc(out, time.Time.Compare)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -89,7 +89,7 @@
 		endpoints: map[string]*server{}, keys: []string{goodKey}, revoked: map[string]time.Time{}, evacuated: map[string][]period{},
 	}
 	defer c.close()
-	c.store.Rewrite(c.announced)
+	c.store.SetRewrite(c.announced)
 	for pool, count := range map[string]int{"plain": 3, "engines": 3, "workers": 2} {
 		for i := range count {
 			must.NoError(t, c.newServer(fmt.Sprintf("%s-%d", pool, i), pool))
