--- a/follow/follower.go
+++ b/follow/follower.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// idlePause is how often a node that need not read the store looks whether it must.
-	idlePause = 250 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a question without an answer; each is twice
+	// roleCheckInterval is how often a node that need not read the store looks whether it must.
+	roleCheckInterval = 250 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the pause after a question without an answer; each is twice
 	// the one before, and shorter or longer by up to retryJitter of it. Few nodes ask a store that is away, so
 	// they may ask often, and all others learn of its return from them.
-	retryFirst  = 150 * time.Millisecond
-	retryMost   = 300 * time.Millisecond
-	retryJitter = 0.25
-	// retryAlone is the greatest such pause of a node that does not know any other yet: after a common start
+	minRetryPause = 150 * time.Millisecond
+	maxRetryPause = 300 * time.Millisecond
+	retryJitter   = 0.25
+	// maxInitialRetryPause is the greatest such pause of a node that does not know any other yet: after a common start
 	// without the store, all nodes are such.
-	retryAlone = 1200 * time.Millisecond
+	maxInitialRetryPause = 1200 * time.Millisecond
 )
 
 var (
@@ -47,8 +47,8 @@
 		// Name is the node's.
 		Name   string
 		Domain string
-		// MostAge is how old another node's proof may be before the store is asked as well.
-		MostAge time.Duration
+		// MaxAge is how old another node's proof may be before the store is asked as well.
+		MaxAge time.Duration
 	}
 
 	// Follower follows tables.
@@ -58,27 +58,27 @@
 		relay   *relay.Relay
 		log     zerolog.Logger
 		metrics *metric.Set
-		tables  []*followed
+		tables  []*followedTable
 		packer  *packer
 		// reads is true while this node reads the store.
-		reads atomic.Bool
+		readsStore atomic.Bool
 		// deciding guards reading.
-		deciding sync.Mutex
-		reading  *kernel.SourceSelector
+		selectorMu sync.Mutex
+		selector   *kernel.SourceSelector
 		// settled decides once, as soon as all tables are known, whether this node goes on to read.
-		settled sync.Once
+		decideOnce sync.Once
 		// decided is true from then on: undated tables are read by those that go on to read only.
 		decided atomic.Bool
 		// news tells of each answer about the tables.
-		news *news
+		updates *broadcaster
 		// callTimeout is how long another node's answer is waited for. It belongs to the goroutine that asks them.
 		callTimeout time.Duration
-		// givenUpAt is when an answer that was given up was last logged, on the clock of Now in nanoseconds.
-		givenUpAt atomic.Int64
+		// failureLoggedAt is when an answer that was given up was last logged, on the clock of Now in nanoseconds.
+		failureLoggedAt atomic.Int64
 	}
 
 	// followed is a table with what is known of it.
-	followed struct {
+	followedTable struct {
 		Table
 		mu      sync.Mutex
 		replica *kernel.Replica
@@ -89,29 +89,29 @@
 
 // NewFollower follows tables until ctx ends.
 func NewFollower(ctx context.Context, options Options, store Store, r *relay.Relay, tables []Table, metrics *metric.Set, log zerolog.Logger) *Follower {
-	f := &Follower{options: options, store: store, relay: r, log: log, metrics: metrics, packer: newPacker(), news: newNews(), callTimeout: options.MostAge}
-	f.reading = kernel.NewSourceSelector(options.Name, options.Domain, options.MostAge)
-	f.reads.Store(true)
+	f := &Follower{options: options, store: store, relay: r, log: log, metrics: metrics, packer: newPacker(), updates: newBroadcaster(), callTimeout: options.MaxAge}
+	f.selector = kernel.NewSourceSelector(options.Name, options.Domain, options.MaxAge)
+	f.readsStore.Store(true)
 	for _, t := range tables {
-		f.tables = append(f.tables, &followed{Table: t, replica: kernel.NewReplica()})
+		f.tables = append(f.tables, &followedTable{Table: t, replica: kernel.NewReplica()})
 	}
 	for _, t := range f.tables {
 		go func() {
-			f.read(ctx, t)
+			f.readLoop(ctx, t)
 		}()
 	}
 	go func() {
-		for pause := peerEvery; clock.Sleep(ctx, pause); {
-			pause = f.askPeer(ctx)
+		for pause := peerPollInterval; clock.Sleep(ctx, pause); {
+			pause = f.pollPeers(ctx)
 		}
 	}()
 	return f
 }
 
-// knowsAll tells whether all tables were read, but for undated ones.
-func (f *Follower) knowsAll() bool {
+// allTablesKnown tells whether all tables were read, but for undated ones.
+func (f *Follower) allTablesKnown() bool {
 	for _, t := range f.tables {
-		if t.Undated {
+		if t.IgnoreAge {
 			continue
 		}
 		t.mu.Lock()
@@ -124,12 +124,12 @@
 	return true
 }
 
-// provenAgo returns the greatest age of the proofs of all tables.
-func (f *Follower) provenAgo() time.Duration {
+// oldestAge returns the greatest age of the proofs of all tables.
+func (f *Follower) oldestAge() time.Duration {
 	now := clock.Now()
 	oldest := time.Duration(0)
 	for _, t := range f.tables {
-		if t.Undated {
+		if t.IgnoreAge {
 			continue
 		}
 		t.mu.Lock()
@@ -140,8 +140,8 @@
 }
 
 // lost tells whether this node reads the store and gets no answer.
-func (f *Follower) lost() bool {
-	if !f.reads.Load() {
+func (f *Follower) storeLost() bool {
+	if !f.readsStore.Load() {
 		return false
 	}
 	for _, t := range f.tables {
@@ -152,48 +152,48 @@
 	return false
 }
 
-func (f *Follower) forgetDown() {
+func (f *Follower) clearDown() {
 	for _, t := range f.tables {
 		t.down.Store(false)
 	}
 }
 
-func (f *Follower) setReads(reads bool, why string) {
+func (f *Follower) setReadsStore(reads bool, why string) {
 	if !reads {
 		// What the store did not answer then says nothing of the next time that it is asked.
-		f.forgetDown()
+		f.clearDown()
 	}
-	if f.reads.Swap(reads) != reads {
+	if f.readsStore.Swap(reads) != reads {
 		f.log.Info().Bool("Reads", reads).Str("Why", why).Msg("reading of the store changed")
 	}
 }
 
 // Reads tells whether this node reads the store itself.
-func (f *Follower) Reads() bool {
-	return f.reads.Load()
+func (f *Follower) ReadsStore() bool {
+	return f.readsStore.Load()
 }
 
-// knowsLittle tells whether the store does not answer this node and what it knows is too old for others.
-func (f *Follower) knowsLittle() bool {
-	return f.lost() && (!f.knowsAll() || f.provenAgo() > f.options.MostAge)
+// isStale tells whether the store does not answer this node and what it knows is too old for others.
+func (f *Follower) isStale() bool {
+	return f.storeLost() && (!f.allTablesKnown() || f.oldestAge() > f.options.MaxAge)
 }
 
 // Answer answers another node's question for what is known here. Where that is little, the answer waits for
 // news as long as the question allows.
-func (f *Follower) Answer(ctx context.Context, body []byte) (any, error) {
+func (f *Follower) HandleFeed(ctx context.Context, body []byte) (any, error) {
 	var question peer.Feed
 	if err := peer.DecodeBody(body, &question); err != nil {
 		return nil, err
 	}
-	if question.Node != "" && question.ProvenAgo > 0 && f.lost() && f.provenAgo() > question.ProvenAgo {
-		f.deciding.Lock()
-		f.reading.RecordFresherNode(clock.Now(), question.Node)
-		f.deciding.Unlock()
+	if question.Node != "" && question.ProvenAgo > 0 && f.storeLost() && f.oldestAge() > question.ProvenAgo {
+		f.selectorMu.Lock()
+		f.selector.RecordFresherNode(clock.Now(), question.Node)
+		f.selectorMu.Unlock()
 	}
-	if question.Hold > 0 && f.knowsLittle() {
-		f.news.Await(ctx, min(question.Hold, sourceHold), func() bool { return !f.knowsLittle() })
+	if question.Hold > 0 && f.isStale() {
+		f.updates.Await(ctx, min(question.Hold, sourceLongPoll), func() bool { return !f.isStale() })
 	}
-	reply := peer.FeedReply{Tables: map[string]kernel.Delta{}, Lost: f.lost()}
+	reply := peer.FeedReply{Tables: map[string]kernel.Delta{}, Lost: f.storeLost()}
 	now := clock.Now()
 	for _, t := range f.tables {
 		t.mu.Lock()
--- a/follow/log.go
+++ b/follow/log.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// largeAnswer is from how many bytes on an answer is logged: it fills a link of 10 Mbit/s for 50 ms.
-	largeAnswer = 64 << 10
-	// givenUpEvery is the least time between two lines on answers that were given up.
-	givenUpEvery = time.Second
+	// largeAnswerBytes is from how many bytes on an answer is logged: it fills a link of 10 Mbit/s for 50 ms.
+	largeAnswerBytes = 64 << 10
+	// failureLogInterval is the least time between two lines on answers that were given up.
+	failureLogInterval = time.Second
 
 	// fromStore and fromNode say in metrics whose answer it was.
 	fromStore = "store"
@@ -21,9 +21,9 @@
 )
 
 // taken is an answer that was taken in.
-type taken struct {
+type answerStats struct {
 	table   string
-	from    string
+	source  string
 	version uint64
 	// size is in bytes.
 	size int64
@@ -34,33 +34,33 @@
 	applied  time.Duration
 }
 
-// noteTaken counts an answer, and logs a large one: whose it was, and what its time went into.
-func (f *Follower) noteTaken(a taken) {
-	f.metrics.FeedTaken(kindOf(a.from), a.size, a.elapsed)
-	if a.size < largeAnswer {
+// recordAnswer counts an answer, and logs a large one: whose it was, and what its time went into.
+func (f *Follower) recordAnswer(a answerStats) {
+	f.metrics.ObserveFeed(sourceKind(a.source), a.size, a.elapsed)
+	if a.size < largeAnswerBytes {
 		return
 	}
-	f.log.Info().Str("Table", a.table).Str("From", a.from).Uint64("Version", a.version).Int64("Bytes", a.size).
+	f.log.Info().Str("Table", a.table).Str("From", a.source).Uint64("Version", a.version).Int64("Bytes", a.size).
 		Dur("Elapsed", a.elapsed).Dur("Transfer", a.transfer).Dur("Applied", a.applied).Msg("large answer taken")
 }
 
-// noteGivenUp counts what had come of an answer that was given up. At most one a second is logged: one that
+// recordFailure counts what had come of an answer that was given up. At most one a second is logged: one that
 // keeps on coming in vain tells how much of it came each time.
-func (f *Follower) noteGivenUp(from, table string, err error) {
-	received, transfer := receivedOf(err)
-	f.metrics.FeedGivenUp(kindOf(from), received)
+func (f *Follower) recordFailure(from, table string, err error) {
+	received, transfer := partialTransfer(err)
+	f.metrics.CountAbandonedFeed(sourceKind(from), received)
 	now := clock.Now().UnixNano()
-	last := f.givenUpAt.Load()
-	if received == 0 || now-last < int64(givenUpEvery) || !f.givenUpAt.CompareAndSwap(last, now) {
+	last := f.failureLoggedAt.Load()
+	if received == 0 || now-last < int64(failureLogInterval) || !f.failureLoggedAt.CompareAndSwap(last, now) {
 		return
 	}
 	f.log.Warn().Str("Table", table).Str("From", from).Int64("Received", received).Dur("Transfer", transfer).
 		Err(err).Msg("answer given up")
 }
 
-// receivedOf returns how many bytes of an answer had come, and in which time where it is known.
-func receivedOf(err error) (int64, time.Duration) {
-	var cut *CutError
+// partialTransfer returns how many bytes of an answer had come, and in which time where it is known.
+func partialTransfer(err error) (int64, time.Duration) {
+	var cut *TruncatedError
 	if errors.As(err, &cut) {
 		return cut.Received, cut.Transfer
 	}
@@ -71,7 +71,7 @@
 	return 0, 0
 }
 
-func kindOf(from string) string {
+func sourceKind(from string) string {
 	if from == fromStore {
 		return fromStore
 	}
--- a/follow/news.go
+++ b/follow/news.go
@@ -7,32 +7,32 @@
 )
 
 // news wakes those who wait for something new. It is safe for concurrent use.
-type news struct {
-	mu   sync.Mutex
-	told chan struct{}
+type broadcaster struct {
+	mu     sync.Mutex
+	signal chan struct{}
 }
 
-func newNews() *news {
-	return &news{told: make(chan struct{})}
+func newBroadcaster() *broadcaster {
+	return &broadcaster{signal: make(chan struct{})}
 }
 
 // Tell wakes all who wait.
-func (n *news) Tell() {
+func (n *broadcaster) Broadcast() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	close(n.told)
-	n.told = make(chan struct{})
+	close(n.signal)
+	n.signal = make(chan struct{})
 }
 
 // next is closed at the next news.
-func (n *news) next() <-chan struct{} {
+func (n *broadcaster) next() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told
+	return n.signal
 }
 
 // Await waits until something holds, looking at each news, for a time at most.
-func (n *news) Await(ctx context.Context, most time.Duration, holds func() bool) {
+func (n *broadcaster) Await(ctx context.Context, most time.Duration, holds func() bool) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	for {
--- a/follow/nodes.go
+++ b/follow/nodes.go
@@ -17,9 +17,9 @@
 const (
 	// NodesTable is the table in which each node has a row of its own.
 	NodesTable = "basilstall_nodes"
-	// NodesPause is the time between two questions for changes among the nodes: a node that
+	// NodesPollInterval is the time between two questions for changes among the nodes: a node that
 	// leaves or does not answer is found out by asking it.
-	NodesPause = 1500 * time.Millisecond
+	NodesPollInterval = 1500 * time.Millisecond
 )
 
 // Nodes keeps the nodes' own rows: it writes this node's and tells the relay of the others. A lost
@@ -33,30 +33,30 @@
 	log     zerolog.Logger
 	metrics *metric.Set
 	// others holds the nodes by the keys of their rows. It belongs to whoever applies news.
-	others map[string]relay.Node
+	rows map[string]relay.Node
 	// read is true once the table was read, if only to find that no node is in it. It belongs to the same.
-	read bool
+	tableRead bool
 }
 
 // NewNodes returns what keeps a node's own row.
 func NewNodes(own relay.Node, write func(context.Context, string, []byte) error, r *relay.Relay, metrics *metric.Set, log zerolog.Logger) *Nodes {
-	return &Nodes{Write: write, own: own, relay: r, log: log, metrics: metrics, others: map[string]relay.Node{}}
+	return &Nodes{Write: write, own: own, relay: r, log: log, metrics: metrics, rows: map[string]relay.Node{}}
 }
 
 // Table returns the nodes' table, to be followed.
 func (n *Nodes) Table() Table {
-	return Table{Name: NodesTable, Pause: NodesPause, Apply: n.apply}
+	return Table{Name: NodesTable, PollInterval: NodesPollInterval, Apply: n.apply}
 }
 
 func (n *Nodes) apply(_ time.Time, news []kernel.Row) {
-	if len(news) == 0 && n.read {
+	if len(news) == 0 && n.tableRead {
 		return
 	}
-	n.read = true
+	n.tableRead = true
 	var announced []string
 	for _, r := range news {
 		if r.Removed {
-			delete(n.others, r.Key)
+			delete(n.rows, r.Key)
 			continue
 		}
 		var node relay.Node
@@ -64,13 +64,13 @@
 			n.log.Error().Str("Node", r.Key).Err(err).Msg("entry of a node not understood")
 			continue
 		}
-		n.others[r.Key] = node
+		n.rows[r.Key] = node
 		if !node.Leaving {
 			announced = append(announced, node.Name)
 		}
 	}
-	nodes := make([]relay.Node, 0, len(n.others))
-	for _, node := range n.others {
+	nodes := make([]relay.Node, 0, len(n.rows))
+	for _, node := range n.rows {
 		nodes = append(nodes, node)
 	}
 	n.relay.SetNodes(nodes, announced)
@@ -78,26 +78,26 @@
 
 // Announce writes the node's own row at its start, and once more when it leaves.
 func (n *Nodes) Announce(ctx context.Context, leaving <-chan struct{}) {
-	n.writeUntilDone(ctx, n.own)
+	n.writeWithRetry(ctx, n.own)
 	select {
 	case <-leaving:
 		gone := n.own
 		gone.Leaving = true
-		n.writeUntilDone(ctx, gone)
+		n.writeWithRetry(ctx, gone)
 	case <-ctx.Done():
 	}
 }
 
-func (n *Nodes) writeUntilDone(ctx context.Context, node relay.Node) {
-	pause := retryFirst
+func (n *Nodes) writeWithRetry(ctx context.Context, node relay.Node) {
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		err := n.write(ctx, node)
 		if err == nil {
 			return
 		}
-		n.metrics.Event("AnnounceFailed")
+		n.metrics.CountEvent("AnnounceFailed")
 		clock.Sleep(ctx, jittered(pause))
-		pause = min(2*pause, retryAlone)
+		pause = min(2*pause, maxInitialRetryPause)
 	}
 }
 
--- a/follow/notices.go
+++ b/follow/notices.go
@@ -36,7 +36,7 @@
 
 // Table returns the table, to be followed.
 func (n *Notices) Table() Table {
-	return Table{Name: NoticesTable, Hold: noticesHold, Undated: true, Apply: n.apply}
+	return Table{Name: NoticesTable, Hold: noticesHold, IgnoreAge: true, Apply: n.apply}
 }
 
 func (n *Notices) apply(_ time.Time, news []kernel.Row) {
--- a/follow/pack.go
+++ b/follow/pack.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// packFrom is from how many bytes on a value is sent to other nodes compressed: it fills a link of
+	// minPackedBytes is from how many bytes on a value is sent to other nodes compressed: it fills a link of
 	// 10 Mbit/s for 7 ms. A routing of 5,000 routes shrinks to a tenth, and takes a reader some 10 ms, once.
-	packFrom = 8 << 10
-	// mostPacked bounds how many rows are remembered compressed, some 0.1 MB each: large ones are few.
-	mostPacked = 16
+	minPackedBytes = 8 << 10
+	// maxPackedRows bounds how many rows are remembered compressed, some 0.1 MB each: large ones are few.
+	maxPackedRows = 16
 )
 
 type (
@@ -20,10 +20,10 @@
 	packer struct {
 		mu sync.Mutex
 		// packed holds the newest version of each large row that was asked for.
-		packed map[rowName]packedValue
+		packed map[rowKey]packedValue
 	}
 
-	rowName struct {
+	rowKey struct {
 		table, key string
 	}
 
@@ -34,14 +34,14 @@
 )
 
 func newPacker() *packer {
-	return &packer{packed: map[rowName]packedValue{}}
+	return &packer{packed: map[rowKey]packedValue{}}
 }
 
 // pack takes the large values out of a reply's rows and adds them compressed.
 func (p *packer) pack(reply *peer.FeedReply) error {
 	for table, delta := range reply.Tables {
 		for i, row := range delta.Rows {
-			if len(row.Value) < packFrom {
+			if len(row.Value) < minPackedBytes {
 				continue
 			}
 			data, err := p.packRow(table, row)
@@ -65,15 +65,15 @@
 func (p *packer) packRow(table string, row kernel.Row) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name := rowName{table: table, key: row.Key}
+	name := rowKey{table: table, key: row.Key}
 	if known, ok := p.packed[name]; ok && known.version == row.Version {
 		return known.data, nil
 	}
-	data, err := peer.Pack([]byte(row.Value))
+	data, err := peer.Compress([]byte(row.Value))
 	if err != nil {
 		return nil, err
 	}
-	if len(p.packed) >= mostPacked {
+	if len(p.packed) >= maxPackedRows {
 		clear(p.packed)
 	}
 	p.packed[name] = packedValue{version: row.Version, data: data}
@@ -91,7 +91,7 @@
 			continue
 		}
 		size += int64(len(data))
-		value, err := peer.Unpack(data)
+		value, err := peer.Decompress(data)
 		if err != nil {
 			return size, err
 		}
--- a/follow/table.go
+++ b/follow/table.go
@@ -14,11 +14,11 @@
 		Name string
 		// Hold is how long the store may hold a question for changes; Pause is the time between
 		// two questions.
-		Hold  time.Duration
-		Pause time.Duration
+		Hold         time.Duration
+		PollInterval time.Duration
 		// Undated tells that what the table says is acted on however long ago it was proven: it does not count where it
 		// is decided who reads the store, and at their start nodes have it from those that do.
-		Undated bool
+		IgnoreAge bool
 		// Apply takes in what is news, and the time at which the table was last proven current.
 		Apply func(provenAt time.Time, news []kernel.Row)
 	}
@@ -26,9 +26,9 @@
 	// Store is how the platform's store is read.
 	Store struct {
 		// Whole returns all rows of a table and the version that they are of.
-		Whole func(ctx context.Context, table string) (Answer, error)
+		ReadAll func(ctx context.Context, table string) (Answer, error)
 		// Changes returns what changed after a version, waiting for the first change.
-		Changes func(ctx context.Context, table string, after uint64, hold time.Duration) (Answer, error)
+		ReadChanges func(ctx context.Context, table string, after uint64, hold time.Duration) (Answer, error)
 	}
 
 	// Answer is what the store answered about a table.
@@ -41,8 +41,8 @@
 		Transfer time.Duration
 	}
 
-	// CutError is the error of an answer that did not come whole.
-	CutError struct {
+	// TruncatedError is the error of an answer that did not come whole.
+	TruncatedError struct {
 		// Received is how many bytes had come, and Transfer in which time.
 		Received int64
 		Transfer time.Duration
@@ -51,11 +51,11 @@
 )
 
 // Error implements error.
-func (e *CutError) Error() string {
+func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("follow: the answer broke off after %d bytes: %v", e.Received, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *CutError) Unwrap() error {
+func (e *TruncatedError) Unwrap() error {
 	return e.Err
 }
--- a/kernel/admission_test.go
+++ b/kernel/admission_test.go
@@ -15,7 +15,7 @@
 	q := kernel.NewFairQueue()
 	push := func(customer string, weight, n int) {
 		for range n {
-			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart})
+			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart})
 		}
 	}
 	push("burst", 1, 500)
@@ -35,17 +35,17 @@
 	must.Nil(t, q.Pop())
 }
 
-func TestCostAheadCountsOnlyWhatIsServedBefore(t *testing.T) {
+func TestCostAheadCountsEarlierWaiters(t *testing.T) {
 	q := kernel.NewFairQueue()
 	push := func(customer string, weight, n, seconds int) {
 		for range n {
-			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
+			q.Push(&kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart.Add(time.Duration(seconds) * time.Second)})
 		}
 	}
 	push("burst", 1, 500, 5)
 	push("other", 2, 1, 5)
 	costAhead := func(customer string, weight, seconds int) float64 {
-		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: ledgerStart.Add(time.Duration(seconds) * time.Second)})
+		return q.CostAhead(kernel.Waiter{Customer: customer, Weight: weight, Cost: 1, Deadline: testStart.Add(time.Duration(seconds) * time.Second)})
 	}
 	must.EqOp(t, 501, costAhead("burst", 1, 9), must.Sprint("after all of its own and those of the other customer"))
 	must.EqOp(t, 1, costAhead("burst", 1, 3), must.Sprint("the earliest deadline: before all of its own"))
@@ -56,25 +56,25 @@
 func TestFairQueueServesOneCustomerByEarliestDeadline(t *testing.T) {
 	q := kernel.NewFairQueue()
 	for _, s := range []int{3, 1, 2} {
-		q.Push(&kernel.Waiter{Customer: "c", Cost: 1, Deadline: ledgerStart.Add(time.Duration(s) * time.Second)})
+		q.Push(&kernel.Waiter{Customer: "c", Cost: 1, Deadline: testStart.Add(time.Duration(s) * time.Second)})
 	}
 	for _, s := range []int{1, 2, 3} {
-		must.EqOp(t, ledgerStart.Add(time.Duration(s)*time.Second), q.Pop().Deadline)
+		must.EqOp(t, testStart.Add(time.Duration(s)*time.Second), q.Pop().Deadline)
 	}
 }
 
-func TestFairQueueGivesSingleWaiterNoMoreThanItsShare(t *testing.T) {
+func TestFairQueueLimitsSingleWaiterToItsShare(t *testing.T) {
 	// "one" always has a single waiter and must not get more than half.
 	q := kernel.NewFairQueue()
 	for range 300 {
-		q.Push(&kernel.Waiter{Customer: "many", Cost: 1, Deadline: ledgerStart})
+		q.Push(&kernel.Waiter{Customer: "many", Cost: 1, Deadline: testStart})
 	}
 	one := 0
-	q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: ledgerStart})
+	q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: testStart})
 	for range 200 {
 		if q.Pop().Customer == "one" {
 			one++
-			q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: ledgerStart})
+			q.Push(&kernel.Waiter{Customer: "one", Cost: 1, Deadline: testStart})
 		}
 	}
 	must.Between(t, 99, one, 101)
@@ -91,7 +91,7 @@
 					Customer: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "customer")),
 					Weight:   rapid.IntRange(0, 3).Draw(t, "weight"),
 					Cost:     float64(rapid.IntRange(1, 9).Draw(t, "cost")),
-					Deadline: ledgerStart.Add(time.Duration(rapid.IntRange(0, 99).Draw(t, "deadline"))),
+					Deadline: testStart.Add(time.Duration(rapid.IntRange(0, 99).Draw(t, "deadline"))),
 				}
 				q.Push(w)
 				inside[w] = true
@@ -142,7 +142,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ok, retryAfter := kernel.CanFinish(ledgerStart, ledgerStart.Add(c.left), c.stages)
+			ok, retryAfter := kernel.CanFinish(testStart, testStart.Add(c.left), c.stages)
 			must.EqOp(t, c.ok, ok)
 			must.EqOp(t, c.retryAfter, retryAfter)
 		})
@@ -156,15 +156,15 @@
 	congested := kernel.PoolLoad{Queued: 49, Slots: 48}
 	increased := l
 	for range 100 {
-		increased = increased.WithReply(ledgerStart, median, median, idle, int(increased.Value))
+		increased = increased.WithReply(testStart, median, median, idle, int(increased.Value))
 	}
 	must.InDelta(t, 20, increased.Value, 0.01)
-	must.EqOp(t, 10, l.WithReply(ledgerStart, median, median, idle, 1).Value, must.Sprint("a limit that is not in use does not grow"))
-	decreased := l.WithReply(ledgerStart, median, median, congested, 9)
+	must.EqOp(t, 10, l.WithReply(testStart, median, median, idle, 1).Value, must.Sprint("a limit that is not in use does not grow"))
+	decreased := l.WithReply(testStart, median, median, congested, 9)
 	must.EqOp(t, 8.5, decreased.Value)
-	must.EqOp(t, 8.5, decreased.WithReply(ledgerStart.Add(time.Millisecond), median, median, congested, 9).Value)
+	must.EqOp(t, 8.5, decreased.WithReply(testStart.Add(time.Millisecond), median, median, congested, 9).Value)
 	for i := range 200 {
-		decreased = decreased.WithDecrease(ledgerStart.Add(time.Duration(i)*time.Second), median)
+		decreased = decreased.WithDecrease(testStart.Add(time.Duration(i)*time.Second), median)
 	}
 	must.EqOp(t, 1, decreased.Value)
 	must.EqOp(t, 60, kernel.NewConcurrencyLimit(100, 1, 200).WithSlots(48).Value)
@@ -190,10 +190,10 @@
 	must.Between(t, 119, retries, 121)
 }
 
-func TestRateShareKeepsFleetRateAndBecomesIdle(t *testing.T) {
+func TestRateBucketKeepsFleetRateAndRefills(t *testing.T) {
 	var share kernel.RateBucket
 	permitted := 0
-	now := ledgerStart
+	now := testStart
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		var ok bool
--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -12,11 +12,11 @@
 )
 
 var batchTraits = model.PieceTraits{
-	Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 21 * time.Millisecond,
-	Room: 18_000_000, Keep: 4 * time.Second,
+	Slots: 1, MaxBatch: 8, CallTime: 200 * time.Millisecond, PieceTime: 21 * time.Millisecond,
+	Room: 18_000_000, ResultTTL: 4 * time.Second,
 }
 
-func workers(n int) []model.Endpoint {
+func workerEndpoints(n int) []model.Endpoint {
 	var out []model.Endpoint
 	for i := range n {
 		out = append(out, model.Endpoint{Name: fmt.Sprint("worker-", i), Pool: "p", FailureDomain: fmt.Sprint("domain-", i%3), State: model.Live})
@@ -24,7 +24,7 @@
 	return out
 }
 
-func pieceGroup(id uint64, pieces int, bytes int64, due time.Time) kernel.PieceGroup {
+func newPieceGroup(id uint64, pieces int, bytes int64, due time.Time) kernel.PieceGroup {
 	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: due, Until: due.Add(5 * time.Second)}
 	for n := range pieces {
 		group.Pieces = append(group.Pieces, model.Piece{Request: fmt.Sprint("request-", id), Number: n})
@@ -32,7 +32,7 @@
 	return group
 }
 
-func madeAll(batch kernel.PieceBatch) []model.PieceResult {
+func resultsFor(batch kernel.PieceBatch) []model.PieceResult {
 	var out []model.PieceResult
 	for i := range batch.Pieces {
 		out = append(out, model.PieceResult{Handle: fmt.Sprintf("%s/%d-%d", batch.Endpoint.Name, batch.ID, i)})
@@ -42,24 +42,24 @@
 
 func newBatchQueue(n int) *kernel.BatchQueue {
 	q := kernel.NewBatchQueue(batchTraits)
-	q.SetEndpoints(workers(n))
+	q.SetEndpoints(workerEndpoints(n))
 	return q
 }
 
 func TestPiecesOfManyRequestsShareCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	ok, _ := q.Add(now, pieceGroup(1, 1, 8000, now.Add(3*time.Second)))
+	ok, _ := q.Add(now, newPieceGroup(1, 1, 8000, now.Add(3*time.Second)))
 	must.True(t, ok)
 	first, ok := q.Next(now)
 	must.True(t, ok)
 	for id := uint64(2); id < 6; id++ {
-		ok, _ = q.Add(now, pieceGroup(id, 2, 8000, now.Add(3*time.Second)))
+		ok, _ = q.Add(now, newPieceGroup(id, 2, 8000, now.Add(3*time.Second)))
 		must.True(t, ok)
 	}
 	_, ok = q.Next(now)
 	must.False(t, ok, must.Sprint("no call waits at an endpoint, where other pieces could not join it"))
-	ended, unwanted := q.Done(now.Add(221*time.Millisecond), first, madeAll(first))
+	ended, unwanted := q.Done(now.Add(221*time.Millisecond), first, resultsFor(first))
 	must.Len(t, 1, ended)
 	must.SliceEmpty(t, unwanted)
 	second, ok := q.Next(now.Add(221 * time.Millisecond))
@@ -67,11 +67,11 @@
 	must.Len(t, 8, second.Pieces)
 }
 
-func TestNoPieceIsStartedWithoutRoomForItsResult(t *testing.T) {
+func TestPieceStartsOnlyWithRoomForResult(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
 	for id := uint64(1); id <= 4; id++ {
-		ok, _ := q.Add(now, pieceGroup(id, 5, 1_500_000, now.Add(5*time.Second)))
+		ok, _ := q.Add(now, newPieceGroup(id, 5, 1_500_000, now.Add(5*time.Second)))
 		must.True(t, ok)
 	}
 	var handles []string
@@ -80,7 +80,7 @@
 		if !ok {
 			break
 		}
-		results := madeAll(batch)
+		results := resultsFor(batch)
 		for _, r := range results {
 			handles = append(handles, r.Handle)
 		}
@@ -96,40 +96,40 @@
 func TestUnreleasedResultsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	q.Add(now, pieceGroup(1, 8, 2_000_000, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 8, 2_000_000, now.Add(5*time.Second)))
 	batch, _ := q.Next(now)
-	q.Done(now, batch, madeAll(batch))
-	q.Add(now, pieceGroup(2, 4, 2_000_000, now.Add(9*time.Second)))
+	q.Done(now, batch, resultsFor(batch))
+	q.Add(now, newPieceGroup(2, 4, 2_000_000, now.Add(9*time.Second)))
 	_, ok := q.Next(now)
 	must.False(t, ok)
-	q.Expire(now.Add(batchTraits.Keep + time.Second))
-	_, ok = q.Next(now.Add(batchTraits.Keep + time.Second))
+	q.Expire(now.Add(batchTraits.ResultTTL + time.Second))
+	_, ok = q.Next(now.Add(batchTraits.ResultTTL + time.Second))
 	must.True(t, ok)
 }
 
-func TestStartsOfCallsAreSpaced(t *testing.T) {
+func TestCallStartsAreSpaced(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(5)
-	q.Add(now, pieceGroup(1, 1, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 1, 0, now.Add(5*time.Second)))
 	_, ok := q.Next(now)
 	must.True(t, ok)
-	q.Add(now, pieceGroup(2, 1, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(2, 1, 0, now.Add(5*time.Second)))
 	_, ok = q.Next(now.Add(q.Spacing() / 2))
 	must.False(t, ok, must.Sprint("more pieces may join"))
-	q.Add(now, pieceGroup(3, 7, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(3, 7, 0, now.Add(5*time.Second)))
 	batch, ok := q.Next(now.Add(q.Spacing() / 2))
 	must.True(t, ok, must.Sprint("a full call need not wait"))
 	must.Len(t, 8, batch.Pieces)
-	q.Add(now, pieceGroup(4, 1, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(4, 1, 0, now.Add(5*time.Second)))
 	_, ok = q.Next(now.Add(2 * q.Spacing()))
 	must.True(t, ok)
 }
 
 // Of two full calls one has to wait. If both can be on time, the one that is due earlier goes first, otherwise
 // the one with the higher priority, whichever was added first.
-func TestUrgentWorkGoesFirst(t *testing.T) {
+func TestUrgentGroupsGoFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
+	full := batchTraits.CallTime + time.Duration(batchTraits.MaxBatch)*batchTraits.PieceTime
 	for _, tc := range []struct {
 		name  string
 		due   time.Duration
@@ -139,10 +139,10 @@
 		{"time for one", 3 * full / 2, "request-2"},
 	} {
 		q := newBatchQueue(1)
-		lowRank := pieceGroup(1, 8, 0, now.Add(tc.due))
+		lowRank := newPieceGroup(1, 8, 0, now.Add(tc.due))
 		lowRank.Rank = 2
 		q.Add(now, lowRank)
-		q.Add(now, pieceGroup(2, 8, 0, now.Add(tc.due+200*time.Millisecond)))
+		q.Add(now, newPieceGroup(2, 8, 0, now.Add(tc.due+200*time.Millisecond)))
 		batch, _ := q.Next(now)
 		must.Eq(t, tc.first, batch.Pieces[0].Request, must.Sprint(tc.name))
 	}
@@ -151,7 +151,7 @@
 func TestWorkerWithoutRoomGetsNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
-	q.Add(now, pieceGroup(1, 1, 1_500_000, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 1, 1_500_000, now.Add(5*time.Second)))
 	first, _ := q.Next(now)
 	q.Done(now, first, []model.PieceResult{{Fault: model.PieceNoRoom}})
 	second, ok := q.Next(now.Add(q.Spacing()))
@@ -159,16 +159,16 @@
 	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name)
 }
 
-func TestRoomTakenByAnotherBatchersResultsIsNotGivenOut(t *testing.T) {
+func TestForeignResultsOccupyRoom(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
 	q.TakeOver(now)
 	q.SetFreeRoom(now, "worker-0", 4_000_000)
-	q.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 2, batch.Pieces)
-	q.Done(now, batch, madeAll(batch))
+	q.Done(now, batch, resultsFor(batch))
 	_, ok = q.Next(now.Add(q.Spacing()))
 	must.False(t, ok)
 	q.Release(now, kernel.ResultRef{Handle: "unknown here", Worker: "worker-0", Bytes: 3_000_000})
@@ -177,14 +177,14 @@
 	must.Len(t, 2, batch.Pieces)
 }
 
-func TestWaitForRoomIsEstimated(t *testing.T) {
+func TestEstimateWaitIncludesRoom(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	group := pieceGroup(9, 4, 1_500_000, now.Add(9*time.Second))
+	group := newPieceGroup(9, 4, 1_500_000, now.Add(9*time.Second))
 	must.Eq(t, 0, q.EstimateWait(now, group))
-	q.Add(now, pieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 8, 1_500_000, now.Add(5*time.Second)))
 	batch, _ := q.Next(now)
-	results := madeAll(batch)
+	results := resultsFor(batch)
 	q.Done(now.Add(368*time.Millisecond), batch, results)
 	// 12 of 17.46 MB are taken, and the worker is free.
 	must.Positive(t, q.EstimateWait(now, group))
@@ -194,11 +194,11 @@
 	must.Eq(t, 0, q.EstimateWait(now, group))
 }
 
-func TestLateWorkDoesNotGoBeforeWorkThatCanBeOnTime(t *testing.T) {
+func TestLateGroupsGoLast(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	q.Add(now, pieceGroup(1, 8, 0, now.Add(100*time.Millisecond)))
-	q.Add(now, pieceGroup(2, 8, 0, now.Add(900*time.Millisecond)))
+	q.Add(now, newPieceGroup(1, 8, 0, now.Add(100*time.Millisecond)))
+	q.Add(now, newPieceGroup(2, 8, 0, now.Add(900*time.Millisecond)))
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Eq(t, "request-2", batch.Pieces[0].Request)
@@ -208,15 +208,15 @@
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
 	for id := uint64(1); id <= 3; id++ {
-		ok, _ := q.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
+		ok, _ := q.Add(now, newPieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
 	}
 	// Three full calls of 368 ms go before it.
 	for id := uint64(4); id <= 5; id++ {
-		ok, _ := q.Add(now, pieceGroup(id, 8, 0, now.Add(2*time.Second)))
+		ok, _ := q.Add(now, newPieceGroup(id, 8, 0, now.Add(2*time.Second)))
 		must.True(t, ok)
 	}
-	ok, retry := q.Add(now, pieceGroup(6, 8, 0, now.Add(2*time.Second)))
+	ok, retry := q.Add(now, newPieceGroup(6, 8, 0, now.Add(2*time.Second)))
 	must.False(t, ok)
 	must.Positive(t, retry)
 }
@@ -224,14 +224,14 @@
 func TestPiecesWaitForLocalWorkerUpToLocalityWait(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(3)
-	busy := pieceGroup(1, 1, 0, now.Add(5*time.Second))
+	busy := newPieceGroup(1, 1, 0, now.Add(5*time.Second))
 	busy.Domain = "domain-1"
 	busy.LocalityWait = 150 * time.Millisecond
 	q.Add(now, busy)
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Eq(t, "domain-1", batch.Endpoint.FailureDomain)
-	waiting := pieceGroup(2, 1, 0, now.Add(5*time.Second))
+	waiting := newPieceGroup(2, 1, 0, now.Add(5*time.Second))
 	waiting.Domain = "domain-1"
 	waiting.LocalityWait = 150 * time.Millisecond
 	q.Add(now, waiting)
@@ -245,10 +245,10 @@
 func TestLeavingWorkerGetsNoCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	leaving := workers(1)
+	leaving := workerEndpoints(1)
 	leaving[0].State = model.Leaving
 	q.SetEndpoints(leaving)
-	group := pieceGroup(1, 1, 0, now.Add(9*time.Second))
+	group := newPieceGroup(1, 1, 0, now.Add(9*time.Second))
 	q.Add(now, group)
 	_, ok := q.Next(now)
 	must.False(t, ok)
@@ -257,17 +257,17 @@
 // Under load a worker that becomes free finds many groups waiting. Among groups that are due at about the same
 // time it takes those with inputs in its own failure domain, which halves the bytes of results sent between
 // domains at equal load.
-func TestAWorkerTakesGroupsOfItsOwnDomainFirst(t *testing.T) {
+func TestWorkerPrefersGroupsOfOwnDomain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
 	due := now.Add(2 * time.Second)
 	for id := uint64(1); id <= 4; id++ {
-		group := pieceGroup(id, 8, 8000, due.Add(time.Duration(id)*time.Millisecond))
+		group := newPieceGroup(id, 8, 8000, due.Add(time.Duration(id)*time.Millisecond))
 		group.Domain = fmt.Sprint("domain-", id%2)
 		group.LocalityWait = 100 * time.Millisecond
 		q.Add(now, group)
 	}
-	urgent := pieceGroup(5, 8, 8000, due.Add(-time.Second))
+	urgent := newPieceGroup(5, 8, 8000, due.Add(-time.Second))
 	urgent.Domain = "domain-0"
 	urgent.LocalityWait = 100 * time.Millisecond
 	q.Add(now, urgent)
@@ -285,18 +285,18 @@
 // Five workers are in three failure domains, and each piece fetches all results of the previous stage, 1.4 MB a
 // request. At two thirds of the capacity, groups that may wait for the next call in their domain are rarely made
 // in another one, and wait no longer than two full calls.
-func TestPiecesWaitForTheirInputsDomain(t *testing.T) {
-	traits := model.PieceTraits{Slots: 1, Batch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, Keep: 4 * time.Second}
+func TestLocalityWaitKeepsPiecesInDomain(t *testing.T) {
+	traits := model.PieceTraits{Slots: 1, MaxBatch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, ResultTTL: 4 * time.Second}
 	full := 444 * time.Millisecond
 	run := func(policy kernel.Policy) (groups, moved int, longest time.Duration) {
 		start := time.Unix(1000, 0)
 		q := kernel.NewBatchQueue(traits)
 		q.SetPolicy(policy)
-		q.SetEndpoints(workers(5))
+		q.SetEndpoints(workerEndpoints(5))
 		domains := map[uint64]string{}
 		var running []kernel.PieceBatch
 		end := func(now time.Time, batch kernel.PieceBatch) {
-			ended, _ := q.Done(now, batch, madeAll(batch))
+			ended, _ := q.Done(now, batch, resultsFor(batch))
 			for _, o := range ended {
 				groups++
 				longest = max(longest, o.Waited)
@@ -313,7 +313,7 @@
 			}
 			if step%4 == 0 {
 				id := uint64(step)
-				group := pieceGroup(id, 6, 6000, now.Add(2*time.Second))
+				group := newPieceGroup(id, 6, 6000, now.Add(2*time.Second))
 				group.Domain = fmt.Sprint("domain-", []int{0, 0, 1, 1, 2}[step/4%5])
 				group.LocalityWait = kernel.LocalityWait(1_400_000, full, 2*time.Second-full)
 				domains[id] = group.Domain
@@ -341,9 +341,9 @@
 	first := model.Endpoint{Name: "m", Pool: "p", State: model.Live, Started: time.Unix(900, 0)}
 	restarted := first
 	restarted.Started = time.Unix(999, 0)
-	q := kernel.NewBatchQueue(model.PieceTraits{Slots: 1, Batch: 4, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond, Room: 1000, Keep: 4 * time.Second})
+	q := kernel.NewBatchQueue(model.PieceTraits{Slots: 1, MaxBatch: 4, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond, Room: 1000, ResultTTL: 4 * time.Second})
 	q.SetEndpoints([]model.Endpoint{first})
-	must.True(t, addPieces(q, now, 1, 2, 400))
+	must.True(t, addGroup(q, now, 1, 2, 400))
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	ended, _ := q.Done(now.Add(200*time.Millisecond), batch, []model.PieceResult{{Handle: "h1"}, {Handle: "h2"}})
@@ -351,7 +351,7 @@
 	made := ended[0].Made
 	must.EqOp(t, first.Incarnation(), made[0].Worker)
 	now = now.Add(time.Second)
-	must.True(t, addPieces(q, now, 2, 2, 400))
+	must.True(t, addGroup(q, now, 2, 2, 400))
 	_, ok = q.Next(now)
 	must.False(t, ok, must.Sprint("the room is taken"))
 	q.SetEndpoints([]model.Endpoint{restarted})
@@ -372,8 +372,8 @@
 	must.EqOp(t, model.PieceInputGone, stale[0].Fault)
 }
 
-// addPieces adds a group of pieces that is due in five seconds.
-func addPieces(q *kernel.BatchQueue, now time.Time, id uint64, count int, bytes int64) bool {
+// addGroup adds a group of pieces that is due in five seconds.
+func addGroup(q *kernel.BatchQueue, now time.Time, id uint64, count int, bytes int64) bool {
 	group := kernel.PieceGroup{ID: id, ResultBytes: bytes, Due: now.Add(5 * time.Second), Until: now.Add(5 * time.Second)}
 	for n := range count {
 		group.Pieces = append(group.Pieces, model.Piece{Request: "r", Number: n})
--- a/kernel/batchcap_test.go
+++ b/kernel/batchcap_test.go
@@ -17,9 +17,9 @@
 type (
 	// cappedQueue simulates a queue that gets more pieces than its capped workers accept.
 	cappedQueue struct {
-		g     *kernel.BatchQueue
-		under []cappedCall
-		next  uint64
+		queue   *kernel.BatchQueue
+		running []cappedCall
+		lastID  uint64
 		// calls holds the start times of the calls to the first worker.
 		calls         []time.Time
 		made, refused int
@@ -32,53 +32,53 @@
 )
 
 // play runs the simulation for a time.
-func (q *cappedQueue) play(length time.Duration) {
+func (q *cappedQueue) run(length time.Duration) {
 	start := time.Unix(1000, 0)
 	for step := time.Duration(0); step < length; step += 10 * time.Millisecond {
 		now := start.Add(step)
 		q.endCalls(now)
 		if step%(100*time.Millisecond) == 0 {
-			q.add(now)
+			q.addGroup(now)
 		}
-		q.g.Expire(now)
-		q.call(now)
+		q.queue.Expire(now)
+		q.startCalls(now)
 	}
 }
 
 func (q *cappedQueue) endCalls(now time.Time) {
-	q.under = slices.DeleteFunc(q.under, func(c cappedCall) bool {
+	q.running = slices.DeleteFunc(q.running, func(c cappedCall) bool {
 		if now.Before(c.end) {
 			return false
 		}
-		ended, _ := q.g.Done(now, c.batch, madeAll(c.batch))
+		ended, _ := q.queue.Done(now, c.batch, resultsFor(c.batch))
 		for _, o := range ended {
 			q.made += len(o.Made)
 			for _, ref := range o.Made {
-				q.g.Release(now, ref)
+				q.queue.Release(now, ref)
 			}
 		}
 		return true
 	})
 }
 
-func (q *cappedQueue) add(now time.Time) {
-	q.next++
-	ok, retry := q.g.Add(now, pieceGroup(q.next, 4, 8000, now.Add(time.Second)))
+func (q *cappedQueue) addGroup(now time.Time) {
+	q.lastID++
+	ok, retry := q.queue.Add(now, newPieceGroup(q.lastID, 4, 8000, now.Add(time.Second)))
 	if !ok && retry > 0 {
 		q.refused++
 	}
 }
 
-func (q *cappedQueue) call(now time.Time) {
+func (q *cappedQueue) startCalls(now time.Time) {
 	for {
-		batch, ok := q.g.Next(now)
+		batch, ok := q.queue.Next(now)
 		if !ok {
 			return
 		}
 		if batch.Endpoint.Name == "worker-0" {
 			q.calls = append(q.calls, now)
 		}
-		q.under = append(q.under, cappedCall{batch: batch, end: now.Add(q.g.Expected(batch))})
+		q.running = append(q.running, cappedCall{batch: batch, end: now.Add(q.queue.Expected(batch))})
 	}
 }
 
@@ -89,14 +89,14 @@
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
 		var calls []time.Time
 		for range 2 {
-			q := cappedQueue{g: newBatchQueue(4)}
-			q.g.SetRateCap("worker-0", model.NewRateCap(perSecond))
-			q.play(30 * time.Second)
+			q := cappedQueue{queue: newBatchQueue(4)}
+			q.queue.SetRateCap("worker-0", model.NewRateCap(perSecond))
+			q.run(30 * time.Second)
 			calls = append(calls, q.calls...)
 			must.EqOp(t, 0, q.refused)
 			must.GreaterEq(t, 1100, q.made)
 		}
-		must.LessEq(t, int(1.5*perSecond*4+5), mostWithin(calls, 4*time.Second))
+		must.LessEq(t, int(1.5*perSecond*4+5), maxCountWithin(calls, 4*time.Second))
 	}
 }
 
@@ -104,11 +104,11 @@
 // are made.
 func TestPiecesBeyondAllRateCapsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
-	q := cappedQueue{g: newBatchQueue(2)}
-	for _, w := range workers(2) {
-		q.g.SetRateCap(w.Incarnation(), model.NewRateCap(1))
+	q := cappedQueue{queue: newBatchQueue(2)}
+	for _, w := range workerEndpoints(2) {
+		q.queue.SetRateCap(w.Incarnation(), model.NewRateCap(1))
 	}
-	q.play(30 * time.Second)
+	q.run(30 * time.Second)
 	must.Between(t, 15, len(q.calls), 20)
 	must.Positive(t, q.refused)
 	must.GreaterEq(t, 200, q.made)
@@ -123,10 +123,10 @@
 	q := newBatchQueue(1)
 	q.SetRateCap("worker-0", stated)
 	q.TakeOver(now)
-	q.Add(now, pieceGroup(1, 1, 10, now.Add(time.Minute)))
-	_, called := q.Next(now.Add(kernel.CapBatcherPause(stated) - time.Millisecond))
+	q.Add(now, newPieceGroup(1, 1, 10, now.Add(time.Minute)))
+	_, called := q.Next(now.Add(kernel.CapBatcherInterval(stated) - time.Millisecond))
 	must.False(t, called)
-	_, called = q.Next(now.Add(kernel.CapBatcherPause(stated)))
+	_, called = q.Next(now.Add(kernel.CapBatcherInterval(stated)))
 	must.True(t, called)
 }
 
@@ -136,19 +136,19 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	stated := model.NewRateCap(1)
-	pause := kernel.CapBatcherPause(stated)
+	pause := kernel.CapBatcherInterval(stated)
 	q := newBatchQueue(1)
 	q.SetRateCap("worker-0", stated)
-	q.Add(now, pieceGroup(1, 1, 10, now.Add(time.Minute)))
+	q.Add(now, newPieceGroup(1, 1, 10, now.Add(time.Minute)))
 	batch, called := q.Next(now)
 	must.True(t, called)
-	q.Done(now, batch, madeAll(batch))
+	q.Done(now, batch, resultsFor(batch))
 
 	q.SetEndpoints(nil)
 	q.Expire(now.Add(pause / 2))
-	q.SetEndpoints(workers(1))
+	q.SetEndpoints(workerEndpoints(1))
 	q.SetRateCap("worker-0", stated)
-	q.Add(now, pieceGroup(2, 1, 10, now.Add(time.Minute)))
+	q.Add(now, newPieceGroup(2, 1, 10, now.Add(time.Minute)))
 	_, called = q.Next(now.Add(pause - time.Millisecond))
 	must.False(t, called)
 	_, called = q.Next(now.Add(pause))
--- a/kernel/batchfailure_test.go
+++ b/kernel/batchfailure_test.go
@@ -12,7 +12,7 @@
 func TestRefusedCallIsRetriedOnAnotherWorker(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
-	q.Add(now, pieceGroup(1, 3, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 3, 0, now.Add(5*time.Second)))
 	first, _ := q.Next(now)
 	must.SliceEmpty(t, q.Refused(now, first))
 	second, ok := q.Next(now)
@@ -25,7 +25,7 @@
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
 	for id := uint64(1); id <= 2; id++ {
-		q.Add(now, pieceGroup(id, 1, 0, now.Add(5*time.Second)))
+		q.Add(now, newPieceGroup(id, 1, 0, now.Add(5*time.Second)))
 	}
 	first, _ := q.Next(now)
 	must.SliceEmpty(t, q.Unreachable(now, first))
@@ -33,7 +33,7 @@
 	must.True(t, ok)
 	must.NotEq(t, first.Endpoint.Name, second.Endpoint.Name)
 	must.Len(t, 2, second.Pieces)
-	q.Add(now, pieceGroup(3, 1, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(3, 1, 0, now.Add(5*time.Second)))
 	_, ok = q.Next(now.Add(500 * time.Millisecond))
 	must.False(t, ok)
 	_, ok = q.Next(now.Add(1100 * time.Millisecond))
@@ -43,7 +43,7 @@
 func TestLostInputEndsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	q.Add(now, pieceGroup(1, 2, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 2, 0, now.Add(5*time.Second)))
 	batch, _ := q.Next(now)
 	ended, _ := q.Done(now, batch, []model.PieceResult{{Handle: "h"}, {Fault: model.PieceInputGone}})
 	must.Len(t, 1, ended)
@@ -51,13 +51,13 @@
 	must.Len(t, 1, ended[0].Made, must.Sprint("results made so far are returned, to be freed"))
 }
 
-func TestResultsOfACancelledGroupAreUnwanted(t *testing.T) {
+func TestResultsOfCancelledGroupAreUnwanted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	q.Add(now, pieceGroup(1, 2, 0, now.Add(5*time.Second)))
+	q.Add(now, newPieceGroup(1, 2, 0, now.Add(5*time.Second)))
 	batch, _ := q.Next(now)
 	must.SliceEmpty(t, q.Cancel(1))
-	ended, unwanted := q.Done(now, batch, madeAll(batch))
+	ended, unwanted := q.Done(now, batch, resultsFor(batch))
 	must.SliceEmpty(t, ended)
 	must.Len(t, 2, unwanted)
 }
--- a/kernel/batchfetch_test.go
+++ b/kernel/batchfetch_test.go
@@ -12,12 +12,12 @@
 
 // fetchTraits are the traits of a pool with full calls of 374 ms, which fetch their inputs in about 10 ms.
 var fetchTraits = model.PieceTraits{
-	Slots: 1, Batch: 62, CallTime: 200 * time.Millisecond, PieceTime: 2800 * time.Microsecond,
-	Room: 810_000, Keep: 4 * time.Second, Link: 1_250_000_000,
+	Slots: 1, MaxBatch: 62, CallTime: 200 * time.Millisecond, PieceTime: 2800 * time.Microsecond,
+	Room: 810_000, ResultTTL: 4 * time.Second, LinkBandwidth: 1_250_000_000,
 }
 
-func fetchingGroup(id uint64, pieces int, now time.Time, free bool) kernel.PieceGroup {
-	group := pieceGroup(id, pieces, 6000, now.Add(2*time.Second))
+func groupWithInputs(id uint64, pieces int, now time.Time, free bool) kernel.PieceGroup {
+	group := newPieceGroup(id, pieces, 6000, now.Add(2*time.Second))
 	group.FreeInputs = free
 	for n := range 4 {
 		group.Inputs = append(group.Inputs, kernel.ResultRef{Number: n, Handle: "input", Worker: "before", Pool: "q", Bytes: 60_000})
@@ -25,9 +25,9 @@
 	return group
 }
 
-func fetchQueue(now time.Time, groups ...kernel.PieceGroup) *kernel.BatchQueue {
+func newFetchQueue(now time.Time, groups ...kernel.PieceGroup) *kernel.BatchQueue {
 	q := kernel.NewBatchQueue(fetchTraits)
-	q.SetEndpoints(workers(1))
+	q.SetEndpoints(workerEndpoints(1))
 	for _, group := range groups {
 		q.Add(now, group)
 	}
@@ -36,32 +36,32 @@
 
 // Results that are kept until the call that consumes them ends occupy room for another 400 ms. Freed once
 // fetched, they occupy it for a fifth of that.
-func TestInputsAreFreedOnceTheirCallHasFetchedThem(t *testing.T) {
+func TestFetchedInputsAreFreed(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := fetchQueue(now, fetchingGroup(1, 10, now, true))
+	q := newFetchQueue(now, groupWithInputs(1, 10, now, true))
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Less(t, 100*time.Millisecond, batch.FetchTime())
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime()-time.Millisecond)))
 	must.Len(t, 4, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())), must.Sprint("each only once"))
-	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
+	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, resultsFor(batch))
 	must.Len(t, 1, ended)
 	must.True(t, ended[0].InputsFreed)
 }
 
-func TestInputsThatOthersNeedAreKept(t *testing.T) {
+func TestSharedInputsAreKept(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := fetchQueue(now, fetchingGroup(1, 10, now, false))
+	q := newFetchQueue(now, groupWithInputs(1, 10, now, false))
 	batch, _ := q.Next(now)
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
-	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, madeAll(batch))
+	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, resultsFor(batch))
 	must.False(t, ended[0].InputsFreed)
 }
 
 func TestInputsAreKeptWhilePiecesWait(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := fetchQueue(now, fetchingGroup(1, 70, now, true))
+	q := newFetchQueue(now, groupWithInputs(1, 70, now, true))
 	batch, _ := q.Next(now)
 	must.Len(t, 62, batch.Pieces)
 	must.SliceEmpty(t, q.TakeFetchedInputs(now.Add(batch.FetchTime())))
@@ -71,12 +71,12 @@
 }
 
 // A piece whose inputs were freed cannot be made again, so a retry would waste a call.
-func TestAPieceThatFailsAfterItsInputsWereFreedEndsItsGroup(t *testing.T) {
+func TestFailureAfterInputsFreedEndsGroup(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := fetchQueue(now, fetchingGroup(1, 10, now, true))
+	q := newFetchQueue(now, groupWithInputs(1, 10, now, true))
 	batch, _ := q.Next(now)
 	q.TakeFetchedInputs(now.Add(batch.FetchTime()))
-	results := madeAll(batch)
+	results := resultsFor(batch)
 	results[3] = model.PieceResult{Fault: model.PieceFailed}
 	ended, _ := q.Done(now.Add(228*time.Millisecond), batch, results)
 	must.Len(t, 1, ended)
@@ -89,13 +89,13 @@
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(2)
 	must.EqOp(t, 0, q.RoomTaken(now))
-	must.True(t, addPieces(q, now, 1, 8, 2_000_000))
+	must.True(t, addGroup(q, now, 1, 8, 2_000_000))
 	batch, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 8, batch.Pieces)
 	must.False(t, kernel.PoolEstimate{RoomTaken: q.RoomTaken(now)}.Scarce(), must.Sprint("16 of 36 MB"))
 	now = now.Add(q.Spacing())
-	must.True(t, addPieces(q, now, 2, 2, 2_000_000))
+	must.True(t, addGroup(q, now, 2, 2, 2_000_000))
 	_, ok = q.Next(now)
 	must.True(t, ok)
 	must.True(t, kernel.PoolEstimate{RoomTaken: q.RoomTaken(now)}.Scarce(), must.Sprint("20 of 36 MB"))
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// loadStep is the time step of the simulation, loadSweep the interval between calls of Expire.
-	loadStep  = 5 * time.Millisecond
-	loadSweep = 200 * time.Millisecond
+	// loadStep is the time step of the simulation, loadExpireInterval the interval between calls of Expire.
+	loadStep           = 5 * time.Millisecond
+	loadExpireInterval = 200 * time.Millisecond
 	// loadSeeds is the number of random seeds for each load; the result of a single seed varies by a tenth.
 	loadSeeds = 30
 )
@@ -31,23 +31,23 @@
 		burst     float64
 		from, to  time.Duration
 		// slack is the time from a group's arrival until it is due, patience how much longer its caller waits.
-		slack, patience time.Duration
+		slack, timeoutAfterDue time.Duration
 		// held is how long a result is held.
-		held time.Duration
+		holdTime time.Duration
 		// ranks are assigned to the groups in turn; if empty, all groups have rank 0.
 		ranks []int
-		// slow workers take slowX times as long for calls that start between from and to.
-		slow  []string
-		slowX float64
+		// slow workers take slowdown times as long for calls that start between from and to.
+		slowWorkers []string
+		slowdown    float64
 	}
 
 	// simulatedGroup is a group and its outcome.
 	simulatedGroup struct {
 		kernel.PieceGroup
-		came, ended time.Time
-		made        bool
-		fault       model.PieceFault
-		wait        time.Duration
+		arrivedAt, endedAt time.Time
+		made               bool
+		fault              model.PieceFault
+		wait               time.Duration
 	}
 
 	// simulatedPool drives a batch queue in virtual time. Each of its workers runs one call at a time.
@@ -60,10 +60,10 @@
 		groups map[uint64]*simulatedGroup
 		// running holds calls by the time at which they end, overdue by the time at which they become overdue,
 		// held holds results by the time at which they are released.
-		running map[time.Time][]kernel.PieceBatch
-		overdue map[time.Time][]kernel.PieceBatch
-		held    map[time.Time][]kernel.ResultRef
-		next    time.Time
+		running     map[time.Time][]kernel.PieceBatch
+		overdue     map[time.Time][]kernel.PieceBatch
+		heldResults map[time.Time][]kernel.ResultRef
+		nextArrival time.Time
 	}
 )
 
@@ -71,10 +71,10 @@
 	start := time.Unix(1000, 0)
 	s := &simulatedPool{
 		queue: newBatchQueue(5), load: load, now: start, began: start, random: rand.New(rand.NewPCG(load.seed, 0)),
-		groups: map[uint64]*simulatedGroup{}, running: map[time.Time][]kernel.PieceBatch{}, overdue: map[time.Time][]kernel.PieceBatch{}, held: map[time.Time][]kernel.ResultRef{}, next: start,
+		groups: map[uint64]*simulatedGroup{}, running: map[time.Time][]kernel.PieceBatch{}, overdue: map[time.Time][]kernel.PieceBatch{}, heldResults: map[time.Time][]kernel.ResultRef{}, nextArrival: start,
 	}
 	s.queue.SetPolicy(policy)
-	for end := start.Add(load.length + load.slack + load.patience + time.Second); s.now.Before(end); s.now = s.now.Add(loadStep) {
+	for end := start.Add(load.length + load.slack + load.timeoutAfterDue + time.Second); s.now.Before(end); s.now = s.now.Add(loadStep) {
 		s.step()
 	}
 	var out []*simulatedGroup
@@ -85,29 +85,29 @@
 }
 
 func (s *simulatedPool) step() {
-	for _, made := range s.held[s.now] {
+	for _, made := range s.heldResults[s.now] {
 		s.queue.Release(s.now, made)
 	}
-	delete(s.held, s.now)
+	delete(s.heldResults, s.now)
 	for _, batch := range s.overdue[s.now] {
-		s.queue.Overdue(s.now, batch)
+		s.queue.RequeueOverdue(s.now, batch)
 	}
 	delete(s.overdue, s.now)
 	for _, batch := range s.running[s.now] {
 		if s.now.Sub(batch.StartedAt())+loadStep < s.callTime(batch) {
-			s.end(s.queue.Failed(s.now, batch))
+			s.recordEnded(s.queue.Failed(s.now, batch))
 			continue
 		}
-		ended, unwanted := s.queue.Done(s.now, batch, madeAll(batch))
-		s.end(ended)
-		s.hold(unwanted, 0)
+		ended, unwanted := s.queue.Done(s.now, batch, resultsFor(batch))
+		s.recordEnded(ended)
+		s.holdResults(unwanted, 0)
 	}
 	delete(s.running, s.now)
-	for !s.next.After(s.now) && s.next.Sub(s.began) < s.load.length {
-		s.arrive()
+	for !s.nextArrival.After(s.now) && s.nextArrival.Sub(s.began) < s.load.length {
+		s.addNextGroup()
 	}
-	if s.now.Sub(s.began)%loadSweep == 0 {
-		s.end(s.queue.Expire(s.now))
+	if s.now.Sub(s.began)%loadExpireInterval == 0 {
+		s.recordEnded(s.queue.Expire(s.now))
 	}
 	for {
 		batch, ok := s.queue.Next(s.now)
@@ -116,15 +116,15 @@
 		}
 		// The timeout of a call is 2.5 times its expected duration plus 0.3 s, as in package relay.
 		patience := time.Duration(2.5*float64(s.queue.Expected(batch))) + 300*time.Millisecond
-		at := s.at(min(patience, s.callTime(batch)))
+		at := s.stepAfter(min(patience, s.callTime(batch)))
 		s.running[at] = append(s.running[at], batch)
-		at = s.at(s.queue.OverdueAfter(batch))
+		at = s.stepAfter(s.queue.OverdueAfter(batch))
 		s.overdue[at] = append(s.overdue[at], batch)
 	}
 }
 
 // at returns the first step after the given time from now.
-func (s *simulatedPool) at(after time.Duration) time.Time {
+func (s *simulatedPool) stepAfter(after time.Duration) time.Time {
 	return s.now.Add(after).Truncate(loadStep).Add(loadStep)
 }
 
@@ -132,57 +132,57 @@
 func (s *simulatedPool) callTime(batch kernel.PieceBatch) time.Duration {
 	usual := batchTraits.CallTime + time.Duration(len(batch.Pieces))*batchTraits.PieceTime
 	elapsed := batch.StartedAt().Sub(s.began)
-	if elapsed < s.load.from || elapsed >= s.load.to || !slices.Contains(s.load.slow, batch.Endpoint.Name) {
+	if elapsed < s.load.from || elapsed >= s.load.to || !slices.Contains(s.load.slowWorkers, batch.Endpoint.Name) {
 		return usual
 	}
-	return time.Duration(s.load.slowX * float64(usual))
+	return time.Duration(s.load.slowdown * float64(usual))
 }
 
 // arrive adds the next group and draws the arrival time of the one after it.
-func (s *simulatedPool) arrive() {
+func (s *simulatedPool) addNextGroup() {
 	pieces := 1 + s.random.IntN(4)
-	group := pieceGroup(uint64(len(s.groups)+1), pieces, 1_500_000, s.now.Add(s.load.slack))
-	group.Until = group.Due.Add(s.load.patience)
+	group := newPieceGroup(uint64(len(s.groups)+1), pieces, 1_500_000, s.now.Add(s.load.slack))
+	group.Until = group.Due.Add(s.load.timeoutAfterDue)
 	if len(s.load.ranks) > 0 {
 		group.Rank = s.load.ranks[len(s.groups)%len(s.load.ranks)]
 	}
-	g := &simulatedGroup{PieceGroup: group, came: s.now}
+	g := &simulatedGroup{PieceGroup: group, arrivedAt: s.now}
 	s.groups[group.ID] = g
 	if accepted, retry := s.queue.Add(s.now, group); !accepted {
-		g.ended, g.fault, g.wait = s.now, model.PieceLate, retry
+		g.endedAt, g.fault, g.wait = s.now, model.PieceLate, retry
 	}
 	rate := s.load.perSecond
 	if elapsed := s.now.Sub(s.began); elapsed >= s.load.from && elapsed < s.load.to {
 		rate *= s.load.burst
 	}
-	s.next = s.next.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second)))
+	s.nextArrival = s.nextArrival.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second)))
 }
 
-func (s *simulatedPool) end(ended []kernel.GroupOutcome) {
+func (s *simulatedPool) recordEnded(ended []kernel.GroupOutcome) {
 	for _, o := range ended {
 		g := s.groups[o.Group]
-		g.ended, g.made, g.fault, g.wait = s.now, o.Fault == "", o.Fault, o.Wait
+		g.endedAt, g.made, g.fault, g.wait = s.now, o.Fault == "", o.Fault, o.Wait
 		held := time.Duration(0)
 		if g.made {
-			held = s.load.held
+			held = s.load.holdTime
 		}
-		s.hold(o.Made, held)
+		s.holdResults(o.Made, held)
 	}
 }
 
-func (s *simulatedPool) hold(made []kernel.ResultRef, held time.Duration) {
-	at := s.at(held)
-	s.held[at] = append(s.held[at], made...)
+func (s *simulatedPool) holdResults(made []kernel.ResultRef, held time.Duration) {
+	at := s.stepAfter(held)
+	s.heldResults[at] = append(s.heldResults[at], made...)
 }
 
-// onTime counts the groups that were made before they were due, and the groups whose callers waited until their
+// countOnTime counts the groups that were made before they were due, and the groups whose callers waited until their
 // patience ended without an answer.
-func onTime(groups []*simulatedGroup) (served, neverTold int) {
+func countOnTime(groups []*simulatedGroup) (served, neverTold int) {
 	for _, g := range groups {
 		switch {
-		case g.made && !g.ended.After(g.Due):
+		case g.made && !g.endedAt.After(g.Due):
 			served++
-		case g.ended.IsZero() || (!g.made && g.ended.After(g.Until.Add(-time.Second))):
+		case g.endedAt.IsZero() || (!g.made && g.endedAt.After(g.Until.Add(-time.Second))):
 			neverTold++
 		}
 	}
@@ -193,17 +193,17 @@
 // always some of these. Unless they are ended, their callers wait until their deadline, several times the latency
 // objective, and get no answer. Late groups must end earlier, and the number of groups on time must not decrease.
 func TestStarvedGroupsEndInBurst(t *testing.T) {
-	full := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
+	full := batchTraits.CallTime + time.Duration(batchTraits.MaxBatch)*batchTraits.PieceTime
 	shortest := batchTraits.CallTime + batchTraits.PieceTime
 	var onTimeWith, onTimeWithout int
 	for seed := range uint64(loadSeeds) {
 		load := pieceLoad{
 			seed: seed, length: 12 * time.Second, perSecond: 25, burst: 2.5, from: 2 * time.Second, to: 8 * time.Second,
-			slack: 700 * time.Millisecond, patience: 5 * time.Second, held: 400 * time.Millisecond,
+			slack: 700 * time.Millisecond, timeoutAfterDue: 5 * time.Second, holdTime: 400 * time.Millisecond,
 		}
 		groups := simulate(load, kernel.Policy{})
-		served, neverTold := onTime(groups)
-		servedWithout, notToldWithout := onTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
+		served, neverTold := countOnTime(groups)
+		servedWithout, notToldWithout := countOnTime(simulate(load, kernel.Policy{}.Without(kernel.EndStarvedGroups)))
 		must.EqOp(t, 0, neverTold, must.Sprint("seed ", seed, ": callers without an answer"))
 		must.Positive(t, notToldWithout, must.Sprint("seed ", seed, ": some callers get no answer without EndStarvedGroups"))
 		onTimeWith += served
@@ -211,8 +211,8 @@
 		for _, g := range groups {
 			// A group ends at the first Expire that comes one full call after it can no longer be on time; a
 			// running call is completed.
-			latest := g.Due.Add(-shortest + full + loadSweep + full)
-			must.False(t, !g.made && g.ended.After(latest), must.Sprint("group ", g.ID, " of seed ", seed, " ended ", g.ended.Sub(g.Due), " after it was due"))
+			latest := g.Due.Add(-shortest + full + loadExpireInterval + full)
+			must.False(t, !g.made && g.endedAt.After(latest), must.Sprint("group ", g.ID, " of seed ", seed, " ended ", g.endedAt.Sub(g.Due), " after it was due"))
 			must.True(t, g.made || g.fault == model.PieceLate || g.fault == model.PieceStarved)
 		}
 	}
@@ -220,14 +220,14 @@
 }
 
 // A pool without a backlog makes late work, as this takes no capacity from other work.
-func TestLateWorkIsMadeWithoutBacklog(t *testing.T) {
+func TestLateGroupsAreMadeWithoutBacklog(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(1)
-	late := pieceGroup(1, 3, 8000, now.Add(-time.Second))
+	late := newPieceGroup(1, 3, 8000, now.Add(-time.Second))
 	ok, _ := q.Add(now, late)
 	must.True(t, ok)
-	must.SliceEmpty(t, q.Expire(now.Add(loadSweep)))
-	batch, ok := q.Next(now.Add(loadSweep))
+	must.SliceEmpty(t, q.Expire(now.Add(loadExpireInterval)))
+	batch, ok := q.Next(now.Add(loadExpireInterval))
 	must.True(t, ok)
 	must.Len(t, 3, batch.Pieces)
 	must.True(t, slices.ContainsFunc(batch.Pieces, func(p model.Piece) bool { return p.Request == late.Pieces[0].Request }))
@@ -241,15 +241,15 @@
 	for seed := range uint64(loadSeeds) {
 		load := pieceLoad{
 			seed: seed, length: 12 * time.Second, perSecond: 16, burst: 1, from: 2 * time.Second, to: 10 * time.Second,
-			slack: 900 * time.Millisecond, patience: 5 * time.Second, held: 300 * time.Millisecond,
-			slow: []string{"worker-1"}, slowX: 3.5,
+			slack: 900 * time.Millisecond, timeoutAfterDue: 5 * time.Second, holdTime: 300 * time.Millisecond,
+			slowWorkers: []string{"worker-1"}, slowdown: 3.5,
 		}
 		groups := simulate(load, kernel.Policy{})
-		served, _ := onTime(groups)
+		served, _ := countOnTime(groups)
 		onTimeWith += served
 		missedWith += len(groups) - served
 		groups = simulate(load, kernel.Policy{}.Without(kernel.AvoidSlowWorkers))
-		served, _ = onTime(groups)
+		served, _ = countOnTime(groups)
 		onTimeWithout += served
 		missedWithout += len(groups) - served
 	}
@@ -257,10 +257,10 @@
 	must.Less(t, missedWithout/2, missedWith, must.Sprint("fewer than half as many groups are late; on time ", onTimeWith, ", without ", onTimeWithout))
 }
 
-// onTimeOf counts the groups of a rank that were made before they were due.
-func onTimeOf(groups []*simulatedGroup, rank int) int {
+// countOnTimeOfRank counts the groups of a rank that were made before they were due.
+func countOnTimeOfRank(groups []*simulatedGroup, rank int) int {
 	ofRank := slices.DeleteFunc(slices.Clone(groups), func(g *simulatedGroup) bool { return g.Rank != rank })
-	served, _ := onTime(ofRank)
+	served, _ := countOnTime(ofRank)
 	return served
 }
 
@@ -281,13 +281,13 @@
 			for seed := range uint64(loadSeeds) {
 				load := pieceLoad{
 					seed: seed, length: 10 * time.Second, perSecond: tc.perSecond, burst: 1, slack: 700 * time.Millisecond,
-					patience: 5 * time.Second, held: 300 * time.Millisecond, ranks: []int{0, 10},
+					timeoutAfterDue: 5 * time.Second, holdTime: 300 * time.Millisecond, ranks: []int{0, 10},
 				}
 				groups, without := simulate(load, kernel.Policy{}), simulate(load, kernel.Policy{}.Without(kernel.RankOnlyWhenOverloaded))
-				highWith += onTimeOf(groups, 0)
-				lowWith += onTimeOf(groups, 10)
-				highWithout += onTimeOf(without, 0)
-				lowWithout += onTimeOf(without, 10)
+				highWith += countOnTimeOfRank(groups, 0)
+				lowWith += countOnTimeOfRank(groups, 10)
+				highWithout += countOnTimeOfRank(without, 0)
+				lowWithout += countOnTimeOfRank(without, 10)
 			}
 			t.Log("on time: high rank ", highWith, " (", highWithout, " without), low rank ", lowWith, " (", lowWithout, ")")
 			if !tc.overloaded {
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -13,43 +13,43 @@
 // roomTraits are the traits of a pool with many results that are small compared with its room of 3 MB, and with
 // workers that do not report their room: 28 pieces of 60 kB a call, five workers, calls of 444 ms.
 var roomTraits = model.PieceTraits{
-	Slots: 1, Batch: 28, CallTime: 240 * time.Millisecond, PieceTime: 7300 * time.Microsecond,
-	Room: 3_000_000, Keep: 4 * time.Second, Link: 1_250_000_000,
+	Slots: 1, MaxBatch: 28, CallTime: 240 * time.Millisecond, PieceTime: 7300 * time.Microsecond,
+	Room: 3_000_000, ResultTTL: 4 * time.Second, LinkBandwidth: 1_250_000_000,
 }
 
-const roomResult = 60_000
+const roomResultBytes = 60_000
 
-// lostBatcher simulates the loss of a batcher with all its state: the workers are full of results that nobody
+// batcherLossSim simulates the loss of a batcher with all its state: the workers are full of results that nobody
 // frees. These were made over the second before the loss, and each expires Keep after it was made. Requests of
 // four pieces arrive at three quarters of the calls' capacity.
-type lostBatcher struct {
-	queue   *kernel.BatchQueue
-	lapses  map[string][]time.Time
-	running []kernel.PieceBatch
-	held    map[string][]kernel.ResultRef
-	made    int
-	wasted  int
+type batcherLossSim struct {
+	queue       *kernel.BatchQueue
+	expiries    map[string][]time.Time
+	running     []kernel.PieceBatch
+	held        map[string][]kernel.ResultRef
+	completed   int
+	withoutRoom int
 }
 
-func newLostBatcher(start time.Time, policy kernel.Policy) *lostBatcher {
-	s := &lostBatcher{queue: kernel.NewBatchQueue(roomTraits), lapses: map[string][]time.Time{}, held: map[string][]kernel.ResultRef{}}
+func newBatcherLossSim(start time.Time, policy kernel.Policy) *batcherLossSim {
+	s := &batcherLossSim{queue: kernel.NewBatchQueue(roomTraits), expiries: map[string][]time.Time{}, held: map[string][]kernel.ResultRef{}}
 	s.queue.SetPolicy(policy)
-	s.queue.SetEndpoints(workers(5))
+	s.queue.SetEndpoints(workerEndpoints(5))
 	s.queue.TakeOver(start)
 	// The batcher was lost 1.5 s ago, which is how long nodes need to replace it.
 	lost := start.Add(-1500 * time.Millisecond)
-	for _, w := range workers(5) {
+	for _, w := range workerEndpoints(5) {
 		for i := range 50 {
-			s.lapses[w.Name] = append(s.lapses[w.Name], lost.Add(roomTraits.Keep-time.Duration(i)*20*time.Millisecond))
+			s.expiries[w.Name] = append(s.expiries[w.Name], lost.Add(roomTraits.ResultTTL-time.Duration(i)*20*time.Millisecond))
 		}
 	}
 	return s
 }
 
 // foreign returns how many results of the lost batcher a worker holds.
-func (s *lostBatcher) foreign(now time.Time, worker string) int {
+func (s *batcherLossSim) foreignResults(now time.Time, worker string) int {
 	n := 0
-	for _, at := range s.lapses[worker] {
+	for _, at := range s.expiries[worker] {
 		if now.Before(at) {
 			n++
 		}
@@ -59,19 +59,19 @@
 
 // end completes a call as its worker would: pieces without room are not made. Results are freed at once, as if
 // they had been fetched.
-func (s *lostBatcher) end(now time.Time, batch kernel.PieceBatch) {
-	room := int(roomTraits.Room/roomResult) - s.foreign(batch.StartedAt(), batch.Endpoint.Name)
-	results := madeAll(batch)
+func (s *batcherLossSim) endCall(now time.Time, batch kernel.PieceBatch) {
+	room := int(roomTraits.Room/roomResultBytes) - s.foreignResults(batch.StartedAt(), batch.Endpoint.Name)
+	results := resultsFor(batch)
 	for i := range results {
 		if i >= room {
 			results[i] = model.PieceResult{Fault: model.PieceNoRoom}
-			s.wasted++
+			s.withoutRoom++
 		}
 	}
 	ended, _ := s.queue.Done(now, batch, results)
 	for _, o := range ended {
 		if o.Fault == "" {
-			s.made++
+			s.completed++
 		}
 		for _, ref := range o.Made {
 			s.queue.Release(now, ref)
@@ -80,7 +80,7 @@
 }
 
 // play runs the simulation and returns the cumulative number of completed requests at the end of each second.
-func (s *lostBatcher) play(start time.Time, seconds int) []int {
+func (s *batcherLossSim) run(start time.Time, seconds int) []int {
 	var done []int
 	id := uint64(0)
 	for step := range seconds * 200 {
@@ -88,13 +88,13 @@
 		for len(s.running) > 0 && !now.Before(s.running[0].StartedAt().Add(444*time.Millisecond)) {
 			batch := s.running[0]
 			s.running = s.running[1:]
-			s.end(now, batch)
+			s.endCall(now, batch)
 		}
 		s.queue.Expire(now)
 		// 60 requests arrive each second; the calls can carry 79.
 		if step%10 < 3 {
 			id++
-			s.queue.Add(now, pieceGroup(id, 4, roomResult, now.Add(2500*time.Millisecond)))
+			s.queue.Add(now, newPieceGroup(id, 4, roomResultBytes, now.Add(2500*time.Millisecond)))
 		}
 		for {
 			batch, ok := s.queue.Next(now)
@@ -104,7 +104,7 @@
 			s.running = append(s.running, batch)
 		}
 		if step%200 == 199 {
-			done = append(done, s.made)
+			done = append(done, s.completed)
 		}
 	}
 	return done
@@ -115,11 +115,11 @@
 // fails after three attempts.
 func TestRoomTakenByLostBatcherIsEstimated(t *testing.T) {
 	start := time.Unix(1000, 0)
-	learnt := newLostBatcher(start, kernel.Policy{})
-	with := learnt.play(start, 6)
-	withoutLearning := newLostBatcher(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
-	without := withoutLearning.play(start, 6)
-	t.Logf("requests completed by second: %v (%d pieces without room), without LearnRoomFromRefusals %v (%d)", with, learnt.wasted, without, withoutLearning.wasted)
+	learnt := newBatcherLossSim(start, kernel.Policy{})
+	with := learnt.run(start, 6)
+	withoutLearning := newBatcherLossSim(start, kernel.Policy{}.Without(kernel.LearnRoomFromRefusals))
+	without := withoutLearning.run(start, 6)
+	t.Logf("requests completed by second: %v (%d pieces without room), without LearnRoomFromRefusals %v (%d)", with, learnt.withoutRoom, without, withoutLearning.withoutRoom)
 	must.GreaterEq(t, without[2], with[2])
 	must.GreaterEq(t, 60*3*9/10, with[5]-with[2], must.Sprint("new requests are served once the results have expired"))
 }
@@ -133,5 +133,5 @@
 	must.EqOp(t, 1, q.RoomTaken(now))
 	q.SetFreeRoom(now.Add(time.Second), "worker-0", batchTraits.Room)
 	must.EqOp(t, 0, q.RoomTaken(now.Add(time.Second)))
-	must.False(t, q.MayHoldForeignResults(now.Add(2*batchTraits.Keep)))
+	must.False(t, q.MayHoldForeignResults(now.Add(2*batchTraits.ResultTTL)))
 }
--- a/kernel/batchsuspect_test.go
+++ b/kernel/batchsuspect_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(1000, 0)
 	q := newBatchQueue(3)
 	for id := uint64(1); id <= 3; id++ {
-		group := pieceGroup(id, 2, 8000, now.Add(5*time.Second))
+		group := newPieceGroup(id, 2, 8000, now.Add(5*time.Second))
 		for i := range group.Pieces {
 			group.Pieces[i].Digest = model.Digest(group.Pieces[i].Request)
 		}
@@ -35,9 +35,9 @@
 		must.Len(t, 1, batch.Digests())
 	}
 	// Groups added later join the last of them.
-	ok, _ = q.Add(now, pieceGroup(7, 2, 8000, now.Add(2*time.Second)))
+	ok, _ = q.Add(now, newPieceGroup(7, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
-	ok, _ = q.Add(now, pieceGroup(8, 2, 8000, now.Add(2*time.Second)))
+	ok, _ = q.Add(now, newPieceGroup(8, 2, 8000, now.Add(2*time.Second)))
 	must.True(t, ok)
 	now = now.Add(time.Second)
 	batch, ok = q.Next(now)
--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -22,7 +22,7 @@
 			cs := candidates(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				benchSink = kernel.PickTwoChoices(ledgerStart, kernel.Usable(ledgerStart, cs, nil), "basauri", rand.Float64(), rand.Float64())
+				benchSink = kernel.PickTwoChoices(testStart, kernel.Usable(testStart, cs, nil), "basauri", rand.Float64(), rand.Float64())
 			}
 		})
 	}
@@ -34,7 +34,7 @@
 			cs := candidates(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				benchSink = kernel.PickPrefix(ledgerStart, cs, "agreement-17")
+				benchSink = kernel.PickPrefix(testStart, cs, "agreement-17")
 			}
 		})
 	}
@@ -47,13 +47,13 @@
 			names := make([]string, n)
 			for i := range names {
 				names[i] = fmt.Sprint("customer-", i)
-				q.Push(&kernel.Waiter{Customer: names[i], Cost: 1, Deadline: ledgerStart})
+				q.Push(&kernel.Waiter{Customer: names[i], Cost: 1, Deadline: testStart})
 			}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				i++
-				q.Push(&kernel.Waiter{Customer: names[i%n], Cost: 1, Deadline: ledgerStart})
+				q.Push(&kernel.Waiter{Customer: names[i%n], Cost: 1, Deadline: testStart})
 				benchSink = q.Pop()
 			}
 		})
@@ -65,11 +65,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			q := kernel.NewFairQueue()
 			for i := range n {
-				q.Push(&kernel.Waiter{Customer: fmt.Sprint("customer-", i), Cost: 1, Deadline: ledgerStart})
+				q.Push(&kernel.Waiter{Customer: fmt.Sprint("customer-", i), Cost: 1, Deadline: testStart})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				benchSink = q.CostAhead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: ledgerStart})
+				benchSink = q.CostAhead(kernel.Waiter{Customer: "customer-1", Cost: 1, Deadline: testStart})
 			}
 		})
 	}
@@ -78,8 +78,8 @@
 func BenchmarkOwnerOf(b *testing.B) {
 	for _, n := range []int{9, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			row := kernel.NewClaims(ledgerStart, ledgerStart, ledgerStart.Add(time.Minute), members(n), "w")
-			key := timedKey("team/customer/key", ledgerStart)
+			row := kernel.NewClaims(testStart, testStart, testStart.Add(time.Minute), members(n), "w")
+			key := timedKey("team/customer/key", testStart)
 			b.ReportAllocs()
 			for b.Loop() {
 				benchSink, _ = row.OwnerOf(key)
@@ -94,7 +94,7 @@
 	i := 0
 	for b.Loop() {
 		i++
-		key := timedKey(fmt.Sprint("key-", i), ledgerStart)
+		key := timedKey(fmt.Sprint("key-", i), testStart)
 		l.Admit(key, 1, 0)
 		l.Finish(key, model.Answer{})
 	}
@@ -106,7 +106,7 @@
 	load := kernel.PoolLoad{Slots: 48}
 	b.ReportAllocs()
 	for b.Loop() {
-		l = l.WithReply(ledgerStart, time.Millisecond, time.Millisecond, load, 9)
+		l = l.WithReply(testStart, time.Millisecond, time.Millisecond, load, 9)
 		budget = budget.WithSuccess()
 	}
 	benchSink = l
@@ -160,9 +160,9 @@
 			for _, d := range snapshot.Documents {
 				bytes += len(d.YAML)
 			}
-			before := heap()
+			before := heapBytes()
 			s, _ := kernel.NewSettings().WithSnapshot(snapshot)
-			held := heap() - before
+			held := heapBytes() - before
 			for b.Loop() {
 				benchSink, _ = kernel.NewSettings().WithSnapshot(snapshot)
 			}
@@ -173,7 +173,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -26,7 +26,7 @@
 func TestOwnersNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(6)
-		row := kernel.NewClaims(ledgerStart, ledgerStart.Add(time.Second), ledgerStart.Add(time.Second), all[:3], "w")
+		row := kernel.NewClaims(testStart, testStart.Add(time.Second), testStart.Add(time.Second), all[:3], "w")
 		transferred := map[string]bool{}
 		for range rapid.IntRange(1, 12).Draw(t, "writes") {
 			before := row
@@ -50,7 +50,7 @@
 			must.False(t, row.Horizon.Before(before.Horizon))
 			must.False(t, row.Firm.Before(before.Firm))
 			for i := range 50 {
-				key := timedKey(fmt.Sprint("k", i), ledgerStart.Add(time.Duration(i)*200*time.Millisecond))
+				key := timedKey(fmt.Sprint("k", i), testStart.Add(time.Duration(i)*200*time.Millisecond))
 				old, ok := before.OwnerOf(key)
 				if !ok || !key.Issued.Before(before.Firm) {
 					continue
@@ -63,11 +63,11 @@
 	})
 }
 
-func TestOwnersShareTheKeysEvenly(t *testing.T) {
-	row := kernel.NewClaims(ledgerStart, ledgerStart, ledgerStart.Add(time.Minute), members(9), "w")
+func TestOwnersShareKeysEvenly(t *testing.T) {
+	row := kernel.NewClaims(testStart, testStart, testStart.Add(time.Minute), members(9), "w")
 	counts := map[string]int{}
 	for range 9000 {
-		owner, ok := row.OwnerOf(timedKey(uuid.NewString(), ledgerStart))
+		owner, ok := row.OwnerOf(timedKey(uuid.NewString(), testStart))
 		must.True(t, ok)
 		counts[owner.Node]++
 	}
@@ -76,29 +76,29 @@
 	}
 }
 
-func TestWithoutBeforeKeepsWhatKeptErasNeed(t *testing.T) {
+func TestWithoutBeforeKeepsTransfersOfKeptEras(t *testing.T) {
 	all := members(4)
-	row := kernel.NewClaims(ledgerStart, ledgerStart.Add(time.Second), ledgerStart.Add(time.Second), all[:2], "w")
+	row := kernel.NewClaims(testStart, testStart.Add(time.Second), testStart.Add(time.Second), all[:2], "w")
 	row = row.WithTransfer(all[0].ID(), all[2], "w")
-	row = row.WithEra(all[1:3], row.Firm, ledgerStart.Add(2*time.Second), ledgerStart.Add(2*time.Second), "w")
+	row = row.WithEra(all[1:3], row.Firm, testStart.Add(2*time.Second), testStart.Add(2*time.Second), "w")
 	row = row.WithTransfer(all[2].ID(), all[3], "w")
-	row = row.WithEra(all[1:], row.Firm, ledgerStart.Add(3*time.Second), ledgerStart.Add(3*time.Second), "w")
-	pruned := row.WithoutBefore(ledgerStart.Add(1500 * time.Millisecond))
+	row = row.WithEra(all[1:], row.Firm, testStart.Add(3*time.Second), testStart.Add(3*time.Second), "w")
+	pruned := row.WithoutBefore(testStart.Add(1500 * time.Millisecond))
 	must.Len(t, 2, pruned.Eras)
 	must.Len(t, 1, pruned.Transfers)
-	key := timedKey("k", ledgerStart.Add(1200*time.Millisecond))
+	key := timedKey("k", testStart.Add(1200*time.Millisecond))
 	want, _ := row.OwnerOf(key)
 	got, ok := pruned.OwnerOf(key)
 	must.True(t, ok)
 	must.EqOp(t, want, got)
-	_, ok = pruned.OwnerOf(timedKey("k", ledgerStart))
+	_, ok = pruned.OwnerOf(timedKey("k", testStart))
 	must.False(t, ok)
 }
 
-func TestCoordinatorWritesSeldomAndInOrder(t *testing.T) {
+func TestCoordinatorDecide(t *testing.T) {
 	all := members(3)
 	firm := 30 * time.Second
-	row := kernel.NewClaims(ledgerStart, ledgerStart.Add(firm), ledgerStart.Add(time.Hour), all, "w")
+	row := kernel.NewClaims(testStart, testStart.Add(firm), testStart.Add(time.Hour), all, "w")
 	cases := []struct {
 		name  string
 		self  int
@@ -113,15 +113,15 @@
 		{"the second extends if the first has not", 1, row, all, 12 * time.Second, kernel.ExtendHorizon},
 		{"a member is gone", 0, row, all[:2], 3 * time.Second, kernel.StartEra},
 		{"a member has been gone for less than Settle", 0, row, all[:2], time.Second, kernel.KeepClaims},
-		{"members keep changing and Firm comes close", 0, kernel.NewClaims(ledgerStart, ledgerStart.Add(10*time.Second), ledgerStart.Add(time.Hour), all, "w"), all[:2], time.Second, kernel.ExtendHorizon},
+		{"members keep changing and Firm comes close", 0, kernel.NewClaims(testStart, testStart.Add(10*time.Second), testStart.Add(time.Hour), all, "w"), all[:2], time.Second, kernel.ExtendHorizon},
 		{"a member that is not alive writes nothing", 2, row, all[:2], 9 * time.Second, kernel.KeepClaims},
 		{"no row yet", 0, kernel.Claims{}, all, 3 * time.Second, kernel.CreateClaims},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			k := kernel.Coordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
-			now := ledgerStart.Add(c.after)
-			must.EqOp(t, c.want, k.Decide(now, c.row, c.alive, ledgerStart))
+			k := kernel.ClaimsCoordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
+			now := testStart.Add(c.after)
+			must.EqOp(t, c.want, k.Decide(now, c.row, c.alive, testStart))
 		})
 	}
 }
@@ -154,8 +154,8 @@
 	must.EqOp(t, int64(0x018bcfe56800), lower.Issued.UnixMilli())
 }
 
-func TestAnOwnerGoesBeyondFirmOnlyAsFarAsAllHaveGranted(t *testing.T) {
-	at := func(s int) time.Time { return ledgerStart.Add(time.Duration(s) * time.Second) }
+func TestBoundNeedsGrantsOfAllMembers(t *testing.T) {
+	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
 	all := members(3)
 	row := kernel.NewClaims(at(0), at(6), at(60), all, "w")
 	grants := make([]*kernel.Grants, 3)
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -22,10 +22,10 @@
 type (
 	// coldFleet simulates nodes that all have more requests for one cold endpoint than it may get.
 	coldFleet struct {
-		rng   *rand.Rand
-		terms kernel.ColdLimits
-		rate  float64
-		nodes []coldNode
+		rng    *rand.Rand
+		limits kernel.ColdLimits
+		rate   float64
+		nodes  []coldNode
 	}
 
 	coldNode struct {
@@ -38,7 +38,7 @@
 )
 
 func newColdFleet(seed uint64, nodes int, terms kernel.ColdLimits, rate float64) *coldFleet {
-	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, rate: rate}
+	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 1)), limits: terms, rate: rate}
 	all := peersNamed("node", nodes)
 	for _, p := range all {
 		f.nodes = append(f.nodes, coldNode{name: p.Name, knownPeers: all})
@@ -56,8 +56,8 @@
 
 // play lets all nodes send as fast as they may for the given time, and returns the maximum number of requests that
 // arrive within one second and the total. Some sends open a connection first.
-func (f *coldFleet) play(length time.Duration, at func(elapsed time.Duration)) (maxInSecond, total int) {
-	share := f.terms.Share(f.rate)
+func (f *coldFleet) run(length time.Duration, at func(elapsed time.Duration)) (maxInSecond, total int) {
+	share := f.limits.Share(f.rate)
 	start := time.Unix(1000, 0)
 	e := model.Endpoint{Name: "cold", ColdUntil: start.Add(length)}
 	var arrivals []time.Duration
@@ -149,7 +149,7 @@
 
 // A cold endpoint that all nodes want to use gets no more than the bound in any second and is not left idle, whatever
 // the size of the fleet, the disruption and the membership views of the nodes.
-func TestAColdEndpointGetsNoMoreThanItsBound(t *testing.T) {
+func TestColdEndpointStaysWithinBound(t *testing.T) {
 	const length = 10 * time.Second
 	terms, rate := kernel.ColdLimits{Excess: 1.5, Slack: 5}, 9.4
 	bound := int(rate*terms.Excess + terms.Slack)
@@ -158,7 +158,7 @@
 			for _, nodes := range []int{1, 8, 76, 400} {
 				for seed := range uint64(5) {
 					f := newColdFleet(seed, nodes, terms, rate)
-					maxInSecond, total := f.play(length, func(elapsed time.Duration) {
+					maxInSecond, total := f.run(length, func(elapsed time.Duration) {
 						if elapsed == coldDisruptionAt {
 							disruption(f)
 						}
@@ -171,12 +171,12 @@
 	}
 }
 
-func TestAPoolWithoutAStatedRateHasNoBound(t *testing.T) {
+func TestPoolWithoutColdRateHasNoBound(t *testing.T) {
 	must.EqOp(t, 0, kernel.ColdLimits{Excess: 1.5, Slack: 5}.Share(0).Senders)
 }
 
 // The bound is kept for pools of all rates, also where the settings give no excess.
-func TestTheSharesOfAColdEndpointFitItsBound(t *testing.T) {
+func TestColdSharesFitBound(t *testing.T) {
 	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{2, 3, 5, 9.4, 50, 1000} {
 			share := terms.Share(rate)
@@ -186,9 +186,9 @@
 	}
 }
 
-func TestAnEntrySaysUntilWhenItsEndpointIsCold(t *testing.T) {
+func TestNewestEntryDecidesCold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	e := in("a", "p-a", "p")
+	e := endpointIn("a", "p-a", "p")
 	e.ColdFor = 3 * time.Second
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{e}, nil, nil)
 	must.True(t, kernel.AnyCold(now.Add(2900*time.Millisecond), r.Endpoints("p")))
@@ -203,9 +203,9 @@
 
 // Endpoints may have become cold while their domain was evacuated. Their entries say so only after the end of the
 // evacuation is known.
-func TestARestoredDomainCountsAsCold(t *testing.T) {
+func TestRestoredDomainCountsAsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuated(now, "a"))
+	r := domainsRegistry(now, "p", "a", "b").WithEvacuations(evacuationsOf(now, "a"))
 	ended := now.Add(10 * time.Second)
 	back, _ := r.Evacuations().With(ended, kernel.EvacuationChange{Restored: []string{"a"}})
 	r = r.WithEvacuations(back)
@@ -213,14 +213,14 @@
 		must.EqOp(t, e.FailureDomain == "a", kernel.IsCold(ended, e))
 		must.False(t, kernel.IsCold(ended.Add(4*time.Second), e))
 	}
-	r = r.WithChanges(ended.Add(time.Second), ended.Add(time.Second), []model.Endpoint{in("a", "p-a", "p")}, nil, nil)
+	r = r.WithChanges(ended.Add(time.Second), ended.Add(time.Second), []model.Endpoint{endpointIn("a", "p-a", "p")}, nil, nil)
 	must.True(t, kernel.IsCold(ended.Add(time.Second), r.Endpoints("p")[0]), must.Sprint("the entry may have been written before the evacuation ended"))
 }
 
 // Calls to a cold worker are spaced, and the warm workers make the remaining pieces.
-func TestAColdWorkerGetsFewCalls(t *testing.T) {
+func TestColdWorkerGetsFewCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
-	warm, cold := in("a", "warm", "workers"), in("a", "cold", "workers")
+	warm, cold := endpointIn("a", "warm", "workers"), endpointIn("a", "cold", "workers")
 	cold.ColdUntil = start.Add(time.Minute)
 	g := kernel.NewBatchQueue(batchTraits)
 	share := kernel.ColdLimits{}.Share(4).ForSingleSender()
@@ -232,7 +232,7 @@
 	for elapsed := time.Duration(0); elapsed < length; elapsed += 50 * time.Millisecond {
 		now := start.Add(elapsed)
 		id++
-		g.Add(now, pieceGroup(id, batchTraits.Batch, 10, now.Add(time.Minute)))
+		g.Add(now, newPieceGroup(id, batchTraits.MaxBatch, 10, now.Add(time.Minute)))
 		for batch, more := g.Next(now); more; batch, more = g.Next(now) {
 			calls[batch.Endpoint.Name]++
 			g.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
--- a/kernel/evacuation_test.go
+++ b/kernel/evacuation_test.go
@@ -12,7 +12,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-func in(domain, name, pool string) model.Endpoint {
+func endpointIn(domain, name, pool string) model.Endpoint {
 	return model.Endpoint{Name: name, Pool: pool, Address: name + ":1", FailureDomain: domain, State: model.Live}
 }
 
@@ -20,12 +20,12 @@
 func domainsRegistry(now time.Time, pool string, domains ...string) kernel.Registry {
 	var listed []model.Endpoint
 	for _, domain := range domains {
-		listed = append(listed, in(domain, pool+"-"+domain, pool))
+		listed = append(listed, endpointIn(domain, pool+"-"+domain, pool))
 	}
 	return kernel.NewRegistry().WithChanges(now, now, listed, nil, nil)
 }
 
-func evacuated(now time.Time, domains ...string) kernel.Evacuations {
+func evacuationsOf(now time.Time, domains ...string) kernel.Evacuations {
 	e, _ := kernel.Evacuations{}.With(now, kernel.EvacuationChange{Evacuated: domains})
 	return e
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-func (m *evacuationMachine) readWhole() {
+func (m *evacuationMachine) readAll() {
 	var rows []kernel.Row
 	for _, r := range m.store {
 		rows = append(rows, r)
@@ -74,7 +74,7 @@
 func (m *evacuationMachine) readChanges() {
 	after, known := m.reader.Version()
 	if !known {
-		m.readWhole()
+		m.readAll()
 		return
 	}
 	var rows []kernel.Row
@@ -86,7 +86,7 @@
 	m.reader.Apply(m.now, rows, m.version, false)
 }
 
-func (m *evacuationMachine) ask() {
+func (m *evacuationMachine) copyFromReader() {
 	after, _ := m.follower.Version()
 	d, known := m.reader.Since(m.now, after)
 	if !known {
@@ -107,7 +107,7 @@
 // A node that has read the store sends requests to exactly the domains that are not evacuated, whatever operators write
 // in which order, and however many writes reach it at once, from the store's changes or from a full read after the
 // history was lost.
-func TestEvacuationsFollowTheStoreInAnyOrderOfEvents(t *testing.T) {
+func TestEvacuationsFollowStore(t *testing.T) {
 	domains := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -120,15 +120,15 @@
 				m.write(rapid.SampledFrom(domains).Draw(t, "domain"), rapid.Bool().Draw(t, "restored"))
 			},
 			"list again": func(*rapid.T) {
-				m.registry = m.registry.WithChanges(m.now, m.now, []model.Endpoint{in("a", "p-a", "p")}, nil, nil)
+				m.registry = m.registry.WithChanges(m.now, m.now, []model.Endpoint{endpointIn("a", "p-a", "p")}, nil, nil)
 			},
 			"read":         func(*rapid.T) { m.readChanges() },
-			"lost history": func(*rapid.T) { m.readWhole() },
-			"ask":          func(*rapid.T) { m.ask() },
+			"lost history": func(*rapid.T) { m.readAll() },
+			"ask":          func(*rapid.T) { m.copyFromReader() },
 			"":             func(*rapid.T) { m.now = m.now.Add(100 * time.Millisecond) },
 		})
 		m.readChanges()
-		m.ask()
+		m.copyFromReader()
 		var want []string
 		for _, domain := range domains {
 			if _, held := m.store[domain]; !held {
@@ -139,12 +139,12 @@
 	})
 }
 
-func TestAnEvacuatedDomainGetsNoPieces(t *testing.T) {
+func TestEvacuatedDomainGetsNoPieces(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "workers", "a", "b")
 	g := kernel.NewBatchQueue(batchTraits)
 	g.SetEndpoints(registry.Endpoints("workers"))
-	early := pieceGroup(1, 1, 1000, now.Add(time.Minute))
+	early := newPieceGroup(1, 1, 1000, now.Add(time.Minute))
 	early.Domain = "a"
 	ok, _ := g.Add(now, early)
 	must.True(t, ok)
@@ -152,11 +152,11 @@
 	must.True(t, ok)
 	must.EqOp(t, "a", inFlight.Endpoint.FailureDomain)
 
-	g.SetEndpoints(registry.WithEvacuations(evacuated(now, "a")).Endpoints("workers"))
+	g.SetEndpoints(registry.WithEvacuations(evacuationsOf(now, "a")).Endpoints("workers"))
 	total := 0
 	for id := uint64(2); id < 30; id++ {
 		now = now.Add(time.Second)
-		group := pieceGroup(id, 1, 1000, now.Add(time.Minute))
+		group := newPieceGroup(id, 1, 1000, now.Add(time.Minute))
 		group.Domain, group.LocalityWait = "a", time.Second
 		ok, _ = g.Add(now, group)
 		must.True(t, ok)
@@ -171,15 +171,15 @@
 	must.SliceLen(t, 1, ended, must.Sprint("a call in flight ends normally"))
 	must.EqOp(t, model.PieceFault(""), ended[0].Fault)
 
-	g.SetEndpoints(registry.WithEvacuations(evacuated(now, "a", "b")).Endpoints("workers"))
-	ok, retry := g.Add(now, pieceGroup(99, 1, 1000, now.Add(time.Minute)))
+	g.SetEndpoints(registry.WithEvacuations(evacuationsOf(now, "a", "b")).Endpoints("workers"))
+	ok, retry := g.Add(now, newPieceGroup(99, 1, 1000, now.Add(time.Minute)))
 	must.False(t, ok, must.Sprint("pieces that no endpoint can make are not queued"))
 	must.Positive(t, retry)
 }
 
-func TestRequestsThatOnlyEvacuatedDomainsCouldServeAreRefused(t *testing.T) {
+func TestAdmitPoolsRefusesEvacuatedPools(t *testing.T) {
 	now := time.Unix(1000, 0)
-	registry := domainsRegistry(now, "engines", "a", "b").WithChanges(now, now, []model.Endpoint{in("a", "worker", "workers")}, nil, nil)
+	registry := domainsRegistry(now, "engines", "a", "b").WithChanges(now, now, []model.Endpoint{endpointIn("a", "worker", "workers")}, nil, nil)
 	staged := kernel.Admission{Pool: "engines", Route: model.Route{Stages: []model.StageNode{{Pool: "workers"}}}}
 	for _, tc := range []struct {
 		evacuated []string
@@ -192,7 +192,7 @@
 		{[]string{"a"}, 0, false},
 		{[]string{"a", "b"}, 0, true},
 	} {
-		refusal := kernel.AdmitPools(registry.WithEvacuations(evacuated(now, tc.evacuated...)), model.Forward{Pieces: []int{tc.pieces}}, staged)
+		refusal := kernel.AdmitPools(registry.WithEvacuations(evacuationsOf(now, tc.evacuated...)), model.Forward{Pieces: []int{tc.pieces}}, staged)
 		must.EqOp(t, tc.refused, refusal != nil, must.Sprint(fmt.Sprint(tc)))
 		if refusal != nil {
 			must.EqOp(t, model.PoolEvacuated, refusal.Reason)
@@ -203,19 +203,19 @@
 }
 
 // The home domain of a prompt moves away from an evacuated domain and returns to it afterwards.
-func TestAPromptReturnsToItsHomeDomainAfterAnEvacuation(t *testing.T) {
+func TestPromptReturnsAfterEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := domainsRegistry(now, "engines", "a", "b", "c")
 	for i := range 50 {
 		key := fmt.Sprint("part-", i)
 		home := kernel.AffinityDomain(key, registry.Endpoints("engines"))
-		away := registry.WithEvacuations(evacuated(now, home))
+		away := registry.WithEvacuations(evacuationsOf(now, home))
 		must.NotEq(t, home, kernel.AffinityDomain(key, away.Endpoints("engines")))
 		back, _ := away.Evacuations().With(now, kernel.EvacuationChange{Restored: []string{home}})
 		must.EqOp(t, home, kernel.AffinityDomain(key, away.WithEvacuations(back).Endpoints("engines")))
 		for _, other := range []string{"a", "b", "c"} {
 			if other != home {
-				must.EqOp(t, home, kernel.AffinityDomain(key, registry.WithEvacuations(evacuated(now, other)).Endpoints("engines")))
+				must.EqOp(t, home, kernel.AffinityDomain(key, registry.WithEvacuations(evacuationsOf(now, other)).Endpoints("engines")))
 			}
 		}
 	}
--- a/kernel/explorer_actions_test.go
+++ b/kernel/explorer_actions_test.go
@@ -9,38 +9,38 @@
 )
 
 // read lets a process read any row version newer than the one it knows.
-func (e *explorer) read(s exploreState, p int) {
-	for v := max(0, s.procs[p].known+1); v < len(s.rows); v++ {
+func (e *explorer) readRow(s exploreState, p int) {
+	for v := max(0, s.procs[p].readVersion+1); v < len(s.rows); v++ {
 		next := s.clone()
-		next.procs[p].known = v
-		e.push(next)
+		next.procs[p].readVersion = v
+		e.addState(next)
 	}
 }
 
 // swap lets a process that knows the newest row write the next one; the reply may be lost.
-func (e *explorer) swap(s exploreState, p int) {
-	if e.grants || s.procs[p].known != len(s.rows)-1 {
+func (e *explorer) writeRow(s exploreState, p int) {
+	if e.withGrants || s.procs[p].readVersion != len(s.rows)-1 {
 		return
 	}
-	row := s.rows[s.procs[p].known]
-	for _, written := range e.writes(s, p, row) {
+	row := s.rows[s.procs[p].readVersion]
+	for _, written := range e.nextRows(s, p, row) {
 		next := s.clone()
 		next.rows = append(next.rows, written)
 		next.rowsKey += rowKey(written)
-		e.push(next)
+		e.addState(next)
 		answered := next.clone()
-		answered.procs[p].known = len(next.rows) - 1
-		e.push(answered)
+		answered.procs[p].readVersion = len(next.rows) - 1
+		e.addState(answered)
 	}
 }
 
-func (e *explorer) writes(s exploreState, p int, row kernel.Claims) []kernel.Claims {
+func (e *explorer) nextRows(s exploreState, p int, row kernel.Claims) []kernel.Claims {
 	var out []kernel.Claims
 	if firm := row.Firm.Add(time.Millisecond); !firm.After(time.UnixMilli(exploreMaxTime)) {
 		out = append(out, row.WithHorizon(firm, firm, "w"))
 	}
-	if p == leaver && s.procs[p].stopped && s.handed && !row.HasLeft(exploreMember(p).ID()) {
-		out = append(out, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.heir(s)), "w"))
+	if p == leavingProc && s.procs[p].stopped && s.handedOver && !row.HasLeft(exploreMember(p).ID()) {
+		out = append(out, row.WithTransfer(exploreMember(p).ID(), exploreMember(e.successorProc(s)), "w"))
 	}
 	return out
 }
@@ -48,21 +48,21 @@
 // beginEra lets a process send an era to the table. The era starts above what the process has granted, or what
 // another member of the newest era returns when it is sealed, or above the whole horizon.
 func (e *explorer) beginEra(s exploreState, p int) {
-	known := s.procs[p].known
+	known := s.procs[p].readVersion
 	if known != len(s.rows)-1 || len(s.rows[known].Eras) >= exploreMaxEras || len(s.pending) > 0 || s.procs[p].stopped {
 		return
 	}
 	row := s.rows[known]
 	next := s.clone()
-	if has(row.NewestEra().Members, exploreMember(p)) {
+	if containsMember(row.NewestEra().Members, exploreMember(p)) {
 		e.sendEras(next, known, next.grants[p].BeginEra(row))
 		return
 	}
 	e.sendEras(next, known, row.Horizon)
 	for q := range exploreProcs {
-		if q != p && s.procs[q].alive && s.procs[q].known >= known && has(row.NewestEra().Members, exploreMember(q)) {
+		if q != p && s.procs[q].alive && s.procs[q].readVersion >= known && containsMember(row.NewestEra().Members, exploreMember(q)) {
 			asked := s.clone()
-			e.sendEras(asked, known, asked.grants[q].Seal(s.rows[s.procs[q].known], row.Number))
+			e.sendEras(asked, known, asked.grants[q].Seal(s.rows[s.procs[q].readVersion], row.Number))
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	end := time.UnixMilli(exploreMaxTime)
 	memberSets := [][]int{{1}, {2}, {1, 2}, {0}}
-	if e.grants {
+	if e.withGrants {
 		memberSets = [][]int{{1}, {2}}
 	}
 	for _, set := range memberSets {
@@ -87,15 +87,15 @@
 			era.Eras[len(era.Eras)-1].From = time.UnixMilli(exploreKeyTime)
 		}
 		next := s.clone()
-		if e.grants {
+		if e.withGrants {
 			next.pending = append(next.pending, explorePending{version: version, row: era})
-			e.push(next)
+			e.addState(next)
 			continue
 		}
 		// Without grants, any change between the two steps shows in the row, so that one step is enough.
 		next.rows = append(next.rows, era)
 		next.rowsKey += rowKey(era)
-		e.push(next)
+		e.addState(next)
 	}
 }
 
@@ -108,18 +108,18 @@
 		next.rows = append(next.rows, p.row)
 		next.rowsKey += rowKey(p.row)
 	}
-	e.push(next)
+	e.addState(next)
 }
 
 // grant lets a process ask a process, which may be itself, for a grant; the reply may be lost.
-func (e *explorer) grant(s exploreState, p int) {
-	if !e.grants || s.procs[p].known < 0 {
+func (e *explorer) requestGrant(s exploreState, p int) {
+	if !e.withGrants || s.procs[p].readVersion < 0 {
 		return
 	}
-	row := s.rows[s.procs[p].known]
+	row := s.rows[s.procs[p].readVersion]
 	era := row.NewestEra().Number
 	for q := range exploreProcs {
-		if !s.procs[q].alive || s.procs[q].known < 0 {
+		if !s.procs[q].alive || s.procs[q].readVersion < 0 {
 			continue
 		}
 		next := s.clone()
@@ -127,90 +127,90 @@
 		if e.fault == sealIgnored {
 			grantor.CancelEra()
 		}
-		until, ok := grantor.Grant(s.rows[s.procs[q].known], era, time.UnixMilli(exploreKeyTime+1))
+		until, ok := grantor.Grant(s.rows[s.procs[q].readVersion], era, time.UnixMilli(exploreKeyTime+1))
 		if !ok {
 			continue
 		}
 		if q != p {
-			e.push(next)
+			e.addState(next)
 			next = next.clone()
 			next.grants[p].Record(exploreMember(q).ID(), era, until)
 		}
-		if e.fault == oneGrantIsEnough {
+		if e.fault == oneGrantForAll {
 			for _, m := range row.NewestEra().Members {
 				next.grants[p].Record(m.ID(), era, until)
 			}
 		}
-		e.push(next)
+		e.addState(next)
 	}
 }
 
-func has(members []kernel.Member, m kernel.Member) bool {
+func containsMember(members []kernel.Member, m kernel.Member) bool {
 	return slices.Contains(members, m)
 }
 
 // heir returns the process to which the leaving one hands over its keys.
-func (e *explorer) heir(s exploreState) int {
-	if s.procs[restart].alive || s.procs[restart].known >= 0 {
-		return restart
+func (e *explorer) successorProc(s exploreState) int {
+	if s.procs[restartedProc].alive || s.procs[restartedProc].readVersion >= 0 {
+		return restartedProc
 	}
-	return crashed
+	return crashingProc
 }
 
 // arrive lets an attempt reach a process as its entry node.
-func (e *explorer) arrive(s exploreState, p int) {
-	if s.attempts >= exploreAttempts || s.procs[p].known < 0 {
+func (e *explorer) submitAttempt(s exploreState, p int) {
+	if s.attempts >= exploreAttempts || s.procs[p].readVersion < 0 {
 		return
 	}
 	next := s.clone()
 	next.attempts++
 	number := 0
-	if e.numbered {
+	if e.numberedAttempts {
 		number = next.attempts
 	}
-	owner, ok := s.rows[s.procs[p].known].OwnerOf(exploreKey)
+	owner, ok := s.rows[s.procs[p].readVersion].OwnerOf(exploreKey)
 	if ok {
-		next.messages = append(next.messages, exploreMessage{to: e.memberOf(owner), attempt: number})
-	} else if e.fault == entrySaysNotRun {
-		next.told = max(next.told, number)
+		next.messages = append(next.messages, exploreMessage{to: e.procOf(owner), attempt: number})
+	} else if e.fault == entryAnswersNotRun {
+		next.highestNotRun = max(next.highestNotRun, number)
 	}
-	e.push(next)
+	e.addState(next)
 }
 
 // deliver passes a message to its owner, after any delay.
 func (e *explorer) deliver(s exploreState, i int) {
 	message := s.messages[i]
 	p := message.to
-	if e.fault == sameIncarnation && p == crashed && !s.procs[crashed].alive {
-		p = restart
+	if e.fault == sameIncarnation && p == crashingProc && !s.procs[crashingProc].alive {
+		p = restartedProc
 	}
-	if !s.procs[p].alive || s.procs[p].known < 0 {
+	if !s.procs[p].alive || s.procs[p].readVersion < 0 {
 		return
 	}
 	next := s.clone()
 	next.messages = slices.Delete(next.messages, i, i+1)
-	owner, ok := s.rows[s.procs[p].known].OwnerOf(exploreKey)
-	bound := s.grants[p].Bound(s.rows[s.procs[p].known])
+	owner, ok := s.rows[s.procs[p].readVersion].OwnerOf(exploreKey)
+	bound := s.grants[p].Bound(s.rows[s.procs[p].readVersion])
 	if e.fault == runsWithoutGrants {
-		bound = s.rows[s.procs[p].known].Horizon
+		bound = s.rows[s.procs[p].readVersion].Horizon
 	}
 	ok = ok && exploreKey.Issued.Before(bound)
-	owns := ok && (e.memberOf(owner) == p || (e.fault == sameIncarnation && e.memberOf(owner) == crashed && p == restart))
-	if !owns || (s.procs[p].stopped && e.fault != leaverRunsOn) {
-		e.push(next)
+	owns := ok && (e.procOf(owner) == p || (e.fault == sameIncarnation && e.procOf(owner) == crashingProc && p == restartedProc))
+	if !owns || (s.procs[p].stopped && e.fault != runsAfterHandover) {
+		e.addState(next)
 		return
 	}
 	ledger := kernel.NewLedger(time.Time{})
 	ledger.Import("", next.ledgers[p], time.Time{})
 	decision := ledger.Admit(exploreKey, 1, message.attempt)
 	if decision.Action == kernel.LedgerRefuse && decision.Refusal.Verdict == model.NotRun {
-		next.told = max(next.told, message.attempt)
+		next.highestNotRun = max(next.highestNotRun, message.attempt)
 	}
-	next.store(p, ledger)
-	e.push(next)
+	next.storeEntry(p, ledger)
+	e.addState(next)
 }
 
-func (s *exploreState) store(p int, ledger *kernel.Ledger) {
+func (s *exploreState) storeEntry(p int, ledger *kernel.Ledger) {
 	if entry, ok := ledger.Entry(exploreKey.ID); ok {
 		s.ledgers[p][exploreKey.ID] = entry
 	}
@@ -218,13 +218,13 @@
 
 // end ends a running key in each possible way: answered, sent without an answer, failed before the call was sent,
 // refused before anything ran.
-func (e *explorer) end(s exploreState, p int) {
+func (e *explorer) endRun(s exploreState, p int) {
 	entry, ok := s.ledgers[p][exploreKey.ID]
 	if !ok || entry.State != kernel.KeyRunning {
 		return
 	}
 	outcomes := []string{"answered", "lost", "unsent", "refused"}
-	if e.grants {
+	if e.withGrants {
 		outcomes = []string{"answered", "refused"}
 	}
 	for _, outcome := range outcomes {
@@ -246,58 +246,58 @@
 			ledger.Refuse(exploreKey, &model.Refusal{Verdict: model.MayHaveRun}, false)
 		case "refused":
 			if ledger.Refuse(exploreKey, &model.Refusal{Verdict: model.NotRun}, false).Verdict == model.NotRun {
-				next.told = max(next.told, entry.Attempt)
+				next.highestNotRun = max(next.highestNotRun, entry.Attempt)
 			}
 		}
-		next.store(p, ledger)
-		if e.fault == refusalForgotten && outcome == "refused" {
+		next.storeEntry(p, ledger)
+		if e.fault == refusalNotStored && outcome == "refused" {
 			delete(next.ledgers[p], exploreKey.ID)
 		}
-		e.tellHeir(&next, p)
-		e.push(next)
+		e.sendOutcomeToSuccessor(&next, p)
+		e.addState(next)
 	}
 }
 
-// tellHeir sends the successor the outcome of a key that was still running at the handover.
-func (e *explorer) tellHeir(s *exploreState, p int) {
-	if p != leaver || !s.handed {
+// sendOutcomeToSuccessor sends the successor the outcome of a key that was still running at the handover.
+func (e *explorer) sendOutcomeToSuccessor(s *exploreState, p int) {
+	if p != leavingProc || !s.handedOver {
 		return
 	}
-	successor := e.heir(*s)
+	successor := e.successorProc(*s)
 	ledger := kernel.NewLedger(time.Time{})
 	ledger.Import("", s.ledgers[successor], time.Time{})
-	ledger.Import(exploreMember(leaver).ID(), s.ledgers[p], time.Time{})
-	s.store(successor, ledger)
+	ledger.Import(exploreMember(leavingProc).ID(), s.ledgers[p], time.Time{})
+	s.storeEntry(successor, ledger)
 }
 
 // crash ends the first process, whose ledger is lost; the third process is its restart.
 func (e *explorer) crash(s exploreState) {
-	if e.grants || e.leaves || !s.procs[crashed].alive {
+	if e.withGrants || e.withHandover || !s.procs[crashingProc].alive {
 		return
 	}
 	next := s.clone()
-	next.procs[crashed].alive = false
-	next.procs[restart].alive = true
-	next.ledgers[crashed] = map[string]kernel.LedgerEntry{}
-	e.push(next)
+	next.procs[crashingProc].alive = false
+	next.procs[restartedProc].alive = true
+	next.ledgers[crashingProc] = map[string]kernel.LedgerEntry{}
+	e.addState(next)
 }
 
 // handOver stops the leaving process and sends its entries to the successor.
 func (e *explorer) handOver(s exploreState) {
-	successor := e.heir(s)
-	if !e.leaves || s.handed || !s.procs[successor].alive {
+	successor := e.successorProc(s)
+	if !e.withHandover || s.handedOver || !s.procs[successor].alive {
 		return
 	}
 	next := s.clone()
-	next.handed = true
-	next.procs[leaver].stopped = true
+	next.handedOver = true
+	next.procs[leavingProc].stopped = true
 	from := kernel.NewLedger(time.Time{})
-	from.Import("", next.ledgers[leaver], time.Time{})
+	from.Import("", next.ledgers[leavingProc], time.Time{})
 	to := kernel.NewLedger(time.Time{})
 	to.Import("", next.ledgers[successor], time.Time{})
-	if e.fault != heirWithoutMemory {
-		to.Import(exploreMember(leaver).ID(), from.Export(exploreMember(leaver).ID()), time.Time{})
+	if e.fault != handoverWithoutEntries {
+		to.Import(exploreMember(leavingProc).ID(), from.Export(exploreMember(leavingProc).ID()), time.Time{})
 	}
-	next.store(successor, to)
-	e.push(next)
+	next.storeEntry(successor, to)
+	e.addState(next)
 }
--- a/kernel/explorer_test.go
+++ b/kernel/explorer_test.go
@@ -23,24 +23,24 @@
 	exploreMaxEras  = 3
 	exploreProcs    = 3
 	exploreAttempts = 2
-	crashed         = 0
-	restart         = 2
-	leaver          = 1
+	crashingProc    = 0
+	restartedProc   = 2
+	leavingProc     = 1
 )
 
 // fault is a defect injected into the protocol, which the explorer must find.
 type fault int
 
 const (
-	sound fault = iota
-	entrySaysNotRun
-	refusalForgotten
+	noFault fault = iota
+	entryAnswersNotRun
+	refusalNotStored
 	eraBelowHorizon
 	sameIncarnation
-	leaverRunsOn
-	heirWithoutMemory
+	runsAfterHandover
+	handoverWithoutEntries
 	runsWithoutGrants
-	oneGrantIsEnough
+	oneGrantForAll
 	eraBelowGrants
 	sealIgnored
 )
@@ -48,8 +48,8 @@
 type (
 	exploreProc struct {
 		// known is the index of the row version that was read; -1 before the first read.
-		known int
-		alive bool
+		readVersion int
+		alive       bool
 		// stopped is set from the first message of the handover on.
 		stopped bool
 	}
@@ -79,28 +79,28 @@
 		runs       int
 		runAttempt int
 		// told is the highest attempt that was answered with NotRun, -1 for none.
-		told    int
-		grants  [exploreProcs]*kernel.Grants
-		pending []explorePending
+		highestNotRun int
+		grants        [exploreProcs]*kernel.Grants
+		pending       []explorePending
 		// handed is set once the entries of the leaving process were sent to its successor.
-		handed bool
+		handedOver bool
 	}
 
 	explorer struct {
 		t     *testing.T
 		fault fault
 		// numbered gives each attempt its own number; otherwise all attempts have number 0.
-		numbered bool
+		numberedAttempts bool
 		// grants lets members grant keys beyond Firm. To limit the number of states, no process then crashes or
 		// leaves, the third process is a live one outside the first era, and Firm moves only with an era.
-		grants bool
+		withGrants bool
 		// leaves lets a member hand over its keys and leave; otherwise one member crashes and is restarted.
-		leaves bool
-		seen   map[string]bool
+		withHandover bool
+		visited      map[string]bool
 		// todo holds the states to expand at the next depth.
-		todo  []exploreState
-		steps int
-		found string
+		frontier  []exploreState
+		depth     int
+		violation string
 	}
 )
 
@@ -110,7 +110,7 @@
 	return kernel.Member{Node: fmt.Sprintf("n%d", p%2), Incarnation: fmt.Sprintf("i%d", p)}
 }
 
-func (e *explorer) memberOf(m kernel.Member) int {
+func (e *explorer) procOf(m kernel.Member) int {
 	for p := range exploreProcs {
 		if exploreMember(p).ID() == m.ID() {
 			return p
@@ -120,18 +120,18 @@
 	return -1
 }
 
-func (e *explorer) first() exploreState {
+func (e *explorer) initialState() exploreState {
 	horizon := time.UnixMilli(exploreKeyTime)
-	if e.grants {
+	if e.withGrants {
 		horizon = horizon.Add(time.Millisecond)
 	}
 	row := kernel.NewClaims(time.UnixMilli(0), time.UnixMilli(exploreKeyTime), horizon, []kernel.Member{exploreMember(0), exploreMember(1)}, "w")
-	s := exploreState{rows: []kernel.Claims{row}, rowsKey: rowKey(row), told: -1}
-	s.procs[0] = exploreProc{known: 0, alive: true}
-	s.procs[1] = exploreProc{known: 0, alive: true}
-	s.procs[2] = exploreProc{known: -1}
-	if e.grants {
-		s.procs[2] = exploreProc{known: 0, alive: true}
+	s := exploreState{rows: []kernel.Claims{row}, rowsKey: rowKey(row), highestNotRun: -1}
+	s.procs[0] = exploreProc{readVersion: 0, alive: true}
+	s.procs[1] = exploreProc{readVersion: 0, alive: true}
+	s.procs[2] = exploreProc{readVersion: -1}
+	if e.withGrants {
+		s.procs[2] = exploreProc{readVersion: 0, alive: true}
 	}
 	for p := range s.grants {
 		s.grants[p] = kernel.NewGrants(exploreMember(p))
@@ -181,7 +181,7 @@
 	appendNumber := func(n int) { key = append(key, byte('a'+n)) }
 	for p, proc := range s.procs {
 		key = append(key, '|')
-		appendNumber(proc.known)
+		appendNumber(proc.readVersion)
 		appendFlag(proc.alive)
 		key = append(key, ',')
 		appendFlag(proc.stopped)
@@ -213,54 +213,54 @@
 		appendNumber(m.attempt)
 	}
 	key = append(key, '|')
-	for _, n := range []int{s.attempts, s.runs, s.runAttempt, s.told} {
+	for _, n := range []int{s.attempts, s.runs, s.runAttempt, s.highestNotRun} {
 		appendNumber(n)
 	}
-	appendFlag(s.handed)
+	appendFlag(s.handedOver)
 	return string(key)
 }
 
-func (e *explorer) push(s exploreState) {
-	if e.found != "" {
+func (e *explorer) addState(s exploreState) {
+	if e.violation != "" {
 		return
 	}
 	key := s.key()
-	if e.seen[key] {
+	if e.visited[key] {
 		return
 	}
-	e.seen[key] = true
+	e.visited[key] = true
 	switch {
 	case s.runs > 1:
-		e.found = "service called twice: " + key
-	case s.runs > 0 && s.runAttempt <= s.told:
-		e.found = "attempt ran after NotRun: " + key
+		e.violation = "service called twice: " + key
+	case s.runs > 0 && s.runAttempt <= s.highestNotRun:
+		e.violation = "attempt ran after NotRun: " + key
 	}
-	e.todo = append(e.todo, s)
+	e.frontier = append(e.frontier, s)
 }
 
 // explore visits all states breadth-first, so that a violation is found in the fewest steps.
 func (e *explorer) explore() {
-	e.seen = map[string]bool{}
-	e.push(e.first())
-	for len(e.todo) > 0 && e.found == "" {
-		level := e.todo
-		e.todo = nil
+	e.visited = map[string]bool{}
+	e.addState(e.initialState())
+	for len(e.frontier) > 0 && e.violation == "" {
+		level := e.frontier
+		e.frontier = nil
 		for _, s := range level {
-			e.step(s)
+			e.expand(s)
 		}
-		e.steps++
+		e.depth++
 	}
 }
 
-func (e *explorer) step(s exploreState) {
+func (e *explorer) expand(s exploreState) {
 	for p := range exploreProcs {
 		if s.procs[p].alive {
-			e.read(s, p)
-			e.swap(s, p)
+			e.readRow(s, p)
+			e.writeRow(s, p)
 			e.beginEra(s, p)
-			e.grant(s, p)
-			e.arrive(s, p)
-			e.end(s, p)
+			e.requestGrant(s, p)
+			e.submitAttempt(s, p)
+			e.endRun(s, p)
 		}
 	}
 	for i := range s.messages {
@@ -273,52 +273,52 @@
 	e.handOver(s)
 }
 
-func TestClaimsHoldInAllInterleavings(t *testing.T) {
+func TestClaimsInvariantsInAllInterleavings(t *testing.T) {
 	cases := map[string]explorer{
 		"crash":              {},
-		"crash, numbered":    {numbered: true},
-		"handover":           {leaves: true},
-		"handover, numbered": {leaves: true, numbered: true},
-		"grants":             {grants: true},
+		"crash, numbered":    {numberedAttempts: true},
+		"handover":           {withHandover: true},
+		"handover, numbered": {withHandover: true, numberedAttempts: true},
+		"grants":             {withGrants: true},
 	}
 	for name, e := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e.t = t
 			e.explore()
-			if e.found != "" {
-				t.Fatal(e.found)
+			if e.violation != "" {
+				t.Fatal(e.violation)
 			}
-			t.Logf("invariants hold in all %d states, %d steps deep", len(e.seen), e.steps)
+			t.Logf("invariants hold in all %d states, %d steps deep", len(e.visited), e.depth)
 		})
 	}
 }
 
-func TestExplorerFindsTheFaultsPutIn(t *testing.T) {
+func TestExplorerFindsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
-		"entry node answers NotRun":                  entrySaysNotRun,
-		"refusals are not remembered":                refusalForgotten,
+		"entry node answers NotRun":                  entryAnswersNotRun,
+		"refusals are not remembered":                refusalNotStored,
 		"era starts below the horizon":               eraBelowHorizon,
 		"restart counts as the same member":          sameIncarnation,
-		"member runs keys after its handover":        leaverRunsOn,
+		"member runs keys after its handover":        runsAfterHandover,
 		"owner runs keys beyond Firm without grants": runsWithoutGrants,
-		"one grant is taken for all":                 oneGrantIsEnough,
+		"one grant is taken for all":                 oneGrantForAll,
 		"era starts below what was granted":          eraBelowGrants,
 		"grants go on while an era is written":       sealIgnored,
-		"successor does not get the entries":         heirWithoutMemory,
+		"successor does not get the entries":         handoverWithoutEntries,
 	}
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := &explorer{
-				t: t, fault: f, grants: f >= runsWithoutGrants,
-				leaves: f == leaverRunsOn || f == heirWithoutMemory,
+				t: t, fault: f, withGrants: f >= runsWithoutGrants,
+				withHandover: f == runsAfterHandover || f == handoverWithoutEntries,
 			}
 			e.explore()
-			if e.found == "" {
-				t.Fatalf("fault not found in %d states", len(e.seen))
+			if e.violation == "" {
+				t.Fatalf("fault not found in %d states", len(e.visited))
 			}
-			t.Logf("found after %d states and %d steps: %s", len(e.seen), e.steps, e.found)
+			t.Logf("found after %d states and %d steps: %s", len(e.visited), e.depth, e.violation)
 		})
 	}
 }
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -10,13 +10,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-func inRegion(region, name, pool string) model.Endpoint {
-	e := in("domain of "+region, name, pool)
+func endpointInRegion(region, name, pool string) model.Endpoint {
+	e := endpointIn("domain of "+region, name, pool)
 	e.Region = region
 	return e
 }
 
-func TestBothRouteAndCustomerBindWhereARequestIsServed(t *testing.T) {
+func TestAllowedRegionsIntersectRouteAndCustomer(t *testing.T) {
 	for _, tc := range []struct {
 		route, customer, allowed []string
 	}{
@@ -26,7 +26,7 @@
 		{[]string{"north", "south"}, []string{"south", "west"}, []string{"south"}},
 		{[]string{"north"}, []string{"south"}, nil},
 	} {
-		regions := kernel.AllowedRegionsFor(model.Route{Homes: tc.route}, model.KeyHolder{Homes: tc.customer})
+		regions := kernel.AllowedRegionsFor(model.Route{AllowedRegions: tc.route}, model.KeyHolder{AllowedRegions: tc.customer})
 		var allowed []string
 		for _, region := range []string{"north", "south", "west"} {
 			if regions.Allows(region) {
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestPiecesGoToTheOwnRegionWhereThatIsAllowed(t *testing.T) {
+func TestPieceRegionPrefersOwnRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
-		inRegion("north", "n", "workers"), inRegion("south", "s", "workers"), inRegion("west", "w", "workers"),
+		endpointInRegion("north", "n", "workers"), endpointInRegion("south", "s", "workers"), endpointInRegion("west", "w", "workers"),
 	}, nil, nil)
 	anywhere := kernel.AllowedRegionsFor(model.Route{}, model.KeyHolder{})
-	southOrWest := kernel.AllowedRegionsFor(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
+	southOrWest := kernel.AllowedRegionsFor(model.Route{AllowedRegions: []string{"west", "south"}}, model.KeyHolder{})
 	for _, tc := range []struct {
 		name      string
 		evacuated []string
@@ -56,18 +56,18 @@
 		{"one allowed region evacuated", []string{"domain of south"}, southOrWest, "west"},
 		{"all allowed regions evacuated", []string{"domain of south", "domain of west"}, southOrWest, ""},
 	} {
-		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuated(now, tc.evacuated...)), "workers", tc.regions, "north")
+		region, ok := kernel.PieceRegion(registry.WithEvacuations(evacuationsOf(now, tc.evacuated...)), "workers", tc.regions, "north")
 		must.EqOp(t, tc.want, region, must.Sprint(tc.name))
 		must.EqOp(t, tc.want != "", ok, must.Sprint(tc.name))
 	}
 }
 
-func TestARequestWithoutAnEndpointInAllowedRegionsIsRefused(t *testing.T) {
+func TestAdmitPoolsRefusesWithoutAllowedRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
-	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{inRegion("north", "n", "plain")}, nil, nil)
+	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{endpointInRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
 	must.Nil(t, kernel.AdmitPools(registry, model.Forward{}, a))
-	a.Homes = kernel.AllowedRegionsFor(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
+	a.Regions = kernel.AllowedRegionsFor(model.Route{AllowedRegions: []string{"south"}}, model.KeyHolder{})
 	refusal := kernel.AdmitPools(registry, model.Forward{}, a)
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.NoHome, refusal.Reason)
--- a/kernel/idle_test.go
+++ b/kernel/idle_test.go
@@ -11,7 +11,7 @@
 // Endpoints limit the connections that they accept from all nodes together, and reset those beyond the limit with the
 // requests on them. If each node kept up to eight idle connections regardless of that limit, 400 nodes would keep 3,200
 // where 620 are accepted.
-func TestNodesTogetherKeepNoMoreIdleConnectionsThanAccepted(t *testing.T) {
+func TestMaxIdleConnectionsFitsEndpointLimit(t *testing.T) {
 	for _, connections := range []int{1, 52, 110, 370, 620} {
 		for _, nodes := range []int{1, 8, 76, 300, 400} {
 			must.LessEq(t, connections, nodes*kernel.MaxIdleConnections(connections, nodes))
--- a/kernel/ledger_test.go
+++ b/kernel/ledger_test.go
@@ -12,18 +12,18 @@
 	"basilstall.example/basilstall/model"
 )
 
-var ledgerStart = time.UnixMilli(1_700_000_000_000)
+var testStart = time.UnixMilli(1_700_000_000_000)
 
 func timedKey(id string, at time.Time) kernel.Key {
 	return kernel.Key{ID: id, Issued: at}
 }
 
-func refusal(v model.Verdict) *model.Refusal {
+func newRefusal(v model.Verdict) *model.Refusal {
 	return model.NewRefusal(v, model.Overloaded, time.Second, "")
 }
 
 func TestLedgerRemembersAnswersAndRefusals(t *testing.T) {
-	key := timedKey("c/k", ledgerStart)
+	key := timedKey("c/k", testStart)
 	cases := []struct {
 		name    string
 		end     func(*kernel.Ledger)
@@ -33,10 +33,10 @@
 	}{
 		{"a running request is joined", func(*kernel.Ledger) {}, 2, kernel.LedgerJoin, ""},
 		{"a stored answer is repeated", func(l *kernel.Ledger) { l.Finish(key, model.Answer{Output: "x"}) }, 2, kernel.LedgerAnswer, ""},
-		{"NotRun closes the key for the same attempt", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.NotRun), false) }, 1, kernel.LedgerRefuse, model.NotRun},
-		{"NotRun lets a higher attempt run", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.NotRun), false) }, 2, kernel.LedgerRun, ""},
-		{"a failure before the call was sent lets the same attempt run", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.MayHaveRun), false) }, 1, kernel.LedgerRun, ""},
-		{"a call that was sent closes the key permanently", func(l *kernel.Ledger) { l.Refuse(key, refusal(model.MayHaveRun), true) }, 9, kernel.LedgerRefuse, model.MayHaveRun},
+		{"NotRun closes the key for the same attempt", func(l *kernel.Ledger) { l.Refuse(key, newRefusal(model.NotRun), false) }, 1, kernel.LedgerRefuse, model.NotRun},
+		{"NotRun lets a higher attempt run", func(l *kernel.Ledger) { l.Refuse(key, newRefusal(model.NotRun), false) }, 2, kernel.LedgerRun, ""},
+		{"a failure before the call was sent lets the same attempt run", func(l *kernel.Ledger) { l.Refuse(key, newRefusal(model.MayHaveRun), false) }, 1, kernel.LedgerRun, ""},
+		{"a call that was sent closes the key permanently", func(l *kernel.Ledger) { l.Refuse(key, newRefusal(model.MayHaveRun), true) }, 9, kernel.LedgerRefuse, model.MayHaveRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestLedgerRefusesAnotherRequestUnderTheSameKey(t *testing.T) {
+func TestLedgerRefusesOtherRequestUnderSameKey(t *testing.T) {
 	l := kernel.NewLedger(time.Time{})
-	key := timedKey("c/k", ledgerStart)
+	key := timedKey("c/k", testStart)
 	l.Admit(key, 1, 0)
 	l.Finish(key, model.Answer{})
 	d := l.Admit(key, 2, 0)
@@ -62,15 +62,15 @@
 	must.EqOp(t, model.KeyMismatch, d.Refusal.Reason)
 }
 
-func TestLedgerNeverRunsAForgottenKey(t *testing.T) {
+func TestLedgerNeverRunsExpiredKey(t *testing.T) {
 	l := kernel.NewLedger(time.Time{})
-	key := timedKey("c/k", ledgerStart)
+	key := timedKey("c/k", testStart)
 	l.Admit(key, 1, 0)
 	l.Finish(key, model.Answer{})
-	l.Expire(ledgerStart.Add(time.Hour), time.Minute)
+	l.Expire(testStart.Add(time.Hour), time.Minute)
 	must.EqOp(t, 0, l.Len())
 	// The cutoff does not go back with the clock.
-	l.Expire(ledgerStart, time.Minute)
+	l.Expire(testStart, time.Minute)
 	d := l.Admit(key, 1, 0)
 	must.EqOp(t, model.KeyTooOld, d.Refusal.Reason)
 	must.EqOp(t, model.MayHaveRun, d.Refusal.Verdict)
@@ -79,17 +79,17 @@
 // Under more load than capacity, a caller could be told NotRun of a request that an endpoint had received: the node
 // that the caller asked does not learn from the owner of the key how the request ended, and sends it again. The first
 // run ended after its first stage, so the owner runs the request again and now refuses it at admission.
-func TestNotRunIsNotSaidOfAnAttemptThatReachedAnEndpoint(t *testing.T) {
+func TestNotRunExcludesAttemptsThatReachedEndpoint(t *testing.T) {
 	l := kernel.NewLedger(time.Time{})
-	key := timedKey("c/k", ledgerStart)
+	key := timedKey("c/k", testStart)
 	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 1).Action)
-	must.EqOp(t, model.MayHaveRun, l.Refuse(key, refusal(model.MayHaveRun), false).Verdict)
+	must.EqOp(t, model.MayHaveRun, l.Refuse(key, newRefusal(model.MayHaveRun), false).Verdict)
 
 	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 1).Action, must.Sprint("the same attempt is sent again"))
-	must.EqOp(t, model.MayHaveRun, l.Refuse(key, refusal(model.NotRun), false).Verdict)
+	must.EqOp(t, model.MayHaveRun, l.Refuse(key, newRefusal(model.NotRun), false).Verdict)
 
 	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 2).Action, must.Sprint("a new attempt"))
-	must.EqOp(t, model.NotRun, l.Refuse(key, refusal(model.NotRun), false).Verdict)
+	must.EqOp(t, model.NotRun, l.Refuse(key, newRefusal(model.NotRun), false).Verdict)
 
 	late := l.Admit(key, 1, 1)
 	must.EqOp(t, kernel.LedgerRefuse, late.Action, must.Sprint("the first attempt arrives late"))
@@ -98,37 +98,37 @@
 
 // An attempt that reached an endpoint joins the run of a higher one. Both get the same verdict, which must not be
 // NotRun.
-func TestWhoJoinsIsToldTheSame(t *testing.T) {
+func TestJoinedAttemptsGetSameVerdict(t *testing.T) {
 	l := kernel.NewLedger(time.Time{})
-	key := timedKey("c/k", ledgerStart)
+	key := timedKey("c/k", testStart)
 	l.Admit(key, 1, 1)
-	l.Refuse(key, refusal(model.MayHaveRun), false)
+	l.Refuse(key, newRefusal(model.MayHaveRun), false)
 	must.EqOp(t, kernel.LedgerRun, l.Admit(key, 1, 2).Action)
 	must.EqOp(t, kernel.LedgerJoin, l.Admit(key, 1, 1).Action)
-	must.EqOp(t, model.MayHaveRun, l.Refuse(key, refusal(model.NotRun), false).Verdict)
+	must.EqOp(t, model.MayHaveRun, l.Refuse(key, newRefusal(model.NotRun), false).Verdict)
 }
 
 // ledgerModel is the reference model that the state machine compares a ledger with.
 type ledgerModel struct {
-	ledger  *kernel.Ledger
-	running map[string]bool
-	sent    map[string]bool
-	told    map[string]int
-	highest map[string]int
+	ledger          *kernel.Ledger
+	running         map[string]bool
+	sent            map[string]bool
+	highestNotRun   map[string]int
+	highestAdmitted map[string]int
 	// lowest and reached are, by key, the lowest attempt that waits and the highest that reached an endpoint.
-	lowest  map[string]int
-	reached map[string]int
+	lowestWaiting  map[string]int
+	highestReached map[string]int
 }
 
-// TestLedgerHoldsInRandomInterleavings checks the invariants of a ledger: a key whose call was sent never runs again,
+// TestLedgerInvariantsInRandomInterleavings checks the invariants of a ledger: a key whose call was sent never runs again,
 // a running key is not started a second time, an attempt that was answered with NotRun never runs, and an attempt
 // that reached an endpoint is not answered with NotRun.
-func TestLedgerHoldsInRandomInterleavings(t *testing.T) {
+func TestLedgerInvariantsInRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{
 			ledger: kernel.NewLedger(time.Time{}), running: map[string]bool{}, sent: map[string]bool{},
-			told: map[string]int{}, highest: map[string]int{},
-			lowest: map[string]int{}, reached: map[string]int{},
+			highestNotRun: map[string]int{}, highestAdmitted: map[string]int{},
+			lowestWaiting: map[string]int{}, highestReached: map[string]int{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"admit":  m.admit,
@@ -143,8 +143,8 @@
 func (m *ledgerModel) admit(t *rapid.T) {
 	id := fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
 	attempt := rapid.IntRange(0, 4).Draw(t, "attempt")
-	d := m.ledger.Admit(timedKey(id, ledgerStart), 1, attempt)
-	refusedAttempt, wasRefused := m.told[id]
+	d := m.ledger.Admit(timedKey(id, testStart), 1, attempt)
+	refusedAttempt, wasRefused := m.highestNotRun[id]
 	switch d.Action {
 	case kernel.LedgerRun:
 		must.False(t, m.running[id])
@@ -157,7 +157,7 @@
 		must.False(t, m.running[id])
 		if d.Refusal.Verdict == model.NotRun {
 			must.False(t, m.sent[id])
-			if reached, ok := m.reached[id]; ok {
+			if reached, ok := m.highestReached[id]; ok {
 				must.Greater(t, reached, attempt)
 			}
 		}
@@ -165,11 +165,11 @@
 		must.True(t, m.sent[id])
 	}
 	if d.Action == kernel.LedgerRun {
-		m.lowest[id] = attempt
+		m.lowestWaiting[id] = attempt
 	}
 	if d.Action == kernel.LedgerRun || d.Action == kernel.LedgerJoin {
-		m.lowest[id] = min(m.lowest[id], attempt)
-		m.highest[id] = max(m.highest[id], attempt)
+		m.lowestWaiting[id] = min(m.lowestWaiting[id], attempt)
+		m.highestAdmitted[id] = max(m.highestAdmitted[id], attempt)
 	}
 }
 
@@ -178,20 +178,20 @@
 	if !m.running[id] {
 		t.Skip("not running")
 	}
-	key := timedKey(id, ledgerStart)
+	key := timedKey(id, testStart)
 	if verdict == "" {
 		m.ledger.Finish(key, model.Answer{})
 	} else {
-		verdict = m.ledger.Refuse(key, refusal(verdict), sent).Verdict
+		verdict = m.ledger.Refuse(key, newRefusal(verdict), sent).Verdict
 	}
-	if reached, ok := m.reached[id]; ok && verdict == model.NotRun {
-		must.Greater(t, reached, m.lowest[id])
+	if reached, ok := m.highestReached[id]; ok && verdict == model.NotRun {
+		must.Greater(t, reached, m.lowestWaiting[id])
 	}
 	if verdict == model.MayHaveRun {
-		m.reached[id] = max(m.reached[id], m.highest[id])
+		m.highestReached[id] = max(m.highestReached[id], m.highestAdmitted[id])
 	}
 	if verdict == model.NotRun {
-		m.told[id] = max(m.told[id], m.highest[id])
+		m.highestNotRun[id] = max(m.highestNotRun[id], m.highestAdmitted[id])
 	}
 	m.running[id] = false
 	m.sent[id] = m.sent[id] || sent
--- a/kernel/membership_test.go
+++ b/kernel/membership_test.go
@@ -12,15 +12,15 @@
 // gossipSim simulates the memberships of a fleet: in each round, every node that is up sends
 // heartbeats to its neighbours over links that are not cut.
 type gossipSim struct {
-	now   time.Time
-	nodes []*kernel.Membership
-	names map[string]int
-	down  map[int]bool
-	cut   func(a, b int) bool
+	now     time.Time
+	nodes   []*kernel.Membership
+	indexes map[string]int
+	down    map[int]bool
+	linkCut func(a, b int) bool
 }
 
 func newGossipSim(n int) *gossipSim {
-	g := &gossipSim{now: ledgerStart, names: map[string]int{}, down: map[int]bool{}, cut: func(int, int) bool { return false }}
+	g := &gossipSim{now: testStart, indexes: map[string]int{}, down: map[int]bool{}, linkCut: func(int, int) bool { return false }}
 	all := members(n)
 	for i, m := range all {
 		node := kernel.NewMembership(g.now, m, "d")
@@ -28,7 +28,7 @@
 			node.AddListed(g.now, other, "d")
 		}
 		g.nodes = append(g.nodes, node)
-		g.names[m.Node] = i
+		g.indexes[m.Node] = i
 	}
 	return g
 }
@@ -44,8 +44,8 @@
 		}
 		node.Tick(g.now)
 		for _, info := range node.Neighbours() {
-			b := g.names[info.Member.Node]
-			if !g.down[b] && !g.cut(a, b) {
+			b := g.indexes[info.Member.Node]
+			if !g.down[b] && !g.linkCut(a, b) {
 				pairs = append(pairs, [2]int{a, b})
 			}
 		}
@@ -93,7 +93,7 @@
 	return 0
 }
 
-func TestMembershipDeadMemberIsKnownEverywhereWithinSeconds(t *testing.T) {
+func TestMembershipDeadMemberIsKnownWithinSeconds(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 100, 400} {
 		g := newGossipSim(n)
 		for range 60 {
@@ -108,9 +108,9 @@
 	}
 }
 
-func TestMembershipBrokenLinkDeclaresNobodyDead(t *testing.T) {
+func TestMembershipBrokenLinkDeclaresNoMemberDead(t *testing.T) {
 	g := newGossipSim(9)
-	g.cut = func(a, b int) bool { return a+b == 1 }
+	g.linkCut = func(a, b int) bool { return a+b == 1 }
 	for range 60 {
 		g.round()
 		must.EqOp(t, 9, g.countSeeing(9))
@@ -119,13 +119,13 @@
 
 func TestMembershipPartitionHeals(t *testing.T) {
 	g := newGossipSim(9)
-	g.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
+	g.linkCut = func(a, b int) bool { return (a < 3) != (b < 3) }
 	for range 40 {
 		g.round()
 	}
 	must.EqOp(t, 3, g.countSeeing(3))
 	must.EqOp(t, 6, g.countSeeing(6))
-	g.cut = func(int, int) bool { return false }
+	g.linkCut = func(int, int) bool { return false }
 	t.Logf("all members alive again after %s", g.runUntil(t, 9))
 }
 
@@ -139,11 +139,11 @@
 }
 
 func TestMembershipRestartReplacesIncarnation(t *testing.T) {
-	m := kernel.NewMembership(ledgerStart, members(1)[0], "d")
+	m := kernel.NewMembership(testStart, members(1)[0], "d")
 	old := kernel.Member{Node: "x", Incarnation: "1"}
 	fresh := kernel.Member{Node: "x", Incarnation: "2"}
-	m.Apply(ledgerStart, kernel.GossipUpdate{Member: fresh, Beat: 1})
-	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 99}))
-	must.False(t, m.Apply(ledgerStart, kernel.GossipUpdate{Member: old, Beat: 100, State: kernel.MemberDead}))
+	m.Apply(testStart, kernel.GossipUpdate{Member: fresh, Beat: 1})
+	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: old, Beat: 99}))
+	must.False(t, m.Apply(testStart, kernel.GossipUpdate{Member: old, Beat: 100, State: kernel.MemberDead}))
 	must.Len(t, 2, m.Alive())
 }
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -32,46 +32,46 @@
 	})
 }
 
-func TestOnlyPoolsThatGetRequestsAndPiecesDivideWhatTheirEndpointsBear(t *testing.T) {
+func TestOnlyMixedPoolsSplitCapacity(t *testing.T) {
 	t.Parallel()
 	table := mixedTable()
-	must.Less(t, 1.0, table.Share("mixed"))
-	must.EqOp(t, 1.0, table.Share("stage"))
-	must.EqOp(t, 1.0, table.Share("engines"))
-	must.EqOp(t, 1.0, table.Share("unknown"))
+	must.Less(t, 1.0, table.CapacityShare("mixed"))
+	must.EqOp(t, 1.0, table.CapacityShare("stage"))
+	must.EqOp(t, 1.0, table.CapacityShare("engines"))
+	must.EqOp(t, 1.0, table.CapacityShare("unknown"))
 }
 
 // Requests and pieces together stay within the rate cap of an endpoint that gets both, also after another batcher has
 // taken over.
-func TestRequestsAndPiecesTogetherKeepWithinARateCap(t *testing.T) {
+func TestMixedPoolStaysWithinRateCap(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Share("mixed")
+	part := mixedTable().CapacityShare("mixed")
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			t.Parallel()
 			stated := model.NewRateCap(perSecond)
 			f := newCappedFleet(1, 8, perSecond)
-			f.view = f.view.WithPart(part)
+			f.view = f.view.WithFraction(part)
 			arrivals := f.arrivals(30*time.Second, func(*cappedFleet) {})
 			for _, begins := range []bool{false, true} {
-				q := cappedQueue{g: newBatchQueue(4)}
-				q.g.SetRateCap("worker-0", stated.WithPart(part))
+				q := cappedQueue{queue: newBatchQueue(4)}
+				q.queue.SetRateCap("worker-0", stated.WithPart(part))
 				if begins {
-					q.g.TakeOver(time.Unix(1000, 0))
+					q.queue.TakeOver(time.Unix(1000, 0))
 				}
-				q.play(30 * time.Second)
+				q.run(30 * time.Second)
 				arrivals = append(arrivals, q.calls...)
 			}
-			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), mostWithin(arrivals, capWindow))
+			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCountWithin(arrivals, capWindow))
 		})
 	}
 }
 
 // A cold endpoint that gets requests and pieces receives no more than its limit from both together, also while nodes
 // disagree about which of them may send to it.
-func TestRequestsAndPiecesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
+func TestMixedPoolStaysWithinColdBound(t *testing.T) {
 	t.Parallel()
-	part := mixedTable().Share("mixed")
+	part := mixedTable().CapacityShare("mixed")
 	for _, terms := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{4, 9.4, 50, 1000} {
 			perView := 0
--- a/kernel/orders_test.go
+++ b/kernel/orders_test.go
@@ -11,11 +11,11 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-// TestNoTwoOrderersAtOnce runs two nodes with arbitrary pauses, slow and lost replies, and engines that ignore
+// TestOrdersOfTwoHoldersNeverOverlap runs two nodes with arbitrary pauses, slow and lost replies, and engines that ignore
 // fencing numbers. No order of an earlier holder arrives after the first order of a later one.
-func TestNoTwoOrderersAtOnce(t *testing.T) {
+func TestOrdersOfTwoHoldersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &leaseModel{now: ledgerStart, nodes: members(2)}
+		m := &leaseModel{now: testStart, nodes: members(2)}
 		t.Repeat(map[string]func(*rapid.T){
 			"wait": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
@@ -27,10 +27,10 @@
 	})
 }
 
-// TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing steps through the most critical interleaving: a holder is
+// TestPausedHolderWithLapsedLeaseOrdersNothing steps through the most critical interleaving: a holder is
 // paused while its lease expires, and another node takes over.
-func TestAHolderWhoseLeaseLapsedWhileItWasPausedOrdersNothing(t *testing.T) {
-	at := func(s int) time.Time { return ledgerStart.Add(time.Duration(s) * time.Second) }
+func TestPausedHolderWithLapsedLeaseOrdersNothing(t *testing.T) {
+	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
 	lease := kernel.Lease{Holder: members(2)[0], Number: 1}
 	holder := kernel.LeaseView{}.WithRead(at(0), kernel.Lease{}, 0).WithWrite(at(3), at(1), lease, 1)
 	must.True(t, holder.MayOrder(at(3)))
@@ -48,20 +48,20 @@
 	nodes   []kernel.Member
 	row     kernel.Lease
 	version uint64
-	watches [2]kernel.LeaseView
+	views   [2]kernel.LeaseView
 	// latest is the latest possible arrival of an order, and first is when the first order was sent, by fencing
 	// number.
-	latest map[uint64]time.Time
-	first  map[uint64]time.Time
+	latestArrival map[uint64]time.Time
+	firstSent     map[uint64]time.Time
 }
 
 func (m *leaseModel) read(i int) {
-	m.watches[i] = m.watches[i].WithRead(m.now, m.row, m.version)
+	m.views[i] = m.views[i].WithRead(m.now, m.row, m.version)
 }
 
 func (m *leaseModel) write(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "node")
-	w := m.watches[i]
+	w := m.views[i]
 	next := kernel.Lease{Holder: m.nodes[i], Number: w.Lease.Number}
 	switch {
 	case w.ShouldRenew(m.now):
@@ -80,39 +80,39 @@
 		return
 	}
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "answer ms")) * time.Millisecond)
-	m.watches[i] = w.WithWrite(m.now, sent, next, m.version)
+	m.views[i] = w.WithWrite(m.now, sent, next, m.version)
 }
 
 func (m *leaseModel) order(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "node")
-	w := m.watches[i]
+	w := m.views[i]
 	if !w.MayOrder(m.now) {
 		t.Skip("no lease")
 	}
-	if m.latest == nil {
-		m.latest, m.first = map[uint64]time.Time{}, map[uint64]time.Time{}
+	if m.latestArrival == nil {
+		m.latestArrival, m.firstSent = map[uint64]time.Time{}, map[uint64]time.Time{}
 	}
 	number := w.Lease.Number
 	arrival := m.now.Add(kernel.OrderTimeout)
-	if _, known := m.first[number]; !known {
-		m.first[number] = m.now
+	if _, known := m.firstSent[number]; !known {
+		m.firstSent[number] = m.now
 	}
-	m.latest[number] = arrival
-	for other, last := range m.latest {
+	m.latestArrival[number] = arrival
+	for other, last := range m.latestArrival {
 		if other < number {
-			must.False(t, last.After(m.first[number]), must.Sprintf("an order with fencing number %d arrives after one with %d", other, number))
+			must.False(t, last.After(m.firstSent[number]), must.Sprintf("an order with fencing number %d arrives after one with %d", other, number))
 		}
 		if other > number {
-			must.False(t, arrival.After(m.first[other]), must.Sprintf("an order with fencing number %d arrives after one with %d", number, other))
+			must.False(t, arrival.After(m.firstSent[other]), must.Sprintf("an order with fencing number %d arrives after one with %d", number, other))
 		}
 	}
 }
 
-func TestOrdersReachTheWantedStateWithoutRepeats(t *testing.T) {
+func TestOrdersReachWantedStateWithoutRepeats(t *testing.T) {
 	o := kernel.NewOrderPlanner(100 * time.Millisecond)
 	engines := []kernel.EngineView{{Name: "e1", MaxAdapters: 2}, {Name: "e2", MaxAdapters: 2}, {Name: "e3", MaxAdapters: 2}}
 	sent := map[kernel.Order]int{}
-	now := ledgerStart
+	now := testStart
 	for i := range 60 {
 		now = now.Add(100 * time.Millisecond)
 		o.AddDemand(now, kernel.Demand{Adapter: "a", Used: now})
@@ -123,7 +123,7 @@
 			loads++
 			// The engine executes the order, but every third order is lost.
 			if (i+loads)%3 != 0 {
-				obey(engines, order)
+				executeOrder(engines, order)
 				o.OrderEnded(order)
 			}
 		}
@@ -139,9 +139,9 @@
 	must.Len(t, 0, o.Plan(now.Add(time.Second), engines))
 }
 
-func TestOrdersLoadTheMostUrgentAndEvictTheIdle(t *testing.T) {
+func TestOrdersLoadMostUrgentAndEvictIdle(t *testing.T) {
 	o := kernel.NewOrderPlanner(time.Second)
-	now := ledgerStart
+	now := testStart
 	for i, name := range []string{"late", "soon", "calm"} {
 		d := kernel.Demand{Adapter: name, Used: now}
 		if name != "calm" {
@@ -159,7 +159,7 @@
 	must.Eq(t, []kernel.Order{{Engine: "e1", Adapter: "soon", Evict: true}}, idle)
 }
 
-func obey(engines []kernel.EngineView, order kernel.Order) {
+func executeOrder(engines []kernel.EngineView, order kernel.Order) {
 	for i, e := range engines {
 		if e.Name != order.Engine {
 			continue
--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -11,15 +11,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-// askingFleet simulates nodes that get requests evenly and ask the nodes that share a cap for permits.
-type askingFleet struct {
+// permitFleet simulates nodes that get requests evenly and ask the nodes that share a cap for permits.
+type permitFleet struct {
 	*cappedFleet
-	permits   map[string]kernel.Permits
-	issuers   map[string]kernel.PermitIssuer
-	questions int
+	permits        map[string]kernel.PermitRequester
+	issuers        map[string]kernel.PermitIssuer
+	permitRequests int
 }
 
-func (f *askingFleet) node(name string) *cappedNode {
+func (f *permitFleet) node(name string) *cappedNode {
 	for _, n := range f.nodes {
 		if n.name == name {
 			return n
@@ -29,7 +29,7 @@
 }
 
 // serve reports whether a request that arrives at a node may be sent.
-func (f *askingFleet) serve(n *cappedNode, asks bool) bool {
+func (f *permitFleet) trySend(n *cappedNode, asks bool) bool {
 	if f.view.Due(f.now, n.sentAt, n.rank) {
 		n.sentAt = f.now
 		return true
@@ -42,8 +42,8 @@
 	if !ok {
 		return false
 	}
-	f.questions++
-	granted, wait := f.ask(sharer)
+	f.permitRequests++
+	granted, wait := f.requestPermit(sharer)
 	if !granted {
 		permits = permits.WithDenial(f.now, sharer, wait)
 	}
@@ -51,12 +51,12 @@
 	return granted
 }
 
-func (f *askingFleet) ask(name string) (granted bool, wait time.Duration) {
+func (f *permitFleet) requestPermit(name string) (granted bool, wait time.Duration) {
 	sharer := f.node(name)
 	if sharer == nil || sharer.down {
 		return false, 0
 	}
-	f.issuers[name], granted, wait = f.issuers[name].Permit(f.now, f.view, sharer.sentAt, sharer.rank)
+	f.issuers[name], granted, wait = f.issuers[name].Decide(f.now, f.view, sharer.sentAt, sharer.rank)
 	if granted {
 		sharer.sentAt = f.now
 	}
@@ -65,7 +65,7 @@
 
 // play sends requests to random nodes at a total rate of demand a second, and returns the maximum number that arrives
 // at the endpoint in a window, and the average rate a second.
-func (f *askingFleet) play(length time.Duration, demand float64, asks bool, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
+func (f *permitFleet) run(length time.Duration, demand float64, asks bool, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
 	start := f.now
 	var arrivals []time.Time
 	for step := time.Duration(0); step < length; step += capStep {
@@ -80,30 +80,30 @@
 		}
 		for due := demand * capStep.Seconds(); due > 0; due-- {
 			n := f.nodes[f.rng.IntN(len(f.nodes))]
-			if f.rng.Float64() < due && !n.down && f.serve(n, asks) {
-				arrivals = append(arrivals, f.now.Add(f.delay()))
+			if f.rng.Float64() < due && !n.down && f.trySend(n, asks) {
+				arrivals = append(arrivals, f.now.Add(f.sendDelay()))
 			}
 		}
 	}
-	return mostWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
+	return maxCountWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
 }
 
-func newAskingFleet(nodes int, perSecond float64) *askingFleet {
-	return &askingFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, issuers: map[string]kernel.PermitIssuer{}}
+func newPermitFleet(nodes int, perSecond float64) *permitFleet {
+	return &permitFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.PermitRequester{}, issuers: map[string]kernel.PermitIssuer{}}
 }
 
 // Permits let requests at any node of a fleet use most of a rate cap without exceeding it, whichever nodes join, leave,
 // fail or restart. Without permits only the nodes that share a cap can use it: of 400 nodes with three such endpoints
 // 12 may send, and most requests are refused although the endpoints could take them.
-func TestAnyNodeUsesARateCapByPermits(t *testing.T) {
+func TestPermitsSpreadRateCapOverNodes(t *testing.T) {
 	t.Parallel()
 	for name, disruption := range cappedDisruptions {
 		for nodes, rates := range map[int][]float64{8: {0, 1, 1.4, 8}, 76: {1.4, 8}, 400: {1}} {
 			for _, perSecond := range rates {
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
 					t.Parallel()
-					f := newAskingFleet(nodes, perSecond)
-					maxInWindow, got := f.play(capLength, 3*perSecond+1, true, disruption)
+					f := newPermitFleet(nodes, perSecond)
+					maxInWindow, got := f.run(capRunDuration, 3*perSecond+1, true, disruption)
 					must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxInWindow)
 					if name == "none" {
 						must.GreaterEq(t, 0.6*perSecond, got)
@@ -115,31 +115,31 @@
 }
 
 // The same at the size of the whole fleet.
-func TestAnyNodeOfALargeFleetUsesARateCapByPermits(t *testing.T) {
+func TestPermitsSpreadRateCapOverLargeFleet(t *testing.T) {
 	t.Parallel()
-	f := newAskingFleet(400, 1)
-	maxInWindow, got := f.play(capLength, 4, true, cappedDisruptions["half restart"])
+	f := newPermitFleet(400, 1)
+	maxInWindow, got := f.run(capRunDuration, 4, true, cappedDisruptions["half restart"])
 	must.LessEq(t, 11, maxInWindow)
 	must.GreaterEq(t, 0.5, got)
 }
 
 // Without permits the nodes that share a cap can use it only for the requests that reach them: with 400 nodes, about
 // one hundredth of the rate.
-func TestFewNodesUseLittleOfARateCap(t *testing.T) {
+func TestRateCapIsUnderusedWithoutPermits(t *testing.T) {
 	t.Parallel()
-	_, got := newAskingFleet(400, 8).play(capLength, 25, false, func(*cappedFleet) {})
+	_, got := newPermitFleet(400, 8).run(capRunDuration, 25, false, func(*cappedFleet) {})
 	must.LessEq(t, 0.5, got)
 }
 
 // Nodes that were denied a permit ask again when their turn comes: the number of permit requests is bounded by the rate
 // of the endpoint, not by the number of requests.
-func TestNodesRarelyAskInVainForAPermit(t *testing.T) {
+func TestPermitRequestsAreBounded(t *testing.T) {
 	t.Parallel()
-	f := newAskingFleet(400, 1)
-	f.play(capLength, 400, true, func(*cappedFleet) {})
+	f := newPermitFleet(400, 1)
+	f.run(capRunDuration, 400, true, func(*cappedFleet) {})
 	const sharers, turn = 4, 5.0
-	bound := capLength.Seconds() * (2 + sharers*400/turn)
-	must.LessEq(t, bound, float64(f.questions))
+	bound := capRunDuration.Seconds() * (2 + sharers*400/turn)
+	must.LessEq(t, bound, float64(f.permitRequests))
 }
 
 // A permit is granted when the cap allows a send, denied nodes are told their turns, and a node that does not share the
@@ -148,28 +148,28 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
-	issuer, granted, _ := kernel.PermitIssuer{}.Permit(now, one, now.Add(-4*time.Second), 0)
+	issuer, granted, _ := kernel.PermitIssuer{}.Decide(now, one, now.Add(-4*time.Second), 0)
 	must.True(t, granted)
 	for _, want := range []time.Duration{3 * time.Second, 5 * time.Second, 5 * time.Second} {
 		var wait time.Duration
-		issuer, granted, wait = issuer.Permit(now.Add(time.Second), one, now, 0)
+		issuer, granted, wait = issuer.Decide(now.Add(time.Second), one, now, 0)
 		must.False(t, granted)
 		must.EqOp(t, want, wait)
 	}
-	_, granted, wait := issuer.Permit(now.Add(5*time.Second), one, now.Add(4*time.Second), 0)
+	_, granted, wait := issuer.Decide(now.Add(5*time.Second), one, now.Add(4*time.Second), 0)
 	must.False(t, granted)
 	must.EqOp(t, 3*time.Second, wait, must.Sprint("nodes denied before the last send do not count"))
-	_, granted, _ = issuer.Permit(now.Add(time.Hour), one, now, 4)
+	_, granted, _ = issuer.Decide(now.Add(time.Hour), one, now, 4)
 	must.False(t, granted)
-	_, granted, _ = issuer.Permit(now.Add(time.Hour), kernel.CapView{}, now, 0)
+	_, granted, _ = issuer.Decide(now.Add(time.Hour), kernel.CapView{}, now, 0)
 	must.False(t, granted)
 }
 
 // A node that was denied a permit, or got no answer, asks another node.
-func TestPermitsAreAskedForElsewhereAfterADenial(t *testing.T) {
+func TestPermitIsRequestedElsewhereAfterDenial(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	p := kernel.Permits{}.WithSharers([]string{"a", "self", "b"}, "self")
+	p := kernel.PermitRequester{}.WithSharers([]string{"a", "self", "b"}, "self")
 	first, ok := p.Choose(now, 0)
 	must.True(t, ok)
 	p = p.WithDenial(now, first, 2*time.Second)
@@ -179,21 +179,21 @@
 	p = p.WithDenial(now, second, 0)
 	_, ok = p.Choose(now, 0)
 	must.False(t, ok)
-	at, known := p.Next()
+	at, known := p.NextRequestAt()
 	must.True(t, known)
 	must.EqOp(t, now.Add(time.Second), at)
 	again, _ := p.Choose(at, 0)
 	must.EqOp(t, second, again)
-	_, known = kernel.Permits{}.Next()
+	_, known = kernel.PermitRequester{}.NextRequestAt()
 	must.False(t, known)
 }
 
 // The state of an endpoint, with the nodes that share its cap, may have been dropped by the time that one of them
 // answers.
-func TestADenialForAnEndpointThatWasForgotten(t *testing.T) {
+func TestDenialForDroppedEndpoint(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	p := kernel.Permits{}.WithDenial(now, "a", time.Second).WithSharers([]string{"a", "b"}, "self")
+	p := kernel.PermitRequester{}.WithDenial(now, "a", time.Second).WithSharers([]string{"a", "b"}, "self")
 	sharer, ok := p.Choose(now, 0)
 	must.True(t, ok)
 	must.EqOp(t, "b", sharer)
--- a/kernel/placement_test.go
+++ b/kernel/placement_test.go
@@ -11,7 +11,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-func engines(n int) []kernel.EngineCandidate {
+func engineCandidates(n int) []kernel.EngineCandidate {
 	var out []kernel.EngineCandidate
 	for i := range n {
 		out = append(out, kernel.EngineCandidate{Candidate: kernel.Candidate{Endpoint: model.Endpoint{
@@ -21,7 +21,7 @@
 	return out
 }
 
-func TestAffinityKeyIsTheLastSharedPart(t *testing.T) {
+func TestAffinityKeyIsLastSharedPart(t *testing.T) {
 	parts := []model.PromptPart{{ID: "type"}, {ID: "agreement"}, {ID: "own"}}
 	must.Eq(t, "agreement", kernel.AffinityKey(model.Prompt{Parts: parts}))
 	must.Eq(t, "type", kernel.AffinityKey(model.Prompt{Parts: parts[:1]}))
@@ -30,7 +30,7 @@
 
 func TestPickEngineIsConsistentByKey(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := engines(12)
+	all := engineCandidates(12)
 	var endpoints []model.Endpoint
 	for _, e := range all {
 		endpoints = append(endpoints, e.Endpoint)
@@ -49,9 +49,9 @@
 	}
 }
 
-func TestPickEngineAvoidsEngineWithMuchToPrefill(t *testing.T) {
+func TestPickEngineAvoidsLongPrefillQueue(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := engines(12)
+	all := engineCandidates(12)
 	i := kernel.PickEngine(now, all, "key")
 	all[i].PendingPrefillTokens = 5000
 	must.Eq(t, i, kernel.PickEngine(now, all, "key"), must.Sprint("a short queue costs less than prefilling the prefix again"))
@@ -61,7 +61,7 @@
 
 func TestPickEngineWithoutKeyTakesLeastLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := engines(3)
+	all := engineCandidates(3)
 	all[0].PendingPrefillTokens, all[2].PendingPrefillTokens = 100, 200
 	must.Eq(t, 1, kernel.PickEngine(now, all, ""))
 	must.Eq(t, -1, kernel.PickEngine(now, nil, "key"))
--- a/kernel/ratecap_test.go
+++ b/kernel/ratecap_test.go
@@ -20,9 +20,9 @@
 	capStep   = 20 * time.Millisecond
 	// capRefreshInterval is how often nodes refresh their membership view.
 	capRefreshInterval = time.Second
-	// capDisruptionAt is when the disruption of a run takes place, capLength the length of a run.
+	// capDisruptionAt is when the disruption of a run takes place, capRunDuration the length of a run.
 	capDisruptionAt = 20 * time.Second
-	capLength       = 50 * time.Second
+	capRunDuration  = 50 * time.Second
 )
 
 type (
@@ -38,13 +38,13 @@
 	cappedNode struct {
 		name string
 		// lag is the delay after which the node learns of membership changes, known is the membership that it knows.
-		lag     time.Duration
-		settled kernel.SettledNodes
-		known   []kernel.Peer
-		news    []membershipUpdate
-		sentAt  time.Time
-		down    bool
-		rank    int
+		lag        time.Duration
+		settled    kernel.SettledNodes
+		knownPeers []kernel.Peer
+		updates    []membershipUpdate
+		sentAt     time.Time
+		down       bool
+		rank       int
 	}
 
 	membershipUpdate struct {
@@ -58,18 +58,18 @@
 	f.view = f.view.WithNotice(f.now, model.NewRateCap(perSecond))
 	all := peersNamed("node", nodes)
 	for _, p := range all {
-		f.nodes = append(f.nodes, &cappedNode{name: p.Name, known: all, lag: f.lag()})
+		f.nodes = append(f.nodes, &cappedNode{name: p.Name, knownPeers: all, lag: f.randomLag()})
 	}
 	return f
 }
 
 // lag returns a random delay after which a node learns of membership changes.
-func (f *cappedFleet) lag() time.Duration {
+func (f *cappedFleet) randomLag() time.Duration {
 	return time.Duration(f.rng.IntN(3000)) * time.Millisecond
 }
 
 // tell sends the present membership to all nodes, each of which learns of it after its own delay.
-func (f *cappedFleet) tell() {
+func (f *cappedFleet) announceMembership() {
 	var all []kernel.Peer
 	for _, n := range f.nodes {
 		if !n.down {
@@ -77,12 +77,12 @@
 		}
 	}
 	for _, n := range f.nodes {
-		n.news = append(n.news, membershipUpdate{at: f.now.Add(n.lag), nodes: all})
+		n.updates = append(n.updates, membershipUpdate{at: f.now.Add(n.lag), nodes: all})
 	}
 }
 
 // first returns the highest ranked nodes of the endpoint.
-func (f *cappedFleet) first(count int) []*cappedNode {
+func (f *cappedFleet) topRanked(count int) []*cappedNode {
 	out := slices.Clone(f.nodes)
 	slices.SortFunc(out, func(a, b *cappedNode) int { return cmp.Compare(a.rank, b.rank) })
 	return out[:min(count, len(out))]
@@ -92,14 +92,14 @@
 	for i := range count {
 		f.nodes = append(f.nodes, &cappedNode{name: fmt.Sprint("joined-", i), lag: 0, rank: math.MaxInt})
 	}
-	f.tell()
+	f.announceMembership()
 }
 
 // play lets all nodes send as fast as they may, and returns the maximum number of requests that arrive in a window, and
 // the average rate a second.
-func (f *cappedFleet) play(length time.Duration, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
+func (f *cappedFleet) run(length time.Duration, disruption func(*cappedFleet)) (maxInWindow int, perSecond float64) {
 	arrivals := f.arrivals(length, disruption)
-	return mostWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
+	return maxCountWithin(arrivals, capWindow), float64(len(arrivals)) / length.Seconds()
 }
 
 // arrivals lets all nodes send as fast as they may, and returns the arrival times of their requests.
@@ -119,14 +119,14 @@
 				continue
 			}
 			n.sentAt = f.now
-			arrivals = append(arrivals, f.now.Add(f.delay()))
+			arrivals = append(arrivals, f.now.Add(f.sendDelay()))
 		}
 	}
 	return arrivals
 }
 
 // delay returns the random delay of a send; some open a connection first.
-func (f *cappedFleet) delay() time.Duration {
+func (f *cappedFleet) sendDelay() time.Duration {
 	delay := time.Duration(f.rng.IntN(50)) * time.Millisecond
 	if f.rng.IntN(5) == 0 {
 		delay += 650 * time.Millisecond
@@ -134,8 +134,8 @@
 	return delay
 }
 
-// mostWithin returns the maximum number of moments that lie within one window. It sorts the moments.
-func mostWithin(moments []time.Time, window time.Duration) int {
+// maxCountWithin returns the maximum number of moments that lie within one window. It sorts the moments.
+func maxCountWithin(moments []time.Time, window time.Duration) int {
 	slices.SortFunc(moments, time.Time.Compare)
 	maxCount, oldest := 0, 0
 	for i, at := range moments {
@@ -149,12 +149,12 @@
 
 // refresh updates the node's view of the membership with the changes that have reached it.
 func (n *cappedNode) refresh(now time.Time) {
-	for _, news := range n.news {
+	for _, news := range n.updates {
 		if !now.Before(news.at) {
-			n.known = news.nodes
+			n.knownPeers = news.nodes
 		}
 	}
-	n.settled = n.settled.With(now, n.known)
+	n.settled = n.settled.With(now, n.knownPeers)
 	n.rank = n.settled.Rank(now, n.name, "engine")
 }
 
@@ -172,16 +172,16 @@
 		f.join(len(f.nodes))
 	},
 	"a node joins that the others do not know of": func(f *cappedFleet) {
-		f.nodes = append(f.nodes, &cappedNode{name: "alone", known: []kernel.Peer{{Name: "alone"}}, rank: math.MaxInt})
+		f.nodes = append(f.nodes, &cappedNode{name: "alone", knownPeers: []kernel.Peer{{Name: "alone"}}, rank: math.MaxInt})
 	},
 	"the senders leave": func(f *cappedFleet) {
-		for _, n := range f.first(4) {
+		for _, n := range f.topRanked(4) {
 			n.down = true
 		}
-		f.tell()
+		f.announceMembership()
 	},
 	"the senders fail without an announcement": func(f *cappedFleet) {
-		for _, n := range f.first(4) {
+		for _, n := range f.topRanked(4) {
 			n.down = true
 		}
 	},
@@ -200,7 +200,7 @@
 // All nodes together stay within the rate cap of an endpoint without asking each other, and use most of it, whichever
 // nodes join, leave, fail or restart. A cap that reaches each node alone has to be divided: eight nodes that ignored it
 // sent 14 requests in four seconds to an engine that takes one a second, where 11 are allowed.
-func TestNodesTogetherKeepARateCap(t *testing.T) {
+func TestFleetStaysWithinRateCap(t *testing.T) {
 	t.Parallel()
 	for name, disruption := range cappedDisruptions {
 		for nodes, rates := range map[int][]float64{1: {1}, 2: {0.5, 5}, 8: {0, 0.1, 1, 1.4, 5, 40}, 76: {0.1, 5}, 400: {1}} {
@@ -208,7 +208,7 @@
 				t.Run(fmt.Sprintf("%s/%d nodes/%v a second", name, nodes, perSecond), func(t *testing.T) {
 					t.Parallel()
 					f := newCappedFleet(uint64(nodes), nodes, perSecond)
-					maxInWindow, got := f.play(capLength, disruption)
+					maxInWindow, got := f.run(capRunDuration, disruption)
 					allowed := int(1.5*perSecond*capWindow.Seconds() + 5)
 					must.LessEq(t, allowed, maxInWindow)
 					if name == "none" {
@@ -222,12 +222,12 @@
 }
 
 // If all nodes that share a cap are lost for good, the others probe at long intervals whether it still holds.
-func TestARateCapIsAskedForAgainWhereItsSendersAreLost(t *testing.T) {
+func TestRateCapIsProbedAfterLossOfSenders(t *testing.T) {
 	t.Parallel()
 	f := newCappedFleet(1, 12, 1)
 	probed := 0
-	maxInWindow, _ := f.play(5*time.Minute, func(f *cappedFleet) {
-		for _, n := range f.first(4) {
+	maxInWindow, _ := f.run(5*time.Minute, func(f *cappedFleet) {
+		for _, n := range f.topRanked(4) {
 			n.down = true
 		}
 		for _, n := range f.nodes {
@@ -245,7 +245,7 @@
 
 // An answer is ordered by when its request was sent: one whose request was sent before a message about the cap arrived
 // does not end the cap.
-func TestAnswersThatOvertakeEachOtherDoNotEndARateCap(t *testing.T) {
+func TestReorderedAnswersDoNotEndRateCap(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -280,7 +280,7 @@
 
 // A notice of another node holds until the next one, except for an endpoint that has just stated a cap in its own
 // answer.
-func TestNoticesOfARateCap(t *testing.T) {
+func TestRateCapNotices(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one, none := model.NewRateCap(1), model.RateCap{}
@@ -298,7 +298,7 @@
 
 // An endpoint that states another rate in each answer does not cause a write for each: senders learn the rate from the
 // answers.
-func TestARateThatChangesWithEachAnswerIsPublishedRarely(t *testing.T) {
+func TestChangingRateIsPublishedRarely(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
 	published := map[int]int{}
@@ -322,7 +322,7 @@
 
 // A cap that comes and goes with each answer is published at a limited rate. Otherwise the first node by rank would
 // write at each change, five times a second for each such endpoint, beyond the bound on the writes of all nodes.
-func TestACapThatComesAndGoesIsPublishedRarely(t *testing.T) {
+func TestIntermittentCapIsPublishedRarely(t *testing.T) {
 	t.Parallel()
 	const length, interval = 2 * time.Minute, 200 * time.Millisecond
 	start := time.Unix(1000, 0)
@@ -347,7 +347,7 @@
 
 // The first node by rank publishes a cap at once, the others only if no node has done so. Failed writes are retried
 // with exponential backoff. The end of a cap is published as well, also when the endpoint is gone.
-func TestWhoPublishesARateCap(t *testing.T) {
+func TestRateCapPublishers(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one, none := model.NewRateCap(1), model.RateCap{}
@@ -382,7 +382,7 @@
 }
 
 // A request that only endpoints at their caps could serve is refused immediately as not run, with a Retry-After time.
-func TestARequestThatOnlyCappedEndpointsCouldServeIsRefusedAtOnce(t *testing.T) {
+func TestAdmitCappedRefusesAtOnce(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	one := kernel.CapView{}.WithNotice(now.Add(-time.Minute), model.NewRateCap(1))
--- a/kernel/ratelimit_test.go
+++ b/kernel/ratelimit_test.go
@@ -13,16 +13,16 @@
 
 // rateFleet simulates nodes that get the requests of one customer from a load balancer.
 type rateFleet struct {
-	rng     *rand.Rand
-	rate    float64
-	nodes   []string
-	holders []string
-	shares  map[string]kernel.RateBucket
-	asked   int
+	rng            *rand.Rand
+	rate           float64
+	nodes          []string
+	holders        []string
+	buckets        map[string]kernel.RateBucket
+	remoteRequests int
 }
 
 func newRateFleet(nodes int, rate float64) *rateFleet {
-	f := &rateFleet{rng: rand.New(rand.NewPCG(uint64(nodes), 1)), rate: rate, shares: map[string]kernel.RateBucket{}}
+	f := &rateFleet{rng: rand.New(rand.NewPCG(uint64(nodes), 1)), rate: rate, buckets: map[string]kernel.RateBucket{}}
 	for _, p := range peersNamed("node", nodes) {
 		f.nodes = append(f.nodes, p.Name)
 	}
@@ -31,13 +31,13 @@
 }
 
 // serve reports whether a request at a node is within the rate.
-func (f *rateFleet) serve(now time.Time, node string) bool {
+func (f *rateFleet) admit(now time.Time, node string) bool {
 	for _, holder := range kernel.HoldersToAsk(f.holders, node, f.rng.Float64()) {
 		if holder != node {
-			f.asked++
+			f.remoteRequests++
 		}
-		share, ok, _ := f.shares[holder].Take(now, f.rate, len(f.holders))
-		f.shares[holder] = share
+		share, ok, _ := f.buckets[holder].Take(now, f.rate, len(f.holders))
+		f.buckets[holder] = share
 		if ok {
 			return true
 		}
@@ -46,13 +46,13 @@
 }
 
 // play sends requests to random nodes at a total rate of demand a second, and returns when requests were served.
-func (f *rateFleet) play(length time.Duration, demand float64) (served []time.Time) {
+func (f *rateFleet) run(length time.Duration, demand float64) (served []time.Time) {
 	const step = 10 * time.Millisecond
 	start := time.Unix(1000, 0)
 	for elapsed := time.Duration(0); elapsed < length; elapsed += step {
 		now := start.Add(elapsed)
 		for due := demand * step.Seconds(); due > 0; due-- {
-			if f.rng.Float64() < due && f.serve(now, f.nodes[f.rng.IntN(len(f.nodes))]) {
+			if f.rng.Float64() < due && f.admit(now, f.nodes[f.rng.IntN(len(f.nodes))]) {
 				served = append(served, now)
 			}
 		}
@@ -63,15 +63,15 @@
 // The nodes together serve a customer its rate and at most one second of it at once, whatever the size of the fleet and
 // whichever nodes get its requests. Where each of 400 nodes held a part of a rate of five a second, all 400 served a
 // request at once: a part below one request a second still allows a whole one at first.
-func TestNodesTogetherKeepACustomersRate(t *testing.T) {
+func TestFleetKeepsCustomerRate(t *testing.T) {
 	t.Parallel()
 	const length, window = 30 * time.Second, 4 * time.Second
 	for _, nodes := range []int{1, 9, 400} {
 		for _, rate := range []float64{0.2, 1, 5, 90, 500} {
 			t.Run(fmt.Sprintf("%d nodes/%v a second", nodes, rate), func(t *testing.T) {
 				t.Parallel()
-				served := newRateFleet(nodes, rate).play(length, 10*rate)
-				must.LessEq(t, int(rate*window.Seconds()+max(1, rate))+1, mostWithin(served, window))
+				served := newRateFleet(nodes, rate).run(length, 10*rate)
+				must.LessEq(t, int(rate*window.Seconds()+max(1, rate))+1, maxCountWithin(served, window))
 				must.GreaterEq(t, 0.8*rate*length.Seconds(), float64(len(served)))
 			})
 		}
@@ -79,15 +79,15 @@
 }
 
 // Requests of a customer with a large rate are decided without asking other nodes, also those beyond the rate.
-func TestALargeRateAsksNobody(t *testing.T) {
+func TestLargeRateNeedsNoRemoteHolder(t *testing.T) {
 	t.Parallel()
 	f := newRateFleet(9, 90)
 	now := time.Unix(1000, 0)
 	for range 2000 {
 		now = now.Add(time.Second / 900)
-		f.serve(now, f.nodes[f.rng.IntN(9)])
+		f.admit(now, f.nodes[f.rng.IntN(9)])
 	}
-	must.EqOp(t, 0, f.asked)
+	must.EqOp(t, 0, f.remoteRequests)
 }
 
 func TestHoldersToAsk(t *testing.T) {
--- a/kernel/reading_test.go
+++ b/kernel/reading_test.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// readingStep is the resolution of the simulated time; the other times are those of package follow.
-	readingStep          = 10 * time.Millisecond
-	readingPollInterval  = 500 * time.Millisecond
-	readingRetryInterval = 100 * time.Millisecond
-	readingMaxAttempts   = 3
-	readingLongPoll      = 400 * time.Millisecond
-	readingSilence       = 400 * time.Millisecond
-	readingStoreInterval = 900 * time.Millisecond
-	readingStoreRetry    = 300 * time.Millisecond
-	readingMaxAge        = 2 * time.Second
-	readingKeyTrust      = 4500 * time.Millisecond
+	// followerStep is the resolution of the simulated time; the other times are those of package follow.
+	followerStep          = 10 * time.Millisecond
+	followerPollInterval  = 500 * time.Millisecond
+	followerRetryInterval = 100 * time.Millisecond
+	followerMaxAttempts   = 3
+	followerLongPoll      = 400 * time.Millisecond
+	followerCallTimeout   = 400 * time.Millisecond
+	followerStoreInterval = 900 * time.Millisecond
+	followerStoreRetry    = 300 * time.Millisecond
+	followerMaxAge        = 2 * time.Second
+	followerMaxKeyAge     = 4500 * time.Millisecond
 )
 
 type (
-	// readingFleet simulates nodes that follow one table of the store, in virtual time.
-	readingFleet struct {
+	// followerSim simulates nodes that follow one table of the store, in virtual time.
+	followerSim struct {
 		now    time.Time
 		random *rand.Rand
 		peers  []kernel.Peer
-		nodes  map[string]*readingNode
+		nodes  map[string]*followerNode
 		// answers tells whether the store answers a node, and frozen whether a node is suspended.
-		answers func(node string) bool
-		frozen  func(node string) bool
+		storeAnswers func(node string) bool
+		suspended    func(node string) bool
 		// calls counts the calls to the store by the failure domain of the node that made them.
-		calls map[string]int
+		storeCalls map[string]int
 	}
 
-	readingNode struct {
+	followerNode struct {
 		kernel.Peer
-		selector *kernel.SourceSelector
-		provenAt time.Time
-		reads    bool
-		down     bool
+		selector   *kernel.SourceSelector
+		provenAt   time.Time
+		readsStore bool
+		storeDown  bool
 		// nextPoll and nextStoreCall are the times at which it next asks other nodes and next reads the store. While it
 		// waits for the answer of pendingSource to a long poll, until is when that answer comes at the latest.
 		nextPoll, nextStoreCall time.Time
 		pendingSource           string
-		until                   time.Time
+		longPollEnd             time.Time
 		suspects                map[string]bool
 	}
 )
 
-func newReadingFleet(seed uint64, domains, each int) *readingFleet {
-	f := &readingFleet{
-		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*readingNode{}, calls: map[string]int{},
-		answers: func(string) bool { return true }, frozen: func(string) bool { return false },
+func newFollowerSim(seed uint64, domains, each int) *followerSim {
+	f := &followerSim{
+		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*followerNode{}, storeCalls: map[string]int{},
+		storeAnswers: func(string) bool { return true }, suspended: func(string) bool { return false },
 	}
 	for d := range domains {
 		for n := range each {
 			p := kernel.Peer{Name: fmt.Sprintf("node-%d-%d", d, n), Domain: fmt.Sprint("domain-", d), Capacity: 1}
 			f.peers = append(f.peers, p)
-			f.nodes[p.Name] = &readingNode{
-				Peer: p, selector: kernel.NewSourceSelector(p.Name, p.Domain, readingMaxAge), provenAt: f.now, suspects: map[string]bool{},
-				nextPoll: f.now.Add(time.Duration(f.random.Int64N(int64(readingPollInterval)))),
+			f.nodes[p.Name] = &followerNode{
+				Peer: p, selector: kernel.NewSourceSelector(p.Name, p.Domain, followerMaxAge), provenAt: f.now, suspects: map[string]bool{},
+				nextPoll: f.now.Add(time.Duration(f.random.Int64N(int64(followerPollInterval)))),
 			}
 		}
 	}
@@ -73,10 +73,10 @@
 }
 
 // run advances the time and calls look after each step.
-func (f *readingFleet) run(length time.Duration, look func()) {
-	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(readingStep) {
+func (f *followerSim) run(length time.Duration, look func()) {
+	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(followerStep) {
 		for _, p := range f.peers {
-			if n := f.nodes[p.Name]; !f.frozen(p.Name) {
+			if n := f.nodes[p.Name]; !f.suspended(p.Name) {
 				f.step(n)
 			}
 		}
@@ -84,12 +84,12 @@
 	}
 }
 
-func (f *readingFleet) step(n *readingNode) {
-	if n.reads && !f.now.Before(n.nextStoreCall) {
-		f.askStore(n)
+func (f *followerSim) step(n *followerNode) {
+	if n.readsStore && !f.now.Before(n.nextStoreCall) {
+		f.readStore(n)
 	}
 	if n.pendingSource != "" {
-		f.wait(n)
+		f.awaitAnswer(n)
 		return
 	}
 	if !f.now.Before(n.nextPoll) {
@@ -97,130 +97,130 @@
 	}
 }
 
-func (f *readingFleet) askStore(n *readingNode) {
-	f.calls[n.Domain]++
-	n.down = !f.answers(n.Name)
-	if n.down {
-		n.nextStoreCall = f.now.Add(time.Duration(float64(readingStoreRetry) * (0.75 + f.random.Float64()/2)))
+func (f *followerSim) readStore(n *followerNode) {
+	f.storeCalls[n.Domain]++
+	n.storeDown = !f.storeAnswers(n.Name)
+	if n.storeDown {
+		n.nextStoreCall = f.now.Add(time.Duration(float64(followerStoreRetry) * (0.75 + f.random.Float64()/2)))
 		return
 	}
 	n.provenAt = f.now
-	n.nextStoreCall = f.now.Add(readingStoreInterval)
+	n.nextStoreCall = f.now.Add(followerStoreInterval)
 }
 
-func (f *readingFleet) plan(n *readingNode) kernel.SourcePlan {
+func (f *followerSim) plan(n *followerNode) kernel.SourcePlan {
 	var reachable []kernel.Peer
 	for _, p := range f.peers {
 		if !n.suspects[p.Name] {
 			reachable = append(reachable, p)
 		}
 	}
-	return n.selector.Plan(f.now, reachable, n.lost())
+	return n.selector.Plan(f.now, reachable, n.storeLost())
 }
 
-func (n *readingNode) lost() bool { return n.reads && n.down }
+func (n *followerNode) storeLost() bool { return n.readsStore && n.storeDown }
 
 // pollSources asks other nodes one after the other until an answer suffices; the last one may delay its answer.
-func (f *readingFleet) pollSources(n *readingNode, attempts int) {
+func (f *followerSim) pollSources(n *followerNode, attempts int) {
 	plan := f.plan(n)
-	for ; attempts < readingMaxAttempts && plan.Source != ""; attempts++ {
+	for ; attempts < followerMaxAttempts && plan.Source != ""; attempts++ {
 		source := f.nodes[plan.Source]
-		if f.frozen(source.Name) {
+		if f.suspended(source.Name) {
 			n.suspects[source.Name] = true
-			n.nextPoll = f.now.Add(readingSilence)
+			n.nextPoll = f.now.Add(followerCallTimeout)
 			return
 		}
-		f.recordQuestion(source, n)
-		if (plan.LongPoll || attempts == readingMaxAttempts-1) && f.isStale(source) {
-			n.pendingSource, n.until = source.Name, f.now.Add(readingLongPoll)
+		f.recordPoll(source, n)
+		if (plan.LongPoll || attempts == followerMaxAttempts-1) && f.isStale(source) {
+			n.pendingSource, n.longPollEnd = source.Name, f.now.Add(followerLongPoll)
 			return
 		}
-		if f.take(n, source) {
-			f.end(n, f.plan(n), readingPollInterval)
+		if f.applyAnswer(n, source) {
+			f.endPoll(n, f.plan(n), followerPollInterval)
 			return
 		}
 		plan = f.plan(n)
 	}
-	f.endUnsuccessful(n, plan)
+	f.endFailedPoll(n, plan)
 }
 
-// endUnsuccessful ends a poll in which no answer sufficed.
-func (f *readingFleet) endUnsuccessful(n *readingNode, plan kernel.SourcePlan) {
-	pause := readingPollInterval
+// endFailedPoll ends a poll in which no answer sufficed.
+func (f *followerSim) endFailedPoll(n *followerNode, plan kernel.SourcePlan) {
+	pause := followerPollInterval
 	if plan.Source != "" {
-		pause = readingRetryInterval
+		pause = followerRetryInterval
 	}
-	f.end(n, plan, pause)
+	f.endPoll(n, plan, pause)
 	if !plan.ReadStore && n.selector.ShouldProbeStore(f.peers, f.random.Float64()) {
-		f.askStore(n)
-		n.selector.RecordProbe(!n.down)
-		f.end(n, f.plan(n), pause)
+		f.readStore(n)
+		n.selector.RecordProbe(!n.storeDown)
+		f.endPoll(n, f.plan(n), pause)
 	}
 }
 
-func (f *readingFleet) isStale(n *readingNode) bool {
-	return n.lost() && f.now.Sub(n.provenAt) > readingMaxAge
+func (f *followerSim) isStale(n *followerNode) bool {
+	return n.storeLost() && f.now.Sub(n.provenAt) > followerMaxAge
 }
 
-// recordQuestion tells the node that is asked about the one that asks it.
-func (f *readingFleet) recordQuestion(asked, by *readingNode) {
-	if asked.lost() && by.provenAt.After(asked.provenAt) {
+// recordPoll tells the node that is asked about the one that asks it.
+func (f *followerSim) recordPoll(asked, by *followerNode) {
+	if asked.storeLost() && by.provenAt.After(asked.provenAt) {
 		asked.selector.RecordFresherNode(f.now, by.Name)
 	}
 }
 
-func (f *readingFleet) wait(n *readingNode) {
+func (f *followerSim) awaitAnswer(n *followerNode) {
 	source := f.nodes[n.pendingSource]
-	if f.isStale(source) && f.now.Before(n.until) && !f.frozen(source.Name) {
+	if f.isStale(source) && f.now.Before(n.longPollEnd) && !f.suspended(source.Name) {
 		return
 	}
 	n.pendingSource = ""
-	if f.take(n, source) {
-		f.end(n, f.plan(n), readingPollInterval)
+	if f.applyAnswer(n, source) {
+		f.endPoll(n, f.plan(n), followerPollInterval)
 		return
 	}
-	f.endUnsuccessful(n, f.plan(n))
+	f.endFailedPoll(n, f.plan(n))
 }
 
-func (f *readingFleet) take(n, source *readingNode) bool {
+func (f *followerSim) applyAnswer(n, source *followerNode) bool {
 	if source.provenAt.After(n.provenAt) {
 		n.provenAt = source.provenAt
 	}
-	return n.selector.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.lost(), Age: f.now.Sub(source.provenAt)})
+	return n.selector.RecordAnswer(f.now, source.Name, kernel.SourceAnswer{StoreLost: source.storeLost(), Age: f.now.Sub(source.provenAt)})
 }
 
-func (f *readingFleet) end(n *readingNode, plan kernel.SourcePlan, pause time.Duration) {
-	if plan.ReadStore && !n.reads {
+func (f *followerSim) endPoll(n *followerNode, plan kernel.SourcePlan, pause time.Duration) {
+	if plan.ReadStore && !n.readsStore {
 		n.nextStoreCall = f.now
 	}
 	if !plan.ReadStore {
-		n.down = false
+		n.storeDown = false
 	}
-	n.reads = plan.ReadStore
+	n.readsStore = plan.ReadStore
 	n.nextPoll = f.now.Add(pause)
 }
 
 // maxAge returns the greatest age of the data of the nodes that are not frozen.
-func (f *readingFleet) maxAge() time.Duration {
+func (f *followerSim) maxAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
-		if !f.frozen(n.Name) {
+		if !f.suspended(n.Name) {
 			oldest = max(oldest, f.now.Sub(n.provenAt))
 		}
 	}
 	return oldest
 }
 
-func (f *readingFleet) allCalls() int {
+func (f *followerSim) totalStoreCalls() int {
 	all := 0
-	for _, n := range f.calls {
+	for _, n := range f.storeCalls {
 		all += n
 	}
 	return all
 }
 
 // designatedReaders returns the nodes that are designated to read the store, as any node sees it.
-func (f *readingFleet) designatedReaders() map[string]bool {
+func (f *followerSim) designatedReaders() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range f.peers {
 		// A node that reaches only one other node reads the store or follows that one.
@@ -235,94 +235,94 @@
 	return out
 }
 
-func nothing() {}
+func noAction() {}
 
 // Guards against a rush on an unavailable store. When each node that found its reader's data too old read the store
 // itself, repeatedly, and so did each node that took the place of a failing reader, a store that was silent for 6 s got
 // 5,096 calls from 195 nodes within 20 s, and 149 of them became readers within two seconds. A fleet reads once per
 // failure domain and interval while the store answers; an outage must not cost more calls with more nodes.
-func TestUnavailableStoreIsAskedByFewNodes(t *testing.T) {
+func TestFewNodesReadUnavailableStore(t *testing.T) {
 	const outage = 6 * time.Second
 	for _, each := range []int{8, 39} {
-		f := newReadingFleet(uint64(each), 5, each)
-		f.run(5*time.Second, nothing)
-		for domain, calls := range f.calls {
+		f := newFollowerSim(uint64(each), 5, each)
+		f.run(5*time.Second, noAction)
+		for domain, calls := range f.storeCalls {
 			must.LessEq(t, 10, calls, must.Sprint(domain, " with ", each, " nodes, calm"))
 		}
-		f.calls = map[string]int{}
-		f.answers = func(string) bool { return false }
-		f.run(outage, nothing)
-		must.LessEq(t, 600, f.allCalls(), must.Sprint(each, " nodes a domain"))
-		f.answers = func(string) bool { return true }
-		f.run(500*time.Millisecond, nothing)
+		f.storeCalls = map[string]int{}
+		f.storeAnswers = func(string) bool { return false }
+		f.run(outage, noAction)
+		must.LessEq(t, 600, f.totalStoreCalls(), must.Sprint(each, " nodes a domain"))
+		f.storeAnswers = func(string) bool { return true }
+		f.run(500*time.Millisecond, noAction)
 		must.LessEq(t, time.Second, f.maxAge(), must.Sprint(each, " nodes a domain: half a second after the store's return"))
-		f.calls = map[string]int{}
-		f.run(5*time.Second, nothing)
-		f.calls = map[string]int{}
-		f.run(5*time.Second, nothing)
-		must.LessEq(t, 5*10, f.allCalls(), must.Sprint(each, " nodes a domain: calm again"))
+		f.storeCalls = map[string]int{}
+		f.run(5*time.Second, noAction)
+		f.storeCalls = map[string]int{}
+		f.run(5*time.Second, noAction)
+		must.LessEq(t, 5*10, f.totalStoreCalls(), must.Sprint(each, " nodes a domain: calm again"))
 	}
 }
 
 // A store that answers only some nodes is found by a probe of one that it answers, and all others follow that one, even
 // if it refuses exactly the designated readers.
-func TestAStoreThatAnswersSomeNodesIsFound(t *testing.T) {
+func TestPartlyAvailableStoreIsFound(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, each := range []int{3, 8} {
-			f := newReadingFleet(seed, 3, each)
-			f.run(5*time.Second, nothing)
+			f := newFollowerSim(seed, 3, each)
+			f.run(5*time.Second, noAction)
 			bound := f.designatedReaders()
-			f.answers = func(node string) bool { return !bound[node] }
+			f.storeAnswers = func(node string) bool { return !bound[node] }
 			oldest := time.Duration(0)
 			f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-			must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: the designated readers refused"))
+			must.Less(t, followerMaxKeyAge, oldest, must.Sprint("seed ", seed, ", ", each, " nodes a domain: the designated readers refused"))
 		}
 	}
 	for seed := range uint64(2) {
-		f := newReadingFleet(seed, 5, 39)
-		f.run(5*time.Second, nothing)
+		f := newFollowerSim(seed, 5, 39)
+		f.run(5*time.Second, noAction)
 		refused := map[string]bool{}
 		for _, p := range f.peers {
 			refused[p.Name] = f.random.Float64() < 0.35
 		}
-		f.answers = func(node string) bool { return !refused[node] }
+		f.storeAnswers = func(node string) bool { return !refused[node] }
 		oldest := time.Duration(0)
 		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint("seed ", seed, ": a third refused"))
+		must.Less(t, followerMaxKeyAge, oldest, must.Sprint("seed ", seed, ": a third refused"))
 	}
 }
 
 // A node that is the only one that the store refuses, and a node that reaches no other node, stay current.
 func TestIsolatedNodeStaysCurrent(t *testing.T) {
 	for _, isolated := range []string{"node-0-0", "node-0-1", "node-0-2", "node-0-3"} {
-		f := newReadingFleet(1, 3, 4)
-		f.answers = func(node string) bool { return node != isolated }
+		f := newFollowerSim(1, 3, 4)
+		f.storeAnswers = func(node string) bool { return node != isolated }
 		oldest := time.Duration(0)
 		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " is refused by the store"))
+		must.Less(t, followerMaxKeyAge, oldest, must.Sprint(isolated, " is refused by the store"))
 
-		f = newReadingFleet(1, 3, 4)
+		f = newFollowerSim(1, 3, 4)
 		for _, p := range f.peers {
 			f.nodes[isolated].suspects[p.Name] = p.Name != isolated
 		}
 		oldest = 0
 		f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-		must.Less(t, readingKeyTrust, oldest, must.Sprint(isolated, " reaches no other node"))
+		must.Less(t, followerMaxKeyAge, oldest, must.Sprint(isolated, " reaches no other node"))
 	}
 }
 
 // Suspended nodes, the designated readers among them, make no other node's data stale.
-func TestFrozenReadersDoNotMakeOthersStale(t *testing.T) {
-	f := newReadingFleet(3, 3, 8)
-	f.run(5*time.Second, nothing)
+func TestSuspendedReadersDoNotMakeOthersStale(t *testing.T) {
+	f := newFollowerSim(3, 3, 8)
+	f.run(5*time.Second, noAction)
 	bound := f.designatedReaders()
-	f.frozen = func(node string) bool { return bound[node] }
+	f.suspended = func(node string) bool { return bound[node] }
 	oldest := time.Duration(0)
 	f.run(10*time.Second, func() { oldest = max(oldest, f.maxAge()) })
-	must.Less(t, readingKeyTrust, oldest)
+	must.Less(t, followerMaxKeyAge, oldest)
 }
 
-func TestTheCallTimeoutGrowsUntilAnAnswerComesWhole(t *testing.T) {
+func TestCallTimeoutGrowsUntilAnswerInTime(t *testing.T) {
 	const base, limit = 2 * time.Second, 7 * time.Second
 	timeout := kernel.CallTimeout(0, base, limit, false)
 	must.EqOp(t, base, timeout)
--- a/kernel/registry_test.go
+++ b/kernel/registry_test.go
@@ -10,11 +10,11 @@
 	"basilstall.example/basilstall/model"
 )
 
-func listed(name string, state model.HostState) model.Endpoint {
+func listedEndpoint(name string, state model.HostState) model.Endpoint {
 	return model.Endpoint{Name: name, Pool: "p", Address: name + ":1", State: state}
 }
 
-func names(r kernel.Registry) []string {
+func endpointNames(r kernel.Registry) []string {
 	var out []string
 	for _, e := range r.Endpoints("p") {
 		out = append(out, e.Name)
@@ -22,85 +22,85 @@
 	return out
 }
 
-func TestRegistryDropsWhatIsRemoved(t *testing.T) {
+func TestRegistryDropsRemovedEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
-	r = r.WithChanges(now.Add(600*time.Millisecond), now.Add(600*time.Millisecond), []model.Endpoint{listed("a", model.Leaving)}, []string{"b"}, nil)
-	must.Eq(t, []string{"a"}, names(r))
+	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Live), listedEndpoint("b", model.Live)}, nil, nil)
+	r = r.WithChanges(now.Add(600*time.Millisecond), now.Add(600*time.Millisecond), []model.Endpoint{listedEndpoint("a", model.Leaving)}, []string{"b"}, nil)
+	must.Eq(t, []string{"a"}, endpointNames(r))
 	e, _ := r.Find("a")
 	must.Eq(t, model.Leaving, e.State)
 }
 
-func TestRegistryKeepsWhatLapsedWhileTheStoreWasAway(t *testing.T) {
+func TestRegistryKeepsEntriesLapsedInOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{
-		listed("back", model.Live), listed("gone", model.Live), listed("leaving", model.Leaving),
+		listedEndpoint("back", model.Live), listedEndpoint("gone", model.Live), listedEndpoint("leaving", model.Leaving),
 	}, nil, nil)
 	returned := now.Add(5 * time.Second)
 	r = r.WithChanges(returned, returned, nil, []string{"back", "gone", "leaving"}, nil)
-	must.Eq(t, []string{"back", "gone"}, names(r), must.Sprint("an endpoint that was leaving is removed at once"))
-	r = r.WithChanges(returned.Add(time.Second), returned.Add(time.Second), []model.Endpoint{listed("back", model.Live)}, nil, nil)
-	must.Eq(t, []string{"back", "gone"}, names(r))
+	must.Eq(t, []string{"back", "gone"}, endpointNames(r), must.Sprint("an endpoint that was leaving is removed at once"))
+	r = r.WithChanges(returned.Add(time.Second), returned.Add(time.Second), []model.Endpoint{listedEndpoint("back", model.Live)}, nil, nil)
+	must.Eq(t, []string{"back", "gone"}, endpointNames(r))
 	r = r.WithChanges(returned.Add(1600*time.Millisecond), returned.Add(1600*time.Millisecond), nil, nil, nil)
 	r = r.WithChanges(returned.Add(2300*time.Millisecond), returned.Add(2300*time.Millisecond), nil, nil, nil)
-	must.Eq(t, []string{"back"}, names(r), must.Sprint("an entry that is still missing after the grace period is removed"))
+	must.Eq(t, []string{"back"}, endpointNames(r), must.Sprint("an entry that is still missing after the grace period is removed"))
 }
 
 // A long interval between reads of the store, or one lost answer, is not an outage: a removed entry then gets no grace
 // period.
 func TestRegistrySlowPollIsNoOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
+	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Live), listedEndpoint("b", model.Live)}, nil, nil)
 	now = now.Add(1350 * time.Millisecond)
 	r = r.WithChanges(now, now, nil, []string{"a"}, nil)
-	must.Eq(t, []string{"b"}, names(r))
+	must.Eq(t, []string{"b"}, endpointNames(r))
 	now = now.Add(2200 * time.Millisecond)
 	r = r.WithChanges(now, now, nil, []string{"b"}, nil)
-	must.SliceEmpty(t, names(r))
+	must.SliceEmpty(t, endpointNames(r))
 }
 
 // An answer of another node proves the list current only as of that node's own read of the store. The duration of an
 // outage is therefore measured between the proven times and not between the arrivals of answers.
 func TestRegistryMeasuresOutagesBetweenProvenTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live)}, nil, nil)
+	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Live)}, nil, nil)
 	for i := range 4 {
 		r = r.WithChanges(now.Add(time.Duration(i)*time.Second), now, nil, nil, nil)
 	}
 	must.Eq(t, 3*time.Second, r.Age(now.Add(3*time.Second)))
 	r = r.WithChanges(now.Add(4*time.Second), now.Add(3500*time.Millisecond), nil, []string{"a"}, nil)
-	must.Eq(t, []string{"a"}, names(r))
+	must.Eq(t, []string{"a"}, endpointNames(r))
 }
 
-func TestRegistryListingAfterAnOutage(t *testing.T) {
+func TestRegistryHasGracePeriodPerOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
-	r = r.WithChanges(now.Add(4*time.Second), now.Add(4*time.Second), []model.Endpoint{listed("a", model.Live)}, []string{"b"}, nil)
-	must.Eq(t, []string{"a", "b"}, names(r))
-	r = r.WithChanges(now.Add(7*time.Second), now.Add(7*time.Second), []model.Endpoint{listed("a", model.Live)}, nil, nil)
-	must.Eq(t, []string{"a", "b"}, names(r), must.Sprint("each outage has its own grace period"))
+	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Live), listedEndpoint("b", model.Live)}, nil, nil)
+	r = r.WithChanges(now.Add(4*time.Second), now.Add(4*time.Second), []model.Endpoint{listedEndpoint("a", model.Live)}, []string{"b"}, nil)
+	must.Eq(t, []string{"a", "b"}, endpointNames(r))
+	r = r.WithChanges(now.Add(7*time.Second), now.Add(7*time.Second), []model.Endpoint{listedEndpoint("a", model.Live)}, nil, nil)
+	must.Eq(t, []string{"a", "b"}, endpointNames(r), must.Sprint("each outage has its own grace period"))
 	r = r.WithChanges(now.Add(7*time.Second+600*time.Millisecond), now.Add(7*time.Second+600*time.Millisecond), nil, nil, nil)
 	r = r.WithChanges(now.Add(8*time.Second+200*time.Millisecond), now.Add(8*time.Second+200*time.Millisecond), nil, nil, nil)
 	r = r.WithChanges(now.Add(9*time.Second+300*time.Millisecond), now.Add(9*time.Second+300*time.Millisecond), nil, nil, nil)
-	must.Eq(t, []string{"a"}, names(r))
+	must.Eq(t, []string{"a"}, endpointNames(r))
 }
 
 func TestRegistryChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
-	before := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
-	after := before.WithChanges(now, now, []model.Endpoint{listed("a", model.Leaving), listed("c", model.Live)}, []string{"b"}, nil)
+	before := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Live), listedEndpoint("b", model.Live)}, nil, nil)
+	after := before.WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Leaving), listedEndpoint("c", model.Live)}, []string{"b"}, nil)
 	must.Len(t, 3, after.Changes(before))
 	must.SliceEmpty(t, after.Changes(after))
 }
 
 // startedEndpoint returns a live endpoint whose process started at a Unix time in seconds.
 func startedEndpoint(name string, second int64) model.Endpoint {
-	e := listed(name, model.Live)
+	e := listedEndpoint(name, model.Live)
 	e.Started = time.Unix(second, 0)
 	return e
 }
 
-func TestRegistryTellsIncarnationsApart(t *testing.T) {
+func TestRegistryDistinguishesIncarnations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{startedEndpoint("a", 900)}, nil, nil)
 	must.False(t, first.Superseded(startedEndpoint("a", 900).Incarnation()))
@@ -119,10 +119,10 @@
 
 // An entry that was overwritten by a value that names no endpoint is removed at once, also in the grace period after an
 // outage of the store; all other entries are kept.
-func TestRegistryDropsWhatCannotBeRead(t *testing.T) {
+func TestRegistryDropsUnreadableEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listed("a", model.Live), listed("b", model.Live)}, nil, nil)
+	r := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{listedEndpoint("a", model.Live), listedEndpoint("b", model.Live)}, nil, nil)
 	now = now.Add(5 * time.Second)
 	r = r.WithChanges(now, now, nil, nil, []string{"a"})
-	must.Eq(t, []string{"b"}, names(r))
+	must.Eq(t, []string{"b"}, endpointNames(r))
 }
--- a/kernel/replica_test.go
+++ b/kernel/replica_test.go
@@ -37,7 +37,7 @@
 	must.Len(t, 2, d.Rows, must.Sprint("a delta holds both removals"))
 }
 
-func TestDeltaKeepsTheAgeOfItsSource(t *testing.T) {
+func TestDeltaKeepsAgeOfSource(t *testing.T) {
 	now := time.Unix(1000, 0)
 	source, copied := kernel.NewReplica(), kernel.NewReplica()
 	source.Apply(now, []kernel.Row{{Key: "a", Version: 1}}, 1, true)
@@ -54,12 +54,12 @@
 
 // replicaMachine drives a store, two replicas that read it, and a third that copies either of them or reads the store.
 type replicaMachine struct {
-	now     time.Time
-	version uint64
-	store   map[string]kernel.Row
-	log     []kernel.Row
-	sources [2]*kernel.Replica
-	copied  *kernel.Replica
+	now      time.Time
+	version  uint64
+	store    map[string]kernel.Row
+	log      []kernel.Row
+	sources  [2]*kernel.Replica
+	follower *kernel.Replica
 	// observed is the table as it follows from the changes that the copy reported.
 	observed map[string]kernel.Row
 }
@@ -81,21 +81,21 @@
 
 // A replica that copies two replicas at different versions is never ahead of the store, never goes back, and equals the
 // store's table once it has caught up.
-func TestReplicasOfReplicasAgreeWithTheStore(t *testing.T) {
+func TestChainedReplicasMatchStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &replicaMachine{
 			now:      time.Unix(1000, 0),
 			store:    map[string]kernel.Row{},
 			sources:  [2]*kernel.Replica{kernel.NewReplica(), kernel.NewReplica()},
-			copied:   kernel.NewReplica(),
+			follower: kernel.NewReplica(),
 			observed: map[string]kernel.Row{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": m.write,
 			"read":  func(t *rapid.T) { m.read(rapid.IntRange(0, 1).Draw(t, "reader")) },
 			"copy":  m.copyFromStore,
-			"ask":   func(t *rapid.T) { m.ask(t, rapid.IntRange(0, 1).Draw(t, "source")) },
-			"agree": m.agree,
+			"ask":   func(t *rapid.T) { m.copyFromSource(t, rapid.IntRange(0, 1).Draw(t, "source")) },
+			"agree": m.checkAgreement,
 		})
 	})
 }
@@ -129,7 +129,7 @@
 
 // copyFromStore lets the copy read the changes from the store itself.
 func (m *replicaMachine) copyFromStore(t *rapid.T) {
-	after, known := m.copied.Version()
+	after, known := m.follower.Version()
 	if !known {
 		return
 	}
@@ -139,24 +139,24 @@
 			rows = append(rows, r)
 		}
 	}
-	m.observe(t, m.copied.Apply(m.now, rows, m.version, false))
+	m.observe(t, m.follower.Apply(m.now, rows, m.version, false))
 }
 
-func (m *replicaMachine) ask(t *rapid.T, source int) {
-	before, _ := m.copied.Version()
+func (m *replicaMachine) copyFromSource(t *rapid.T, source int) {
+	before, _ := m.follower.Version()
 	if d, ok := m.sources[source].Since(m.now, before); ok {
-		m.observe(t, m.copied.ApplyDelta(m.now, d))
+		m.observe(t, m.follower.ApplyDelta(m.now, d))
 	}
-	if after, _ := m.copied.Version(); after < before || after > m.version {
+	if after, _ := m.follower.Version(); after < before || after > m.version {
 		t.Fatalf("version went from %d to %d, the store is at %d", before, after, m.version)
 	}
 }
 
 // agree brings the copy up to date and compares it, and the reported changes, with the store.
-func (m *replicaMachine) agree(t *rapid.T) {
+func (m *replicaMachine) checkAgreement(t *rapid.T) {
 	m.read(0)
-	m.ask(t, 0)
-	all, _ := m.copied.Since(m.now, 0)
+	m.copyFromSource(t, 0)
+	all, _ := m.follower.Since(m.now, 0)
 	if len(all.Rows) != len(m.store) || len(m.observed) != len(m.store) {
 		t.Fatalf("the copy has %d rows, the reported changes give %d, the store has %d", len(all.Rows), len(m.observed), len(m.store))
 	}
--- a/kernel/returning_test.go
+++ b/kernel/returning_test.go
@@ -11,19 +11,19 @@
 	"basilstall.example/basilstall/model"
 )
 
-func promptOf(session string, tokens int) model.Prompt {
+func sessionPrompt(session string, tokens int) model.Prompt {
 	return model.Prompt{TokensIn: tokens, TokensOut: 80, Parts: []model.PromptPart{{ID: "shared", Tokens: 400}, {ID: session, Tokens: tokens - 400}}}
 }
 
-func TestRefusedRequestsTellsRetryFromNewRequest(t *testing.T) {
+func TestRefusedRequestsDistinguishesRetries(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := kernel.NewRefusedRequests()
-	first := kernel.RequestIdentity("ann", promptOf("a", 900))
+	first := kernel.RequestIdentity("ann", sessionPrompt("a", 900))
 	r.Add(now, first, 20*time.Millisecond)
 	must.EqOp(t, 320*time.Millisecond, r.TakeWaited(now.Add(300*time.Millisecond), first))
 	must.EqOp(t, 0, r.TakeWaited(now.Add(400*time.Millisecond), first), must.Sprint("a third request counts as new"))
-	must.EqOp(t, 0, r.TakeWaited(now, kernel.RequestIdentity("ann", promptOf("a", 901))), must.Sprint("another request of the same session"))
-	must.NotEq(t, first, kernel.RequestIdentity("ben", promptOf("a", 900)), must.Sprint("a request of another customer"))
+	must.EqOp(t, 0, r.TakeWaited(now, kernel.RequestIdentity("ann", sessionPrompt("a", 901))), must.Sprint("another request of the same session"))
+	must.NotEq(t, first, kernel.RequestIdentity("ben", sessionPrompt("a", 900)), must.Sprint("a request of another customer"))
 	must.EqOp(t, "", kernel.RequestIdentity("ann", model.Prompt{}))
 }
 
@@ -76,7 +76,7 @@
 }
 
 // request submits a request of three pieces for admission.
-func (b *overloadSim) request(now time.Time, id uint64) {
+func (b *overloadSim) submit(now time.Time, id uint64) {
 	f := model.Forward{ReceivedAt: now, Pieces: []int{3}}
 	identity := fmt.Sprint(id)
 	if b.refused != nil {
@@ -84,11 +84,11 @@
 	}
 	admitted := b.admission
 	admitted.Deadline = now.Add(6 * time.Second)
-	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.EstimateWait(now, pieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
+	estimates := []kernel.PoolEstimate{{Traits: batchTraits, Wait: b.queue.EstimateWait(now, newPieceGroup(id, 3, 8000, now.Add(overloadObjective)))}}
 	plan := kernel.PlanStages(f, admitted, estimates, engineTime)
 	refusal := kernel.AdmitStages(now, f, admitted, plan, estimates)
 	if refusal == nil {
-		group := pieceGroup(id, 3, 8000, plan.Due[0])
+		group := newPieceGroup(id, 3, 8000, plan.Due[0])
 		if ok, _ := b.queue.Add(now, group); ok {
 			return
 		}
@@ -110,7 +110,7 @@
 			unfinished = append(unfinished, batch)
 			continue
 		}
-		outcomes, _ := b.queue.Done(now, batch, madeAll(batch))
+		outcomes, _ := b.queue.Done(now, batch, resultsFor(batch))
 		for _, o := range outcomes {
 			for _, m := range o.Made {
 				b.queue.Release(now, m)
@@ -139,13 +139,13 @@
 		if now.Sub(start) < 7*time.Second {
 			for ; float64(id) < 39*now.Sub(start).Seconds(); id++ {
 				b.firstAttempt[id+1] = now
-				b.request(now, id+1)
+				b.submit(now, id+1)
 			}
 		}
 		for retry, at := range b.retryAt {
 			if !now.Before(at) {
 				delete(b.retryAt, retry)
-				b.request(now, retry)
+				b.submit(now, retry)
 			}
 		}
 		b.advanceCalls(now)
