--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -15,7 +15,7 @@
 
 const trustLimit = 4 * time.Second
 
-func routing(version uint64) model.Routing {
+func testRouting(version uint64) model.Routing {
 	return model.Routing{
 		Version: version,
 		Routes: []model.Route{
@@ -30,12 +30,12 @@
 	}
 }
 
-func forward(host, path, key string, at time.Time) model.Forward {
+func newForward(host, path, key string, at time.Time) model.Forward {
 	return model.Forward{ID: "id", Method: "GET", URI: path, Path: path, Host: host, Key: key, ReceivedAt: at}
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
-	table := kernel.NewRouteTable(routing(1))
+func TestMatchTakesLongestPrefix(t *testing.T) {
+	table := kernel.NewRouteTable(testRouting(1))
 	for _, tc := range []struct{ host, path, want string }{
 		{"a.example", "/x/1", "wide"},
 		{"a.example", "/x/y/1", "narrow"},
@@ -74,8 +74,8 @@
 	})
 }
 
-func TestPoolForKeepsToWeights(t *testing.T) {
-	table := kernel.NewRouteTable(routing(1))
+func TestPoolForFollowsWeights(t *testing.T) {
+	table := kernel.NewRouteTable(testRouting(1))
 	route, _ := table.Match("a.example", "/x/y/")
 	counts := map[string]int{}
 	for i := range 5000 {
@@ -87,11 +87,11 @@
 	must.Between(t, 350, counts["q"], 650)
 }
 
-func TestRoutingOnlyMovesForward(t *testing.T) {
+func TestRoutingVersionNeverDecreases(t *testing.T) {
 	now := time.Unix(1000, 0)
-	newer := kernel.NewRouteTable(routing(7))
+	newer := kernel.NewRouteTable(testRouting(7))
 	view := kernel.RoutingView{}.With(now, newer)
-	view = view.With(now.Add(time.Second), kernel.NewRouteTable(routing(5)))
+	view = view.With(now.Add(time.Second), kernel.NewRouteTable(testRouting(5)))
 	must.Eq(t, uint64(7), view.Table.Version())
 	must.Eq(t, now.Add(time.Second), view.ProvenAt)
 	view = view.With(now, nil)
@@ -101,7 +101,7 @@
 
 func TestAdmit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(routing(3)))
+	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(testRouting(3)))
 	for _, tc := range []struct {
 		name   string
 		view   kernel.RoutingView
@@ -109,14 +109,14 @@
 		age    time.Duration
 		reason model.Reason
 	}{
-		{"known key", view, forward("a.example", "/x/1", "key-b", now), 0, ""},
-		{"unknown key", view, forward("a.example", "/x/1", "key-z", now), 0, model.Unauthorized},
-		{"no key", view, forward("a.example", "/x/1", "", now), 0, model.Unauthorized},
-		{"public route", view, forward("b.example", "/1", "", now), 0, ""},
-		{"public route, old routing", view, forward("b.example", "/1", "", now), trustLimit + time.Second, ""},
-		{"no route", view, forward("a.example", "/z", "key-a", now), 0, model.UnknownPipeline},
-		{"no routing: never a false 404", kernel.RoutingView{}, forward("a.example", "/z", "key-a", now), 0, model.NotReady},
-		{"old routing", view, forward("a.example", "/x/1", "key-a", now.Add(trustLimit)), trustLimit + time.Millisecond, model.StaleRouting},
+		{"known key", view, newForward("a.example", "/x/1", "key-b", now), 0, ""},
+		{"unknown key", view, newForward("a.example", "/x/1", "key-z", now), 0, model.Unauthorized},
+		{"no key", view, newForward("a.example", "/x/1", "", now), 0, model.Unauthorized},
+		{"public route", view, newForward("b.example", "/1", "", now), 0, ""},
+		{"public route, old routing", view, newForward("b.example", "/1", "", now), trustLimit + time.Second, ""},
+		{"no route", view, newForward("a.example", "/z", "key-a", now), 0, model.UnknownPipeline},
+		{"no routing: never a false 404", kernel.RoutingView{}, newForward("a.example", "/z", "key-a", now), 0, model.NotReady},
+		{"old routing", view, newForward("a.example", "/x/1", "key-a", now.Add(trustLimit)), trustLimit + time.Millisecond, model.StaleRouting},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := now.Add(tc.age)
@@ -134,10 +134,10 @@
 	}
 }
 
-func TestAdmitKeepsToTheShorterTime(t *testing.T) {
+func TestAdmitUsesEarlierDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
-	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(routing(3)))
-	f := forward("a.example", "/x/1", "key-a", now)
+	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(testRouting(3)))
+	f := newForward("a.example", "/x/1", "key-a", now)
 	a, _ := kernel.Admit(now, view, trustLimit, f)
 	must.Eq(t, now.Add(time.Second), a.Deadline)
 	f.Deadline = now.Add(300 * time.Millisecond)
@@ -149,19 +149,19 @@
 
 func TestStillAdmittedRefusesRevokedKeysAndStaleRouting(t *testing.T) {
 	now := time.Unix(1000, 0)
-	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(routing(3)))
-	f := forward("a.example", "/x/1", "key-b", now)
+	view := kernel.RoutingView{}.With(now, kernel.NewRouteTable(testRouting(3)))
+	f := newForward("a.example", "/x/1", "key-b", now)
 	f.Deadline = time.Time{}
 	a, _ := kernel.Admit(now, view, trustLimit, f)
-	must.Nil(t, kernel.StillAdmitted(now, view, trustLimit, f, a))
+	must.Nil(t, kernel.RecheckAdmission(now, view, trustLimit, f, a))
 
-	revoked := routing(4)
+	revoked := testRouting(4)
 	revoked.Customers[0].Keys = []string{"key-a"}
 	later := view.With(now, kernel.NewRouteTable(revoked))
-	must.Eq(t, model.Unauthorized, kernel.StillAdmitted(now, later, trustLimit, f, a).Reason)
+	must.Eq(t, model.Unauthorized, kernel.RecheckAdmission(now, later, trustLimit, f, a).Reason)
 
 	a.Deadline = now.Add(time.Hour)
 	frozen := now.Add(trustLimit + time.Second)
-	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(frozen, view, trustLimit, f, a).Reason)
-	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Deadline, view, trustLimit, f, a).Reason)
+	must.Eq(t, model.StaleRouting, kernel.RecheckAdmission(frozen, view, trustLimit, f, a).Reason)
+	must.Eq(t, model.DeadlinePassed, kernel.RecheckAdmission(a.Deadline, view, trustLimit, f, a).Reason)
 }
--- a/kernel/routing_test.go
+++ b/kernel/routing_test.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-func TestUsableLeavesOutTheLeavingAndKeepsAFloor(t *testing.T) {
-	now := ledgerStart
+func TestUsableExcludesLeavingAndKeepsMinimum(t *testing.T) {
+	now := testStart
 	ejected := kernel.Health{}.WithFailure(now).WithFailure(now).WithFailure(now)
 	must.False(t, ejected.Usable(now))
 	cs := candidates(4)
@@ -44,8 +44,8 @@
 	must.EqOp(t, "123", names(kernel.Usable(now.Add(2*time.Second), cs, nil)), must.Sprint("ejected endpoints get a call again"))
 }
 
-func TestEjectionsLastLongerEachTimeAndOneProbeAtATime(t *testing.T) {
-	now := ledgerStart
+func TestEjectionsLengthenAndAllowOneProbe(t *testing.T) {
+	now := testStart
 	h := kernel.Health{}
 	var last time.Duration
 	for range 8 {
@@ -62,12 +62,12 @@
 	must.False(t, h.WithSuccess().Ejected())
 }
 
-func TestTwoChoicesSpreadsTheLoadAndPrefersTheOwnDomain(t *testing.T) {
+func TestTwoChoicesBalancesLoadAndPrefersOwnDomain(t *testing.T) {
 	cs := candidates(12)
 	random := rand.New(rand.NewPCG(1, 2))
 	own := 0
 	for range 1200 {
-		i := kernel.PickTwoChoices(ledgerStart, cs, "zorrotza", random.Float64(), random.Float64())
+		i := kernel.PickTwoChoices(testStart, cs, "zorrotza", random.Float64(), random.Float64())
 		cs[i].InFlight++
 		if cs[i].Endpoint.FailureDomain == "zorrotza" {
 			own++
@@ -77,26 +77,26 @@
 		must.Between(t, 75, c.InFlight, 125, must.Sprint(c.Endpoint.Name))
 	}
 	idle := candidates(12)
-	i := kernel.PickTwoChoices(ledgerStart, idle, "basauri", 0.5, 0.9)
+	i := kernel.PickTwoChoices(testStart, idle, "basauri", 0.5, 0.9)
 	must.EqOp(t, "basauri", idle[i].Endpoint.FailureDomain)
-	must.EqOp(t, -1, kernel.PickTwoChoices(ledgerStart, nil, "basauri", 0, 0))
+	must.EqOp(t, -1, kernel.PickTwoChoices(testStart, nil, "basauri", 0, 0))
 }
 
-func TestStaleLoadReportsLoseTheirWeight(t *testing.T) {
+func TestStaleLoadReportsLoseWeight(t *testing.T) {
 	cs := candidates(2)
 	cs[0].Endpoint.FailureDomain, cs[1].Endpoint.FailureDomain = "x", "x"
 	cs[0].Load = model.Load{Running: 8, Queued: 20, Slots: 8}
-	cs[0].LoadAt = ledgerStart
-	must.EqOp(t, 1, kernel.PickTwoChoices(ledgerStart, cs, "x", 0, 0.9))
-	must.EqOp(t, 0, kernel.PickTwoChoices(ledgerStart.Add(5*time.Second), cs, "x", 0, 0.9))
+	cs[0].LoadAt = testStart
+	must.EqOp(t, 1, kernel.PickTwoChoices(testStart, cs, "x", 0, 0.9))
+	must.EqOp(t, 0, kernel.PickTwoChoices(testStart.Add(5*time.Second), cs, "x", 0, 0.9))
 }
 
-func TestPrefixStaysUntilItsEndpointIsLoadedBeyondTheBound(t *testing.T) {
+func TestPrefixStaysUntilEndpointIsOverloaded(t *testing.T) {
 	cs := candidates(12)
-	home := kernel.PickPrefix(ledgerStart, cs, "agreement-17")
-	must.EqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"))
+	home := kernel.PickPrefix(testStart, cs, "agreement-17")
+	must.EqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"))
 	for cs[home].InFlight < 50 {
-		i := kernel.PickPrefix(ledgerStart, cs, "agreement-17")
+		i := kernel.PickPrefix(testStart, cs, "agreement-17")
 		if i != home {
 			break
 		}
@@ -107,16 +107,16 @@
 		cs[i].Load.Slots = 4
 	}
 	cs[home].InFlight = 3
-	must.EqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"))
+	must.EqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"))
 	cs[home].InFlight = 4
-	must.NotEqOp(t, home, kernel.PickPrefix(ledgerStart, cs, "agreement-17"), must.Sprint("no free slot"))
+	must.NotEqOp(t, home, kernel.PickPrefix(testStart, cs, "agreement-17"), must.Sprint("no free slot"))
 	// Without one endpoint only the prefixes that hash to it move.
 	fresh := candidates(12)
 	moved := 0
 	for i := range 200 {
 		prefix := fmt.Sprint("p", i)
-		before := fresh[kernel.PickPrefix(ledgerStart, fresh, prefix)].Endpoint.Name
-		after := fresh[:11][kernel.PickPrefix(ledgerStart, fresh[:11], prefix)].Endpoint.Name
+		before := fresh[kernel.PickPrefix(testStart, fresh, prefix)].Endpoint.Name
+		after := fresh[:11][kernel.PickPrefix(testStart, fresh[:11], prefix)].Endpoint.Name
 		if before != after {
 			must.EqOp(t, "runner-11", before)
 			moved++
--- a/kernel/settings_test.go
+++ b/kernel/settings_test.go
@@ -25,7 +25,7 @@
       - {Name: encode, Kind: Encode, Pool: encoders}
 `
 
-func TestADocumentIsCheckedWhole(t *testing.T) {
+func TestCheckDocument(t *testing.T) {
 	replaced := func(old, text string) string { return strings.Replace(validTeam, old, text, 1) }
 	cases := []struct {
 		name string
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestABadDocumentLeavesWhatWasInForce(t *testing.T) {
+func TestBadDocumentKeepsSettingsInForce(t *testing.T) {
 	good := model.Document{Path: "teams/bilbao", Revision: 1, YAML: validTeam}
 	s, refused := kernel.NewSettings().WithSnapshot(model.Snapshot{Revision: 1, Documents: []model.Document{good}})
 	must.SliceEmpty(t, refused)
@@ -73,7 +73,7 @@
 	must.True(t, ok)
 }
 
-func TestATokenOfTwoTeamsBelongsToTheEarlierDocumentOnAllNodes(t *testing.T) {
+func TestDuplicateTokenBelongsToEarlierDocument(t *testing.T) {
 	other := strings.Replace(validTeam, "Team: bilbao", "Team: moravia", 1)
 	documents := []model.Document{
 		{Path: "teams/moravia", Revision: 2, YAML: other},
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/kernel"
 )
 
-func TestFleetRetryBudgetIsKeptByAllNodesTogether(t *testing.T) {
+func TestFleetRetryBudgetBoundsAllNodes(t *testing.T) {
 	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	const nodes = 8
 	budgets := make([]*kernel.FleetRetryBudget, nodes)
@@ -21,7 +21,7 @@
 	for step := range 1000 {
 		at := now.Add(time.Duration(step) * 10 * time.Millisecond)
 		b := budgets[step%nodes]
-		b.Request(at)
+		b.CountRequest(at)
 		requests++
 		// Every request fails and asks for a retry.
 		if b.TakeRetry(at, nodes) {
@@ -32,7 +32,7 @@
 	must.Positive(t, taken)
 }
 
-func TestFleetRetryBudgetRefillsWithTheWindow(t *testing.T) {
+func TestFleetRetryBudgetRefillsWithWindow(t *testing.T) {
 	b := kernel.NewFleetRetryBudget(kernel.FleetRetryLimits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, time.Time{})
 	now := time.Unix(1000, 0)
 	for b.TakeRetry(now, 1) {
@@ -44,7 +44,7 @@
 
 // The fleet stays within the bound when all nodes restart in the middle of a window and lose their counts, also while
 // none of them knows of the others yet.
-func TestFleetRetryBudgetIsKeptWhenAllNodesRestart(t *testing.T) {
+func TestFleetRetryBudgetHoldsAfterRestart(t *testing.T) {
 	t.Parallel()
 	terms := kernel.FleetRetryLimits{Ratio: 0.2, Slack: 192, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
--- a/kernel/stageplan_test.go
+++ b/kernel/stageplan_test.go
@@ -27,7 +27,7 @@
 	return f, a
 }
 
-func estimates(wait time.Duration) []kernel.PoolEstimate {
+func poolEstimates(wait time.Duration) []kernel.PoolEstimate {
 	out := make([]kernel.PoolEstimate, 4)
 	for i := range out {
 		out[i] = kernel.PoolEstimate{Traits: batchTraits, Wait: wait}
@@ -35,10 +35,10 @@
 	return out
 }
 
-func TestAStageIsDueBeforeAllThatFollowsIt(t *testing.T) {
+func TestStageIsDueBeforeItsSuccessors(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 2, 1, 6, 10)
-	plan := kernel.PlanStages(f, a, estimates(0), 200*time.Millisecond)
+	plan := kernel.PlanStages(f, a, poolEstimates(0), 200*time.Millisecond)
 	must.Eq(t, []int{0, 3}, plan.FinalStages)
 	must.True(t, plan.Due[1].Before(plan.Due[2]))
 	must.True(t, plan.Due[2].Before(plan.Due[3]))
@@ -46,18 +46,18 @@
 	must.True(t, plan.Until[1].Before(a.Deadline))
 }
 
-func TestAnOmittedStageTakesNoTimeAndGivesNoInput(t *testing.T) {
+func TestOmittedStageTakesNoTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 0, 1, 6, 10)
-	plan := kernel.PlanStages(f, a, estimates(0), 200*time.Millisecond)
+	plan := kernel.PlanStages(f, a, poolEstimates(0), 200*time.Millisecond)
 	must.Eq(t, []int{3}, plan.FinalStages)
 	f, a = stagedRequest(now)
-	plan = kernel.PlanStages(f, a, estimates(0), 200*time.Millisecond)
+	plan = kernel.PlanStages(f, a, poolEstimates(0), 200*time.Millisecond)
 	must.SliceEmpty(t, plan.FinalStages)
 	must.Eq(t, 200*time.Millisecond, plan.Expected)
 }
 
-func TestStagesThatWouldBeLateAreRefusedWhereQueuesAreLong(t *testing.T) {
+func TestAdmitStagesRefusesLateStages(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f, a := stagedRequest(now, 1, 1, 6, 10)
 	for _, tc := range []struct {
@@ -71,8 +71,8 @@
 		{"long queues", 600 * time.Millisecond, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			plan := kernel.PlanStages(f, a, estimates(tc.wait), 200*time.Millisecond)
-			refusal := kernel.AdmitStages(now, f, a, plan, estimates(tc.wait))
+			plan := kernel.PlanStages(f, a, poolEstimates(tc.wait), 200*time.Millisecond)
+			refusal := kernel.AdmitStages(now, f, a, plan, poolEstimates(tc.wait))
 			must.Eq(t, tc.refused, refusal != nil)
 			if refusal != nil {
 				must.Eq(t, model.StageLate, refusal.Reason)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestDomainOfIsWhereMostResultsLie(t *testing.T) {
+func TestMostCommonDomain(t *testing.T) {
 	made := []kernel.ResultRef{{Domain: "a"}, {Domain: "b"}, {Domain: "b"}}
 	must.Eq(t, "b", kernel.MostCommonDomain(made))
 	must.Eq(t, "", kernel.MostCommonDomain(nil))
--- a/list/list.go
+++ b/list/list.go
@@ -23,33 +23,33 @@
 	HostsPath = "/list/hosts"
 	// callTimeout bounds an announcement, and the time in which nothing comes of the list.
 	callTimeout = 2 * time.Second
-	// mostList bounds the list's bytes, some 100 an entry, and readMost its time: what 10 Mbit/s take for that.
-	mostList = 16 << 20
-	readMost = 13 * time.Second
+	// maxListBytes bounds the list's bytes, some 100 an entry, and maxReadTime its time: what 10 Mbit/s take for that.
+	maxListBytes = 16 << 20
+	maxReadTime  = 13 * time.Second
 )
 
 // Client reads the list and announces the node's own host.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
 // NewClient returns a client for the platform at an address, HOST:PORT.
 func NewClient(address string) *Client {
 	return &Client{
-		base:   "http://" + address,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
+		baseURL: "http://" + address,
+		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
 	}
 }
 
 // Get returns the list as the platform gives it now.
 func (c *Client) Get(ctx context.Context) (model.HostList, error) {
 	var hosts model.HostList
-	ctx, cancel := context.WithTimeout(ctx, readMost)
+	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
-	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
+	ctx, silence := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+Path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+Path, nil)
 	if err != nil {
 		return hosts, errors.Wrap(err, "list: unable to make a request")
 	}
@@ -62,7 +62,7 @@
 	if res.StatusCode != http.StatusOK {
 		return hosts, errors.Errorf("list: unable to read: %s", res.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(silence.Reader(res.Body), mostList)).Decode(&hosts); err != nil {
+	if err := json.NewDecoder(io.LimitReader(silence.Reader(res.Body), maxListBytes)).Decode(&hosts); err != nil {
 		return hosts, errors.Wrap(err, "list: unable to decode")
 	}
 	return hosts, nil
@@ -76,7 +76,7 @@
 	if err != nil {
 		return errors.Wrap(err, "list: unable to encode")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+HostsPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+HostsPath, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "list: unable to make a request")
 	}
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -55,7 +55,7 @@
 	if old := f.procs[name]; old != nil {
 		return old.lines[0], old.lines[1], old.lines[2]
 	}
-	anyPort := net.JoinHostPort(standin.NewHost(), "0")
+	anyPort := net.JoinHostPort(standin.NewLoopbackHost(), "0")
 	return anyPort, anyPort, anyPort
 }
 
@@ -149,7 +149,7 @@
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
-		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoAccount,
+		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoCustomer,
 		count: 100, workers: 8, tries: 1, tokens: 8,
 	}
 	addresses := f.callers
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -232,7 +232,7 @@
 }
 
 func (f *fleet) operate(p *process, path string, into any) error {
-	c := &operator.Client{Base: "http://" + p.lines[1], Token: operatorsToken, HTTP: f.client}
+	c := &operator.Client{BaseURL: "http://" + p.lines[1], Token: operatorsToken, HTTP: f.client}
 	return c.Get(context.Background(), path, into)
 }
 
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -149,13 +149,13 @@
 	gaps := false
 	call := caller.Call{
 		Pipeline: l.plan.pipeline, Key: o.key, Attempt: number,
-		Body: caller.Body{Input: model.Input{Text: o.text, MaxTokens: l.plan.tokens}, Stream: l.plan.stream},
+		Body: caller.RequestBody{Input: model.Input{Text: o.text, MaxTokens: l.plan.tokens}, Stream: l.plan.stream},
 		OnToken: func(t caller.TokenBody) {
 			gaps = gaps || t.Index != next
 			next++
 		},
 	}
-	c := &caller.Client{Base: "http://" + address, Token: l.plan.token, HTTP: client}
+	c := &caller.Client{BaseURL: "http://" + address, Token: l.plan.token, HTTP: client}
 	result, err := c.Send(context.Background(), call)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -64,9 +64,9 @@
 		go func() {
 			defer wg.Done()
 			c := &operator.Client{
-				Base:  "http://" + nodes[r%len(nodes)].lines[1],
-				Token: operatorsToken,
-				HTTP:  &http.Client{Timeout: 30 * time.Second},
+				BaseURL: "http://" + nodes[r%len(nodes)].lines[1],
+				Token:   operatorsToken,
+				HTTP:    &http.Client{Timeout: 30 * time.Second},
 			}
 			change := operator.Change{
 				Base:      base,
@@ -76,7 +76,7 @@
 			}
 			// An outcome that is unknown is asked for again by the operation's number.
 			for range 5 {
-				results[r], errs[r] = c.Set(context.Background(), "fleet", change)
+				results[r], errs[r] = c.SetDocument(context.Background(), "fleet", change)
 				if errs[r] != nil || results[r].Outcome != table.Unknown {
 					return
 				}
--- a/table/claims.go
+++ b/table/claims.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	claimsKey = "claims/row"
-	erasKey   = "claims/eras/%012d"
+	claimsKey    = "claims/row"
+	eraKeyFormat = "claims/eras/%012d"
 )
 
 type (
@@ -58,7 +58,7 @@
 		Transfers: stored.Transfers,
 	}
 	for _, ref := range stored.Eras {
-		era, err := s.era(ctx, ref, known)
+		era, err := s.readEra(ctx, ref, known)
 		if err != nil {
 			return kernel.Claims{}, 0, err
 		}
@@ -67,12 +67,12 @@
 	return claims, row.Version, nil
 }
 
-func (s *Store) era(ctx context.Context, ref eraRef, known kernel.Claims) (kernel.Era, error) {
+func (s *Store) readEra(ctx context.Context, ref eraRef, known kernel.Claims) (kernel.Era, error) {
 	i := slices.IndexFunc(known.Eras, func(e kernel.Era) bool { return e.Number == ref.Number })
 	if i >= 0 {
 		return known.Eras[i], nil
 	}
-	row, err := s.Get(ctx, fmt.Sprintf(erasKey, ref.Number))
+	row, err := s.Get(ctx, fmt.Sprintf(eraKeyFormat, ref.Number))
 	if err != nil {
 		return kernel.Era{}, err
 	}
@@ -83,9 +83,9 @@
 	return era, nil
 }
 
-// SwapClaims replaces the claims row if it still has the version that was read. If the
+// CompareAndSwapClaims replaces the claims row if it still has the version that was read. If the
 // answer is lost it reads the row back and recognises its own write by the writer's number.
-func (s *Store) SwapClaims(ctx context.Context, version uint64, old, next kernel.Claims) (uint64, error) {
+func (s *Store) CompareAndSwapClaims(ctx context.Context, version uint64, old, next kernel.Claims) (uint64, error) {
 	tx, err := claimsTransaction(version, old, next)
 	if err != nil {
 		return 0, err
@@ -123,7 +123,7 @@
 		if err != nil {
 			return tx, errors.Wrap(err, "table: unable to encode an era")
 		}
-		tx.Writes = append(tx.Writes, Write{Key: fmt.Sprintf(erasKey, era.Number), Value: value})
+		tx.Writes = append(tx.Writes, Write{Key: fmt.Sprintf(eraKeyFormat, era.Number), Value: value})
 	}
 	value, err := json.Marshal(stored)
 	if err != nil {
--- a/table/encodings_test.go
+++ b/table/encodings_test.go
@@ -19,7 +19,7 @@
 	members := []kernel.Member{{Node: "a", Incarnation: "1", Address: "x:1"}}
 	claims := kernel.NewClaims(start, start, start.Add(time.Second), members, "w1")
 	claims.Transfers = []kernel.Transfer{{From: "a", To: members[0]}}
-	_, err := store.SwapClaims(t.Context(), 0, kernel.Claims{}, claims)
+	_, err := store.CompareAndSwapClaims(t.Context(), 0, kernel.Claims{}, claims)
 	must.NoError(t, err)
 	_, err = store.InsertKeys(t.Context(), []table.KeyRow{{Key: "k", Writer: "w", Fingerprint: 7, At: start}})
 	must.NoError(t, err)
--- a/table/keys.go
+++ b/table/keys.go
@@ -33,7 +33,7 @@
 		pending = append(pending, i)
 	}
 	for len(pending) > 0 {
-		taken, err := s.insertOnce(ctx, rows, pending)
+		taken, err := s.tryInsert(ctx, rows, pending)
 		if errors.Is(err, ErrUnknown) {
 			return result, s.readBack(ctx, result, pending)
 		}
@@ -43,14 +43,14 @@
 		if len(taken) == 0 {
 			return result, nil
 		}
-		if pending, err = s.dropTaken(ctx, result, pending, taken); err != nil {
+		if pending, err = s.resolveExisting(ctx, result, pending, taken); err != nil {
 			return result, err
 		}
 	}
 	return result, nil
 }
 
-func (s *Store) insertOnce(ctx context.Context, rows []KeyRow, pending []int) ([]string, error) {
+func (s *Store) tryInsert(ctx context.Context, rows []KeyRow, pending []int) ([]string, error) {
 	var tx Transaction
 	for _, i := range pending {
 		value, err := json.Marshal(rows[i])
@@ -68,8 +68,8 @@
 	return nil, err
 }
 
-// dropTaken notes the earlier writers of taken keys and returns what is still to insert.
-func (s *Store) dropTaken(ctx context.Context, result []KeyRow, pending []int, taken []string) ([]int, error) {
+// resolveExisting notes the earlier writers of taken keys and returns what is still to insert.
+func (s *Store) resolveExisting(ctx context.Context, result []KeyRow, pending []int, taken []string) ([]int, error) {
 	isTaken := map[string]bool{}
 	for _, key := range taken {
 		isTaken[key] = true
@@ -80,7 +80,7 @@
 			left = append(left, i)
 			continue
 		}
-		row, err := s.key(ctx, result[i].Key)
+		row, err := s.readKey(ctx, result[i].Key)
 		if err != nil {
 			return nil, err
 		}
@@ -93,7 +93,7 @@
 // stays open.
 func (s *Store) readBack(ctx context.Context, result []KeyRow, pending []int) error {
 	for _, i := range pending {
-		row, err := s.key(ctx, result[i].Key)
+		row, err := s.readKey(ctx, result[i].Key)
 		if err != nil {
 			return ErrUnknown
 		}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (s *Store) key(ctx context.Context, key string) (KeyRow, error) {
+func (s *Store) readKey(ctx context.Context, key string) (KeyRow, error) {
 	var row KeyRow
 	stored, err := s.Get(ctx, keyPrefix+key)
 	if err != nil {
--- a/table/leases.go
+++ b/table/leases.go
@@ -27,9 +27,9 @@
 	return lease, row.Version, nil
 }
 
-// SwapLease writes a lease if the row still has the version that was read. A lost answer is
+// CompareAndSwapLease writes a lease if the row still has the version that was read. A lost answer is
 // resolved by the writer's number.
-func (s *Store) SwapLease(ctx context.Context, pool string, version uint64, next kernel.Lease) (uint64, error) {
+func (s *Store) CompareAndSwapLease(ctx context.Context, pool string, version uint64, next kernel.Lease) (uint64, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return 0, errors.Wrap(err, "table: unable to encode a lease")
--- a/table/notices.go
+++ b/table/notices.go
@@ -14,8 +14,8 @@
 
 const (
 	noticesKey = "notices/row"
-	// noticesTries bounds how often a change is tried again that met another one.
-	noticesTries = 8
+	// maxNoticesAttempts bounds how often a change is tried again that met another one.
+	maxNoticesAttempts = 8
 )
 
 // Notices is what nodes tell each other that is to be known to all. It is one row, so that one number tells who has read
@@ -45,7 +45,7 @@
 
 // ChangeHeld changes which requests are held back.
 func (s *Store) ChangeHeld(ctx context.Context, change kernel.QuarantineChange) error {
-	return s.changeNotices(ctx, func(n Notices) Notices {
+	return s.updateNotices(ctx, func(n Notices) Notices {
 		n.Held = change.Apply(n.Held)
 		return n
 	})
@@ -53,7 +53,7 @@
 
 // ChangeRateCap changes what an endpoint is known to state.
 func (s *Store) ChangeRateCap(ctx context.Context, incarnation string, stated model.RateCap) error {
-	return s.changeNotices(ctx, func(n Notices) Notices {
+	return s.updateNotices(ctx, func(n Notices) Notices {
 		n.RateCaps = maps.Clone(n.RateCaps)
 		if n.RateCaps == nil {
 			n.RateCaps = map[string]model.RateCap{}
@@ -66,8 +66,8 @@
 	})
 }
 
-func (s *Store) changeNotices(ctx context.Context, change func(Notices) Notices) error {
-	for range noticesTries {
+func (s *Store) updateNotices(ctx context.Context, change func(Notices) Notices) error {
+	for range maxNoticesAttempts {
 		notices, version, err := s.Notices(ctx)
 		if err != nil {
 			return err
@@ -88,8 +88,8 @@
 	return errors.New("table: the notices change too often")
 }
 
-// RateCapDifference returns what has changed between two readings of the row, by the incarnations of endpoints.
-func RateCapDifference(before, after map[string]model.RateCap) map[string]model.RateCap {
+// DiffRateCaps returns what has changed between two readings of the row, by the incarnations of endpoints.
+func DiffRateCaps(before, after map[string]model.RateCap) map[string]model.RateCap {
 	change := map[string]model.RateCap{}
 	for incarnation, stated := range after {
 		if before[incarnation] != stated {
@@ -104,8 +104,8 @@
 	return change
 }
 
-// HeldDifference returns what has changed between two readings of the row.
-func HeldDifference(before, after []kernel.HeldRequest) kernel.QuarantineChange {
+// DiffHeld returns what has changed between two readings of the row.
+func DiffHeld(before, after []kernel.HeldRequest) kernel.QuarantineChange {
 	var change kernel.QuarantineChange
 	find := func(list []kernel.HeldRequest, digest model.Digest) int {
 		return slices.IndexFunc(list, func(h kernel.HeldRequest) bool { return h.Digest == digest })
--- a/table/settings.go
+++ b/table/settings.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	headKey        = "settings/head"
-	documentPrefix = "settings/documents/"
-	historyPrefix  = "settings/history/"
-	historyKey     = historyPrefix + "%012d"
-	// settingsTries bounds how often a change is tried again because another document
+	headKey          = "settings/head"
+	documentPrefix   = "settings/documents/"
+	historyPrefix    = "settings/history/"
+	historyKeyFormat = historyPrefix + "%012d"
+	// maxSettingsAttempts bounds how often a change is tried again because another document
 	// changed at the same moment.
-	settingsTries = 8
-	resolvePause  = 150 * time.Millisecond
-	// conflictPause doubles with each try: another document's change is over at once, but
+	maxSettingsAttempts = 8
+	resolveRetryPause   = 150 * time.Millisecond
+	// conflictPauseUnit doubles with each try: another document's change is over at once, but
 	// reads may be stale for seconds.
-	conflictPause = 10 * time.Millisecond
+	conflictPauseUnit = 10 * time.Millisecond
 )
 
 type head struct {
@@ -52,7 +52,7 @@
 // Snapshot returns all documents, at a head revision that was the same before and after
 // they were read.
 func (s *Store) Snapshot(ctx context.Context) (model.Snapshot, error) {
-	for range settingsTries {
+	for range maxSettingsAttempts {
 		before, err := s.Head(ctx)
 		if err != nil {
 			return model.Snapshot{}, err
@@ -97,8 +97,8 @@
 // head and the history change in one transaction. On NotApplied with a nil error, current is
 // the document that won the race. The operation's number makes the change idempotent.
 func (s *Store) SetDocument(ctx context.Context, doc model.Document, base uint64) (outcome ChangeOutcome, current model.Document, err error) {
-	for try := range settingsTries {
-		if try > 0 && !clock.Sleep(ctx, conflictPause<<try) {
+	for try := range maxSettingsAttempts {
+		if try > 0 && !clock.Sleep(ctx, conflictPauseUnit<<try) {
 			break
 		}
 		old, oldVersion, err := s.document(ctx, doc.Path)
@@ -113,7 +113,7 @@
 			continue
 		}
 		if old.Revision > base {
-			return s.lostRace(ctx, doc, old)
+			return s.resolveNewerDocument(ctx, doc, old)
 		}
 		h, headVersion, err := s.head(ctx)
 		if err != nil {
@@ -128,7 +128,7 @@
 		case errors.As(err, &conflict):
 			continue
 		case errors.Is(err, ErrUnknown):
-			return s.resolveChange(ctx, doc, headVersion)
+			return s.resolveUnknownCommit(ctx, doc, headVersion)
 		default:
 			return NotApplied, old, err
 		}
@@ -136,9 +136,9 @@
 	return NotApplied, model.Document{}, errors.Wrap(ErrUnavailable, "the settings kept changing or the reads were stale")
 }
 
-// lostRace tells an operation that was applied earlier from one that lost to another change.
-func (s *Store) lostRace(ctx context.Context, doc, winner model.Document) (ChangeOutcome, model.Document, error) {
-	found, ok, err := s.Operation(ctx, doc.Operation)
+// resolveNewerDocument tells an operation that was applied earlier from one that lost to another change.
+func (s *Store) resolveNewerDocument(ctx context.Context, doc, winner model.Document) (ChangeOutcome, model.Document, error) {
+	found, ok, err := s.FindOperation(ctx, doc.Operation)
 	if err != nil {
 		return Unknown, winner, err
 	}
@@ -148,25 +148,25 @@
 	return NotApplied, winner, nil
 }
 
-// resolveChange settles a write whose answer was lost. Either the history row that it would
+// resolveUnknownCommit settles a write whose answer was lost. Either the history row that it would
 // have written is there and tells whose it is; or it is absent and the head row is written
 // anew in the same transaction, so that the lost write, which demands the head's old
 // version, can never take effect any more.
-func (s *Store) resolveChange(ctx context.Context, doc model.Document, headVersion uint64) (ChangeOutcome, model.Document, error) {
-	key := fmt.Sprintf(historyKey, doc.Revision)
+func (s *Store) resolveUnknownCommit(ctx context.Context, doc model.Document, headVersion uint64) (ChangeOutcome, model.Document, error) {
+	key := fmt.Sprintf(historyKeyFormat, doc.Revision)
 	headValue, _ := json.Marshal(head{Revision: doc.Revision - 1})
 	fence := Transaction{
 		Conditions: []Condition{{Key: key}, {Key: headKey, Version: headVersion}},
 		Writes:     []Write{{Key: headKey, Value: headValue}},
 	}
-	for range settingsTries {
+	for range maxSettingsAttempts {
 		_, err := s.Commit(ctx, fence)
 		var conflict *Conflict
 		if err == nil {
 			return NotApplied, doc, ErrUnavailable
 		}
 		if !errors.As(err, &conflict) {
-			if !clock.Sleep(ctx, resolvePause) {
+			if !clock.Sleep(ctx, resolveRetryPause) {
 				break
 			}
 			continue
@@ -191,7 +191,7 @@
 }
 
 // Operation returns the change with an operation number, if there is one.
-func (s *Store) Operation(ctx context.Context, operation string) (model.Document, bool, error) {
+func (s *Store) FindOperation(ctx context.Context, operation string) (model.Document, bool, error) {
 	all, err := s.History(ctx, "")
 	if err != nil {
 		return model.Document{}, false, err
@@ -215,7 +215,7 @@
 		Writes: []Write{
 			{Key: documentPrefix + doc.Path, Value: value},
 			{Key: headKey, Value: headValue},
-			{Key: fmt.Sprintf(historyKey, doc.Revision), Value: value},
+			{Key: fmt.Sprintf(historyKeyFormat, doc.Revision), Value: value},
 		},
 	}
 }
--- a/table/slowwrite_test.go
+++ b/table/slowwrite_test.go
@@ -16,8 +16,8 @@
 	"basilstall.example/basilstall/table"
 )
 
-// slowestLink is what the slowest links of hosts carry, in bytes a second.
-const slowestLink = 1_250_000
+// minLinkBytesPerSecond is what the slowest links of hosts carry, in bytes a second.
+const linkBytesPerSecond = 1_250_000
 
 type (
 	// slowUplink is a connection on which what is sent takes the time of the slowest links; what comes back takes none.
@@ -26,15 +26,15 @@
 	}
 
 	// pipes listens for the one connection that is dialled.
-	pipes chan net.Conn
+	pipeListener chan net.Conn
 )
 
 func (c slowUplink) Write(p []byte) (int, error) {
-	time.Sleep(time.Duration(len(p)) * time.Second / slowestLink)
+	time.Sleep(time.Duration(len(p)) * time.Second / linkBytesPerSecond)
 	return c.Conn.Write(p)
 }
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	conn, open := <-p
 	if !open {
 		return nil, net.ErrClosed
@@ -42,8 +42,8 @@
 	return conn, nil
 }
 
-func (p pipes) Close() error   { close(p); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // What was seen: a test of reads over a slow link failed once beside much else, in its first step, as "the service is not
 // available".
@@ -52,10 +52,10 @@
 // write, and its copy in the history, take longer than that over the slowest links of hosts, and could never be written.
 // What proved it: the error is that of a write that was taken back after its answer did not come in time. Time is made up
 // here: on a busy machine the work of sending and reading the document took more of it than the link.
-func TestALargeDocumentIsWrittenOverASlowLink(t *testing.T) {
+func TestLargeDocumentWriteOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		written := 0
-		dialled := make(pipes)
+		dialled := make(pipeListener)
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == table.RowsPath {
 				_ = json.NewEncoder(w).Encode([]table.Row{})
--- a/table/store.go
+++ b/table/store.go
@@ -22,11 +22,11 @@
 	// read: a silent connection must not hold up what needs the table, but large documents may take long over a slow
 	// link.
 	callTimeout = 2 * time.Second
-	// slowestLink is what the slowest links of hosts carry, 10 Mbit/s, in bytes a second.
-	slowestLink = 1_250_000
-	// maxRowsBytes bounds a read's bytes, and readMost its time: what 10 Mbit/s take for that.
+	// linkBytesPerSecond is what the slowest links of hosts carry, 10 Mbit/s, in bytes a second.
+	minLinkBytesPerSecond = 1_250_000
+	// maxRowsBytes bounds a read's bytes, and maxReadTime its time: what 10 Mbit/s take for that.
 	maxRowsBytes = 64 << 20
-	readMost     = 54 * time.Second
+	maxReadTime  = 54 * time.Second
 )
 
 // Store reads and writes the project's rows. It is safe for concurrent use.
@@ -34,15 +34,15 @@
 	// Dial opens a connection to the platform.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	base   string
-	client *http.Client
-	reads  atomic.Uint64
-	writes atomic.Uint64
+	baseURL    string
+	client     *http.Client
+	readCount  atomic.Uint64
+	writeCount atomic.Uint64
 }
 
 // NewStore returns a store for the platform at an address, HOST:PORT.
 func NewStore(address string) *Store {
-	s := &Store{Dial: (&net.Dialer{}).DialContext, base: "http://" + address}
+	s := &Store{Dial: (&net.Dialer{}).DialContext, baseURL: "http://" + address}
 	s.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return s.Dial(ctx, network, address)
@@ -53,10 +53,10 @@
 }
 
 // Reads returns how many reads were sent.
-func (s *Store) Reads() uint64 { return s.reads.Load() }
+func (s *Store) Reads() uint64 { return s.readCount.Load() }
 
 // Writes returns how many transactions were sent.
-func (s *Store) Writes() uint64 { return s.writes.Load() }
+func (s *Store) Writes() uint64 { return s.writeCount.Load() }
 
 // Close closes idle connections.
 func (s *Store) Close() { s.client.CloseIdleConnections() }
@@ -89,13 +89,13 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx, cancel := context.WithTimeout(httptrace.WithClientTrace(ctx, trace), commitTimeout(len(body)))
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.base+TransactionsPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.baseURL+TransactionsPath, bytes.NewReader(body))
 	if err != nil {
 		return 0, errors.Wrap(err, "table: unable to make a request")
 	}
 	// Without GetBody net/http cannot send the transaction a second time by itself.
 	req.GetBody = nil
-	s.writes.Add(1)
+	s.writeCount.Add(1)
 	res, err := s.client.Do(req)
 	if err != nil {
 		s.client.CloseIdleConnections()
@@ -105,16 +105,16 @@
 		return 0, errors.Wrap(ErrUnknown, err.Error())
 	}
 	defer res.Body.Close()
-	return readCommit(res)
+	return decodeCommitReply(res)
 }
 
 // commitTimeout returns how long a transaction of so many bytes may take. Unlike a read's bytes, those that are sent
 // can't be heard arriving: the system takes them at once.
 func commitTimeout(size int) time.Duration {
-	return callTimeout + time.Duration(size)*time.Second/slowestLink
+	return callTimeout + time.Duration(size)*time.Second/minLinkBytesPerSecond
 }
 
-func readCommit(res *http.Response) (uint64, error) {
+func decodeCommitReply(res *http.Response) (uint64, error) {
 	switch res.StatusCode {
 	case http.StatusOK:
 		var done Committed
@@ -136,15 +136,15 @@
 }
 
 func (s *Store) read(ctx context.Context, name, value string) ([]Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, readMost)
+	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
-	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
+	ctx, silence := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.base+RowsPath+"?"+url.Values{name: {value}}.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.baseURL+RowsPath+"?"+url.Values{name: {value}}.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "table: unable to make a request")
 	}
-	s.reads.Add(1)
+	s.readCount.Add(1)
 	res, err := s.client.Do(req)
 	if err != nil {
 		s.client.CloseIdleConnections()
--- a/table/store_test.go
+++ b/table/store_test.go
@@ -23,34 +23,34 @@
 	return store, s
 }
 
-func row(key, writer string) table.KeyRow {
+func keyRow(key, writer string) table.KeyRow {
 	return table.KeyRow{Key: key, Writer: writer}
 }
 
-func TestTheFirstInsertOfAKeyWins(t *testing.T) {
+func TestFirstInsertOfKeyWins(t *testing.T) {
 	store, _ := newStore(t)
-	first, err := store.InsertKeys(t.Context(), []table.KeyRow{row("a", "1"), row("b", "1")})
+	first, err := store.InsertKeys(t.Context(), []table.KeyRow{keyRow("a", "1"), keyRow("b", "1")})
 	must.NoError(t, err)
 	must.EqOp(t, "1", first[0].Writer)
-	second, err := store.InsertKeys(t.Context(), []table.KeyRow{row("b", "2"), row("c", "2"), row("a", "2")})
+	second, err := store.InsertKeys(t.Context(), []table.KeyRow{keyRow("b", "2"), keyRow("c", "2"), keyRow("a", "2")})
 	must.NoError(t, err)
 	must.EqOp(t, "1", second[0].Writer)
 	must.EqOp(t, "2", second[1].Writer)
 	must.EqOp(t, "1", second[2].Writer)
 }
 
-func TestALostAnswerToAnInsertIsReadBack(t *testing.T) {
+func TestLostAnswerToInsertIsReadBack(t *testing.T) {
 	store, s := newStore(t)
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
-	got, err := store.InsertKeys(t.Context(), []table.KeyRow{row("a", "1")})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
+	got, err := store.InsertKeys(t.Context(), []table.KeyRow{keyRow("a", "1")})
 	must.NoError(t, err)
 	must.EqOp(t, "1", got[0].Writer)
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultDown})
-	_, err = store.InsertKeys(t.Context(), []table.KeyRow{row("b", "1")})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultDown})
+	_, err = store.InsertKeys(t.Context(), []table.KeyRow{keyRow("b", "1")})
 	must.Error(t, err)
 }
 
-func TestTheClaimsRowIsSwappedOnceForEachVersion(t *testing.T) {
+func TestClaimsAreSwappedOncePerVersion(t *testing.T) {
 	store, s := newStore(t)
 	start := time.UnixMilli(1_700_000_000_000).UTC()
 	members := []kernel.Member{{Node: "a", Incarnation: "1"}}
@@ -58,21 +58,21 @@
 	must.NoError(t, err)
 	must.EqOp(t, 0, none.Number)
 	row := kernel.NewClaims(start, start, start.Add(time.Second), members, "w1")
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
-	_, err = store.SwapClaims(t.Context(), version, none, row)
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
+	_, err = store.CompareAndSwapClaims(t.Context(), version, none, row)
 	must.NoError(t, err, must.Sprint("recognised by its writer"))
-	_, err = store.SwapClaims(t.Context(), version, none, kernel.NewClaims(start, start, start, members, "w2"))
+	_, err = store.CompareAndSwapClaims(t.Context(), version, none, kernel.NewClaims(start, start, start, members, "w2"))
 	must.Error(t, err)
 	got, _, err := store.Claims(t.Context(), kernel.Claims{})
 	must.NoError(t, err)
 	must.Eq(t, row, got)
 }
 
-func TestAnErasMembersAreReadOnce(t *testing.T) {
+func TestEraMembersAreReadOnce(t *testing.T) {
 	store, s := newStore(t)
 	start := time.UnixMilli(1_700_000_000_000).UTC()
 	row := kernel.NewClaims(start, start, start.Add(time.Second), []kernel.Member{{Node: "a"}}, "w1")
-	_, err := store.SwapClaims(t.Context(), 0, kernel.Claims{}, row)
+	_, err := store.CompareAndSwapClaims(t.Context(), 0, kernel.Claims{}, row)
 	must.NoError(t, err)
 	known, _, err := store.Claims(t.Context(), kernel.Claims{})
 	must.NoError(t, err)
@@ -82,7 +82,7 @@
 	must.EqOp(t, before+1, s.Usage().TableReads)
 }
 
-func TestAChangeIsAppliedOnceWhateverHappensToItsAnswer(t *testing.T) {
+func TestChangeIsAppliedOnceDespiteLostAnswer(t *testing.T) {
 	store, s := newStore(t)
 	change := func(operation, yaml string, base uint64) (table.ChangeOutcome, model.Document) {
 		outcome, doc, _ := store.SetDocument(t.Context(), model.Document{Path: "fleet", Operation: operation, YAML: yaml}, base)
@@ -91,7 +91,7 @@
 	outcome, doc := change("op1", "Horizon: 1s", 0)
 	must.EqOp(t, table.Applied, outcome)
 	must.EqOp(t, 1, doc.Revision)
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
 	outcome, doc = change("op2", "Horizon: 2s", 1)
 	must.EqOp(t, table.Applied, outcome, must.Sprint("resolved by the history row"))
 	must.EqOp(t, 2, doc.Revision)
@@ -110,14 +110,14 @@
 
 // Seen with the routing of another interface: a limit on the whole answer has one that outgrows its link
 // given up and read again for good. All documents of the settings are one answer, too.
-func TestAllSettingsComeOverASlowLink(t *testing.T) {
+func TestSnapshotOverSlowLink(t *testing.T) {
 	direct, s := newStore(t)
 	document := model.Document{Path: "teams/a", Operation: "1", YAML: strings.Repeat("# a long comment\n", 60_000)}
 	outcome, _, err := direct.SetDocument(t.Context(), document, 0)
 	must.NoError(t, err)
 	must.EqOp(t, table.Applied, outcome)
 	// 1 MB takes 3 s.
-	link := standin.NewLink(s.Address(), 32<<10, 100*time.Millisecond)
+	link := standin.NewThrottledProxy(s.Address(), 32<<10, 100*time.Millisecond)
 	t.Cleanup(link.Close)
 	store := table.NewStore(link.Address())
 	t.Cleanup(store.Close)
