--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -35,27 +35,27 @@
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
 	var orders []standin.OrderRun
 	ts.Check(fleetOf(ts).platformGet("/journal/orders", &orders))
-	most, err := strconv.Atoi(args[0])
+	maxLoads, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	holders, err := strconv.Atoi(args[1])
+	minHolders, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	loads := map[string]int{}
-	var numbers []uint64
+	var fencingNumbers []uint64
 	for _, o := range orders {
-		if len(numbers) > 0 && o.Fencing < numbers[len(numbers)-1] {
-			ts.Fatalf("order with fencing number %d after one with %d", o.Fencing, numbers[len(numbers)-1])
+		if len(fencingNumbers) > 0 && o.Fencing < fencingNumbers[len(fencingNumbers)-1] {
+			ts.Fatalf("order with fencing number %d after one with %d", o.Fencing, fencingNumbers[len(fencingNumbers)-1])
 		}
-		numbers = append(numbers, o.Fencing)
+		fencingNumbers = append(fencingNumbers, o.Fencing)
 		if o.Kind == "Load" {
 			loads[o.Endpoint+" "+o.Adapter]++
 		}
 	}
-	for what, n := range loads {
-		if n > most {
-			ts.Fatalf("%s was loaded %d times", what, n)
+	for engineAdapter, n := range loads {
+		if n > maxLoads {
+			ts.Fatalf("%s was loaded %d times", engineAdapter, n)
 		}
 	}
-	if got := len(slices.Compact(numbers)); got < holders {
+	if got := len(slices.Compact(fencingNumbers)); got < minHolders {
 		ts.Fatalf("orders of %d holders", got)
 	}
 }
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -12,49 +12,49 @@
 	"basilstall.example/basilstall/table"
 )
 
-const fleetDocument = "Horizon: 4s\nRetention: %ds\n"
+const fleetSettingsFormat = "Horizon: 4s\nRetention: %ds\n"
 
 // race makes changes one after another; in each, racing operators start from the same base
 // through different nodes. Just one may win. It returns the longest time until a change was
 // in force on all nodes.
-func (f *fleet) race(count, racers int) (time.Duration, error) {
-	var slowest time.Duration
+func (f *fleet) raceChanges(count, racers int) (time.Duration, error) {
+	var longest time.Duration
 	for i := range count {
-		base, err := f.baseOf("fleet")
+		base, err := f.documentRevision("fleet")
 		if err != nil {
-			return slowest, err
+			return longest, err
 		}
-		began := time.Now()
+		start := time.Now()
 		revision := uint64(0)
 		for revision == 0 {
 			// Nobody wins if the base was read from a stale table: the answers name the newer one.
 			if revision, base, err = f.raceOnce(base, racers, i); err != nil {
-				return slowest, err
+				return longest, err
 			}
 		}
 		if err := f.awaitRevision(revision); err != nil {
-			return slowest, err
+			return longest, err
 		}
-		slowest = max(slowest, time.Since(began))
+		longest = max(longest, time.Since(start))
 	}
-	return slowest, nil
+	return longest, nil
 }
 
-func (f *fleet) baseOf(path string) (uint64, error) {
+func (f *fleet) documentRevision(path string) (uint64, error) {
 	nodes := f.nodes()
 	var doc model.Document
 	var err error
 	for range 50 {
-		if err = f.operate(nodes[0], "/v1/settings/"+path, &doc); err == nil {
+		if err = f.operatorGet(nodes[0], "/v1/settings/"+path, &doc); err == nil {
 			return doc.Revision, nil
 		}
-		time.Sleep(pollWait)
+		time.Sleep(pollInterval)
 	}
 	return 0, err
 }
 
 // raceOnce returns the winner's revision, or zero and the base that the losers were told.
-func (f *fleet) raceOnce(base uint64, racers, round int) (revision, newer uint64, err error) {
+func (f *fleet) raceOnce(base uint64, racers, round int) (revision, current uint64, err error) {
 	nodes := f.nodes()
 	results := make([]operator.ChangeResult, racers)
 	errs := make([]error, racers)
@@ -64,7 +64,7 @@
 		go func() {
 			defer wg.Done()
 			c := &operator.Client{
-				Base:  "http://" + nodes[r%len(nodes)].lines[1],
+				Base:  "http://" + nodes[r%len(nodes)].addresses[1],
 				Token: operatorsToken,
 				HTTP:  &http.Client{Timeout: 30 * time.Second},
 			}
@@ -72,7 +72,7 @@
 				Base:      base,
 				Operation: fmt.Sprintf("round-%d-racer-%d-of-%d", round, r, base),
 				Author:    fmt.Sprintf("racer-%d", r),
-				YAML:      fmt.Sprintf(fleetDocument, 600+round*racers+r),
+				YAML:      fmt.Sprintf(fleetSettingsFormat, 600+round*racers+r),
 			}
 			// An outcome that is unknown is asked for again by the operation's number.
 			for range 5 {
@@ -84,10 +84,10 @@
 		}()
 	}
 	wg.Wait()
-	return oneWinner(results, errs)
+	return checkOneWinner(results, errs)
 }
 
-func oneWinner(results []operator.ChangeResult, errs []error) (revision, newer uint64, err error) {
+func checkOneWinner(results []operator.ChangeResult, errs []error) (revision, current uint64, err error) {
 	for i, result := range results {
 		if errs[i] != nil {
 			return 0, 0, errs[i]
@@ -97,7 +97,7 @@
 		}
 		if result.Outcome != table.Applied {
 			if result.Current != nil {
-				newer = max(newer, result.Current.Revision)
+				current = max(current, result.Current.Revision)
 			}
 			continue
 		}
@@ -106,33 +106,33 @@
 		}
 		revision = result.Revision
 	}
-	if revision == 0 && newer == 0 {
+	if revision == 0 && current == 0 {
 		return 0, 0, fmt.Errorf("nobody won: %+v", results)
 	}
-	return revision, newer, nil
+	return revision, current, nil
 }
 
 // awaitRevision waits until all nodes have a revision in force, and fails if one ever shows a
 // lower revision than it showed before.
 func (f *fleet) awaitRevision(revision uint64) error {
 	var reverted error
-	seen := map[string]uint64{}
+	lastSeen := map[string]uint64{}
 	err := waitFor(func() bool {
-		all := true
+		reached := true
 		for _, p := range f.nodes() {
 			s, err := f.status(p)
 			if err != nil {
-				all = false
+				reached = false
 				continue
 			}
-			if s.Revision < seen[p.name] {
-				reverted = fmt.Errorf("%s went back from revision %d to %d", p.name, seen[p.name], s.Revision)
+			if s.Revision < lastSeen[p.name] {
+				reverted = fmt.Errorf("%s went back from revision %d to %d", p.name, lastSeen[p.name], s.Revision)
 				return true
 			}
-			seen[p.name] = s.Revision
-			all = all && s.Revision >= revision
+			lastSeen[p.name] = s.Revision
+			reached = reached && s.Revision >= revision
 		}
-		return all
+		return reached
 	})
 	if reverted != nil {
 		return reverted
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -55,7 +55,7 @@
 }
 
 // copyConfigs gives each script the stand-ins' configurations.
-func copyConfigs(to string) error {
+func copyConfigs(dir string) error {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(to, filepath.Base(file)), data, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, filepath.Base(file)), data, 0o600); err != nil {
 			return err
 		}
 	}
