--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -16,7 +16,8 @@
 const (
 	// meanRequestInterval is the mean time between two requests of a caller.
 	meanRequestInterval = 15 * time.Millisecond
-	// callerDeadline is what callers say, callerTimeout when they leave.
+	// callerDeadline is the deadline that callers send with a request. callerTimeout is the time after which they close
+	// the connection.
 	callerDeadline = 3 * time.Second
 	callerTimeout  = 4 * time.Second
 	streamEvents   = 5
@@ -25,7 +26,7 @@
 )
 
 type (
-	// sent is a request as its caller saw it.
+	// sentRequest is a request with the answer that its caller received.
 	sentRequest struct {
 		standin.Call
 		standin.Answer
@@ -33,7 +34,7 @@
 		nodeName string
 	}
 
-	// callers send requests to all nodes on kept connections.
+	// callers sends requests to all nodes over keep-alive connections.
 	callers struct {
 		cluster  *cluster
 		client   *http.Client
@@ -76,7 +77,7 @@
 	return cs.cluster.keys[random.IntN(len(cs.cluster.keys))]
 }
 
-// send sends one request and notes what came back.
+// send sends one request and records the answer.
 func (cs *callers) send(n *node, id, route, key string) *sentRequest {
 	return cs.sendCall(n, standin.Call{ID: id, Route: route, Key: key})
 }
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -9,14 +9,14 @@
 	"basilstall.example/basilstall/platform/standin"
 )
 
-// slack is added to bounds in time: the machine may be busy, and the bounds hold for nodes that
-// have been left alone for a few seconds only.
+// slack is added to time bounds, because the machine may be busy and the bounds hold only for nodes that have been
+// without faults for a few seconds.
 const slack = 8 * time.Second
 
-// addedRoutePrefix begins the names of routes that are added during a run.
+// addedRoutePrefix is the prefix of the names of routes that are added during a run.
 const addedRoutePrefix = "extra"
 
-// check compares what callers saw with what endpoints did.
+// check compares the answers that callers received with the runs of the endpoints.
 func (c *cluster) check(cs *callers) {
 	cs.mu.Lock()
 	all := cs.requests
@@ -24,7 +24,7 @@
 	runs := map[string][]endpointRun{}
 	for _, e := range c.endpoints {
 		for _, id := range e.Mixed() {
-			c.reportViolation("%s was given results of another request at %s", id, e.Name)
+			c.reportViolation("%s received results of another request at %s", id, e.Name)
 		}
 		for _, run := range e.Runs() {
 			runs[run.ID] = append(runs[run.ID], endpointRun{endpoint: e, run: run})
@@ -42,20 +42,20 @@
 		s := requests[id]
 		if s == nil {
 			run := ran[0].run
-			c.reportViolation("%q was run, and no caller sent it: %s %s at %s, header %v", id, run.Method, run.URI, ran[0].endpoint.Name, run.Header)
+			c.reportViolation("%q ran although no caller sent it: %s %s at %s, header %v", id, run.Method, run.URI, ran[0].endpoint.Name, run.Header)
 			continue
 		}
 		c.checkRuns(s, ran)
 	}
 }
 
-// endpointRun is a run with its endpoint.
+// endpointRun is a run of a request on an endpoint.
 type endpointRun struct {
 	endpoint *endpoint
 	run      standin.Run
 }
 
-// checkAnswer checks what a caller was given.
+// checkAnswer checks the answer that a caller received.
 func (c *cluster) checkAnswer(s *sentRequest, runs []endpointRun) {
 	if s.Status == http.StatusOK && s.Whole {
 		signed := false
@@ -63,20 +63,20 @@
 			signed = signed || s.Signature == r.run.Signature()
 		}
 		if !signed {
-			c.reportViolation("%s got a success that no endpoint signed for it: %q", s.ID, s.Signature)
+			c.reportViolation("%s received a success response that no endpoint signed for it: %q", s.ID, s.Signature)
 		}
 		if s.Answer.Body != expectedBody(s) {
-			c.reportViolation("%s got a success with another body: %q", s.ID, s.Answer.Body)
+			c.reportViolation("%s received a success response with a wrong body: %q", s.ID, s.Answer.Body)
 		}
 	}
 	if s.Status == http.StatusOK && !s.Whole && !strings.HasPrefix(expectedBody(s), s.Answer.Body) {
-		c.reportViolation("%s got a broken answer that isn't the beginning of its own: %q", s.ID, s.Answer.Body)
+		c.reportViolation("%s received a truncated answer that is not a prefix of the expected one: %q", s.ID, s.Answer.Body)
 	}
 	if s.Status == http.StatusServiceUnavailable && s.Route != "get" && s.Route != "res" && len(runs) > 0 {
-		c.reportViolation("%s was told that it did not run, and ran", s.ID)
+		c.reportViolation("%s ran although its caller was told that it had not", s.ID)
 	}
 	if s.Key == validKey && !isAddedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
-		c.reportViolation("%s got %d although its key and route always stood", s.ID, s.Status)
+		c.reportViolation("%s received status %d although its key and route were valid throughout", s.ID, s.Status)
 	}
 }
 
@@ -91,13 +91,13 @@
 	return b.String()
 }
 
-// checkRuns checks what endpoints were asked for.
+// checkRuns checks how often a request ran and each of its runs.
 func (c *cluster) checkRuns(s *sentRequest, runs []endpointRun) {
 	if len(runs) > 1 && (s.Route == "post" || s.Route == "gen") {
 		c.reportViolation("%s ran %d times", s.ID, len(runs))
 	}
 	if len(runs) > 2 {
-		c.reportViolation("%s ran on %d endpoints, two are allowed", s.ID, len(runs))
+		c.reportViolation("%s ran on %d endpoints, at most 2 are allowed", s.ID, len(runs))
 	}
 	for _, r := range runs {
 		c.checkEndpointRun(s, r)
@@ -106,33 +106,33 @@
 
 func (c *cluster) checkEndpointRun(s *sentRequest, r endpointRun) {
 	if r.run.URI != s.URI() || r.run.Body != s.Call.Body() {
-		c.reportViolation("%s reached an endpoint changed: %s %q", s.ID, r.run.URI, r.run.Body)
+		c.reportViolation("%s reached an endpoint with a different URI or body: %s %q", s.ID, r.run.URI, r.run.Body)
 	}
 	if r.run.Customer() != standin.Customer || r.run.Credentials() != "" {
-		c.reportViolation("%s reached an endpoint with customer %q", s.ID, r.run.Customer())
+		c.reportViolation("%s reached an endpoint with a wrong customer or with credentials: customer %q", s.ID, r.run.Customer())
 	}
 	if s.Key == invalidKey {
-		c.reportViolation("%s ran with a key that nobody ever held", s.ID)
+		c.reportViolation("%s ran with an API key that was never valid", s.ID)
 	}
 	if s.Route == "gen" && len(r.run.Inputs()) != 3 {
-		c.reportViolation("%s ran with inputs %q", s.ID, r.run.Inputs())
+		c.reportViolation("%s ran with inputs %q, want 3", s.ID, r.run.Inputs())
 	}
 	unlistedAt := r.endpoint.unlistedAt
 	if !unlistedAt.IsZero() && s.sentAt.After(unlistedAt.Add(drainPeriod+slack)) {
-		c.reportViolation("%s was sent to %s, which had left %v before", s.ID, r.endpoint.Name, s.sentAt.Sub(unlistedAt))
+		c.reportViolation("%s was sent to %s, which had been unlisted or had crashed %v before", s.ID, r.endpoint.Name, s.sentAt.Sub(unlistedAt))
 	}
 	c.checkEvacuated(s.ID, r.run.At, r.endpoint)
 	if at, revoked := c.revokedAt(s.Key); revoked && s.sentAt.After(at.Add(revocationPeriod)) {
-		c.reportViolation("%s ran although its key was taken away %v before it was sent", s.ID, s.sentAt.Sub(at))
+		c.reportViolation("%s ran although its API key was revoked %v before it was sent", s.ID, s.sentAt.Sub(at))
 	}
 }
 
-// isAddedRoute tells whether a route has not always stood.
+// isAddedRoute reports whether a route was added during the run.
 func isAddedRoute(route string) bool {
 	return strings.HasPrefix(route, addedRoutePrefix)
 }
 
-// checkRecovery waits until all nodes serve again, the newest route among the others.
+// checkRecovery checks that every node serves again within the timeout, including the newest route.
 func (c *cluster) checkRecovery(cs *callers, phase string, timeout time.Duration) {
 	routes := []string{"get", "gen"}
 	if c.addedRoutes > 0 {
@@ -144,7 +144,7 @@
 		deadline := time.Now().Add(timeout)
 		for i := 0; served < 5; i++ {
 			if time.Now().After(deadline) {
-				c.reportViolation("%s does not serve after all faults have ended: %v", n.name, failures)
+				c.reportViolation("%s does not serve although no faults are active: %v", n.name, failures)
 				break
 			}
 			s := cs.send(n, fmt.Sprintf("%s-%s-%d", phase, n.name, i), routes[i%len(routes)], validKey)
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -22,17 +22,17 @@
 	drainPeriod      = 2 * time.Second
 	revocationPeriod = 2500 * time.Millisecond
 	startTimeout     = 20 * time.Second
-	// replacementDelay is how long after the end of an endpoint's process another one takes its place, lapseDelay how
-	// long its entry stays.
+	// replacementDelay is the time from the crash of an endpoint to the start of its replacement. lapseDelay is the time
+	// from the crash to the removal of its entry.
 	replacementDelay = 500 * time.Millisecond
 	lapseDelay       = 2 * time.Second
-	// domains is how many failure domains the nodes lie in.
+	// failureDomainCount is the number of failure domains that the nodes are spread over.
 	failureDomainCount = 2
 )
 
 type (
-	// cluster is nodes in processes of their own, and the store and endpoints that they use, each
-	// behind a proxy.
+	// cluster holds nodes that run as separate processes, and the store and endpoints that they use, each behind a
+	// proxy.
 	cluster struct {
 		dir       string
 		binary    string
@@ -40,84 +40,86 @@
 		endpoints map[string]*endpoint
 		nodes     []*node
 
-		// supervised counts the endpoints that are about to be replaced.
+		// replacements waits for the replacement of crashed endpoints.
 		replacements sync.WaitGroup
-		// writing is held while a version of the routing is written.
+		// routingMu serializes the writing of routing versions.
 		routingMu sync.Mutex
-		// away is held while the store is taken away as a whole.
+		// outageMu is held during an outage of the whole store.
 		outageMu sync.Mutex
-		// emptying is held while a failure domain is evacuated.
+		// evacuationMu is held while a failure domain is evacuated.
 		evacuationMu sync.Mutex
 
 		callers *callers
 
 		mu      sync.Mutex
 		version int
-		// subjects are those of the requests that end endpoints.
+		// poisonSubjects are the subjects of the requests that crash endpoints.
 		poisonSubjects []string
 		keys           []string
-		// revoked holds when each key was taken away.
+		// revokedKeys maps each revoked API key to the time of its revocation.
 		revokedKeys map[string]time.Time
-		// evacuated holds when each failure domain was evacuated.
+		// evacuations holds the periods for which each failure domain was evacuated.
 		evacuations map[string][]period
-		sequence    int
-		// added is how many routes of the newest version have not always stood.
+		// sequence numbers new endpoints and API keys. A routing version has as many added routes as its value was
+		// when the version was written.
+		sequence int
+		// addedRoutes is the number of routes of the newest version that were added during the run.
 		addedRoutes int
 		violations  []string
 	}
 
-	// period is a time from one moment to another, which is zero while it lasts.
+	// period is a time interval; both ends are zero if it has not begun.
 	period struct {
 		from, to time.Time
 	}
 
-	// server is an endpoint with its pool.
+	// endpoint is an endpoint of a pool, behind a proxy.
 	endpoint struct {
 		*standin.Endpoint
 		pool  string
 		proxy *proxy
-		// domain is its failure domain; the usual one where it is empty.
+		// domain is its failure domain; if empty, that of the nodes.
 		domain string
-		// cold is until when it says that it is cold, and since when.
+		// coldPeriod is the period in which it reports that it is cold.
 		coldPeriod period
-		// caps are the rate caps that it stated; capping is held while it states one.
+		// rateCaps are the rate caps that it stated. rateCapMu is held while it states one.
 		rateCaps  []statedRateCap
 		rateCapMu sync.Mutex
-		// unlistedAt is when its entry was removed, or its process ended; zero before.
+		// unlistedAt is the time at which its entry was removed or its process crashed; zero before.
 		unlistedAt time.Time
 	}
 
-	// node is the process of one host, over its restarts.
+	// node is the node on one host, across restarts of its process.
 	node struct {
 		cluster *cluster
 		name    string
 		domain  string
-		// link is the way to the store, peers the way of other nodes to this one.
+		// storeProxy carries the node's connections to the store, peerProxy those of other nodes to this one.
 		storeProxy *proxy
 		peerProxy  *proxy
 
 		mu      sync.Mutex
 		process *exec.Cmd
-		// callers is where the running process listens; empty until it has said so.
+		// callerAddress is the address on which the running process listens for callers; empty until it is logged.
 		callerAddress string
 		exited        chan struct{}
-		// wanted is true while the process is meant to run.
+		// shouldRun is true while the process is expected to run.
 		shouldRun bool
-		// disturbedAt is when something was last done to the process or its links.
+		// disturbedAt is the time of the last fault that began or ended at the process or its connections.
 		disturbedAt  time.Time
 		disturbances []time.Time
 		logFile      *os.File
 	}
 )
 
-// breach notes a broken promise.
+// reportViolation records a violated guarantee.
 func (c *cluster) reportViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// startEndpoint starts an endpoint and lists it.
+// startEndpoint starts an endpoint and writes its entry to the endpoint list.
 func (c *cluster) startEndpoint(name, pool string) error {
 	return c.startEndpointIn("", name, pool)
 }
@@ -136,8 +138,8 @@
 	return nil
 }
 
-// ended has an endpoint replaced whose process was ended by a request: another one starts after a while, and the
-// entry lapses.
+// replaceCrashed handles the crash of an endpoint that a poison request caused: a replacement starts after
+// replacementDelay, and the entry lapses after lapseDelay.
 func (c *cluster) replaceCrashed(e *endpoint) {
 	e.proxy.close()
 	c.mu.Lock()
@@ -148,7 +150,7 @@
 	c.replacements.Go(func() {
 		time.Sleep(replacementDelay)
 		if err := c.startEndpoint(name, e.pool); err != nil {
-			c.reportViolation("an endpoint can't be started: %v", err)
+			c.reportViolation("start replacement endpoint: %v", err)
 		}
 		time.Sleep(lapseDelay - replacementDelay)
 		c.store.Unlist(e.Name)
@@ -159,8 +161,8 @@
 	c.store.List(standin.Entry{Name: e.Name, Pool: e.pool, Address: e.proxy.address(), Domain: e.domain, Draining: draining, Cold: time.Until(e.coldPeriod.to), Started: e.Started()})
 }
 
-// configure writes the next version of the routing. Versions are written in their order, as the platform has it: else
-// the store could end up with an older one, and nodes that read it after an outage would know no newer.
+// writeRouting writes the next version of the routing. Versions are written in order, as on the platform. Otherwise
+// the store could end up with an older version, and nodes that read it after an outage would not learn of a newer one.
 func (c *cluster) writeRouting() {
 	c.routingMu.Lock()
 	defer c.routingMu.Unlock()
@@ -180,7 +182,7 @@
 	c.store.Configure(routing)
 }
 
-// startNode prepares a host and starts its process.
+// startNode creates the proxies, log and settings file of a node and starts its process.
 func (c *cluster) startNode(number int) error {
 	n := &node{cluster: c, name: fmt.Sprint("node-", number), domain: fmt.Sprint("domain-", number%failureDomainCount)}
 	var err error
@@ -203,7 +205,8 @@
 	return n.start()
 }
 
-// announced puts a node's proxy in the place of the address that its process announces.
+// replaceNodeAddress replaces the address that a node's process announces by that of the node's proxy. Other rows are
+// returned unchanged.
 func (c *cluster) replaceNodeAddress(value string) string {
 	var row relay.Node
 	if json.Unmarshal([]byte(value), &row) != nil || row.Name == "" {
@@ -226,13 +229,13 @@
 
 func (n *node) settingsPath() string { return filepath.Join(n.cluster.dir, n.name+".toml") }
 
-// start starts the process and reads where it listens from its log.
+// start starts the process and reads the address on which it listens from its log.
 func (n *node) start() error {
 	process := exec.Command(n.cluster.binary, "edge")
 	process.Env = append(os.Environ(), standin.BootVariable+"="+n.settingsPath())
 	process.Stderr = n.logFile
-	// A node that outlives a soak that was killed asks its store's port for good, which another soak's endpoint may
-	// have by then: that endpoint was run, and no caller sent it.
+	// The process must not outlive the test. A node that is left over from a killed test would keep calling the port of
+	// its store. An endpoint of another test may get this port and would report runs that no caller sent.
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := process.StdoutPipe()
 	if err != nil {
@@ -257,7 +260,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if n.shouldRun && n.process == process {
-			n.cluster.reportViolation("%s ended by itself: %v", n.name, err)
+			n.cluster.reportViolation("%s exited unexpectedly: %v", n.name, err)
 		}
 	}()
 	return nil
@@ -288,13 +291,13 @@
 	n.recordDisturbanceLocked()
 }
 
-// recordDisturbanceLocked notes that something was done to the process or its links. The node's lock is held.
+// recordDisturbanceLocked records that a fault began or ended at the process or its connections. n.mu must be held.
 func (n *node) recordDisturbanceLocked() {
 	n.disturbedAt = time.Now()
 	n.disturbances = append(n.disturbances, n.disturbedAt)
 }
 
-// signal sends a signal to the running process.
+// signal sends a signal to the process, if it was started.
 func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -304,7 +307,7 @@
 	}
 }
 
-// stop ends the process by a signal and waits for its end; after a while it is killed.
+// stop sends a signal to the process and waits until it has exited. It kills the process after gracePeriod.
 func (n *node) stop(sig syscall.Signal) {
 	n.mu.Lock()
 	n.shouldRun = false
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,5 +1,5 @@
-// Package soak runs nodes as separate processes under random faults that are injected from outside,
-// and checks the promises from what callers and endpoints see. All of it is in its test; by hand:
+// Package soak runs nodes as separate processes, injects random faults from outside and checks the guarantees against
+// what callers and endpoints observe. All code is in the package's test. To run further seeds:
 //
 //	go test ./soak -run TestSoak -args -first 1000 -seeds 50 -for 10s
 package soak
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// evacuationDelay is by when nothing more may be sent to an evacuated failure domain, beside slack.
+	// evacuationDelay is the time, plus slack, after which nothing may be sent to an evacuated failure domain.
 	evacuationDelay = time.Second
-	// emptied is the failure domain that is evacuated: its endpoints are started for that.
+	// evacuatedDomain is the failure domain that is evacuated. Its endpoints are started for that purpose.
 	evacuatedDomain = "domain-emptied"
-	// maxColdRate is how many requests a second an engine bears while it is cold, and coldDuration how long one is: longer than
-	// news of it may take.
+	// maxColdRate is the number of requests per second that a cold engine can take. coldDuration is how long an engine is
+	// cold: longer than the nodes may take to learn of it.
 	maxColdRate  = int(standin.ColdRate)
 	coldDuration = slack + 4*time.Second
 )
 
-// evacuation starts an endpoint of each pool in another failure domain, evacuates it for longer than that may take to
-// be in force, at times twice in quick succession, and takes it back.
+// evacuate starts an endpoint of each pool in a separate failure domain, evacuates the domain for longer than the
+// evacuation may take to apply, sometimes twice in quick succession, and takes it back.
 func evacuate(c *cluster, random *rand.Rand, duration time.Duration) {
 	if !c.evacuationMu.TryLock() {
 		return
@@ -33,7 +33,7 @@
 		name := fmt.Sprintf("%s-%d", pool, c.sequence+100)
 		c.mu.Unlock()
 		if err := c.startEndpointIn(evacuatedDomain, name, pool); err != nil {
-			c.reportViolation("an endpoint can't be started: %v", err)
+			c.reportViolation("start endpoint to evacuate: %v", err)
 			return
 		}
 	}
@@ -53,16 +53,17 @@
 	time.Sleep(duration / 2)
 }
 
-// checkEvacuated checks that nothing reached an endpoint whose failure domain had long been evacuated.
+// checkEvacuated checks that a request or piece did not reach an endpoint after the evacuation of its failure domain
+// had to apply.
 func (c *cluster) checkEvacuated(id string, at time.Time, e *endpoint) {
 	for _, p := range c.evacuations[e.domain] {
 		if at.After(p.from.Add(evacuationDelay+slack)) && at.Before(p.to) {
-			c.reportViolation("%s reached %s, whose domain was evacuated %v before", id, e.Name, at.Sub(p.from))
+			c.reportViolation("%s reached %s, whose failure domain was evacuated %v before", id, e.Name, at.Sub(p.from))
 		}
 	}
 }
 
-// checkPieceCalls checks where calls for pieces went.
+// checkPieceCalls checks that no call for pieces reached an evacuated failure domain.
 func (c *cluster) checkPieceCalls() {
 	for _, e := range c.endpoints {
 		for _, batch := range e.Batches() {
@@ -73,7 +74,7 @@
 	}
 }
 
-// makeEngineCold has an engine say that it is cold.
+// makeEngineCold makes an engine report that it is cold, if the endpoint that is chosen is an engine.
 func makeEngineCold(c *cluster, random *rand.Rand, _ time.Duration) {
 	e := c.randomEndpoint(random)
 	if e.pool != "engines" {
@@ -90,7 +91,8 @@
 	time.Sleep(coldDuration)
 }
 
-// checkCold checks that no second brought an endpoint more than it bears, once all could know that it was cold.
+// checkCold checks that no cold endpoint received more than maxColdRate requests within a second once all nodes had to
+// know that it was cold.
 func (c *cluster) checkCold() {
 	for _, e := range c.endpoints {
 		if e.coldPeriod.to.IsZero() {
@@ -105,7 +107,7 @@
 		slices.SortFunc(times, time.Time.Compare)
 		for i := range times {
 			if i >= maxColdRate && times[i].Sub(times[i-maxColdRate]) < time.Second {
-				c.reportViolation("%s got more than %d requests in a second while it was cold", e.Name, maxColdRate)
+				c.reportViolation("%s received more than %d requests within a second while it was cold", e.Name, maxColdRate)
 				break
 			}
 		}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -10,26 +10,28 @@
 	"basilstall.example/basilstall/platform/standin"
 )
 
-// fault is something that is done to the cluster and undone after a while.
+// fault is a kind of fault: inject applies it to the cluster for a duration and then ends it.
 type fault struct {
 	name   string
 	inject func(c *cluster, random *rand.Rand, duration time.Duration)
 }
 
 const (
-	// outageNoticeTime is how long the store is away until all nodes have noticed, and callCountTime how long its calls
-	// are counted then.
+	// outageNoticeTime is the time by which all nodes have noticed an outage of the store. callCountTime is how long
+	// its calls are counted after that.
 	outageNoticeTime = 4 * time.Second
 	callCountTime    = 2 * time.Second
-	// maxDomainCallsPerSecond is how many calls a second the nodes of a failure domain may make: two that ask four times,
-	// and one try in each round; and as many once more for what overlaps. maxUnsettledCallsPerSecond is that of a node
-	// that knows no others: three tables at first and its own row.
+	// maxDomainCallsPerSecond is how many calls per second the nodes of a failure domain may make: two nodes that ask
+	// four times, one attempt in each round, and the same number again for overlaps. maxUnsettledCallsPerSecond is the
+	// limit of a node that knows no others: three tables at first and its own row. A node counts as unsettled for
+	// settleTime after a disturbance.
 	maxDomainCallsPerSecond    = 20
 	maxUnsettledCallsPerSecond = 6
 	settleTime                 = 10 * time.Second
 )
 
-// faults are what a soak draws from. Each run gets a goroutine of its own, so they overlap.
+// faults are the kinds of faults that are injected at random. Each injection has its own goroutine, so that faults
+// overlap. The names are used with kept seeds and by the flag -only.
 var faults = []fault{
 	{"kill", func(c *cluster, random *rand.Rand, duration time.Duration) {
 		c.restartNode(random, duration, syscall.SIGKILL)
@@ -75,7 +77,7 @@
 	return c.endpoints[names[random.IntN(len(names))]]
 }
 
-// listedEndpoints returns the endpoints of a pool that are there.
+// listedEndpoints returns the endpoints of a pool that have neither been unlisted nor crashed.
 func (c *cluster) listedEndpoints(pool string) []*endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +90,7 @@
 	return out
 }
 
-// restart ends a node's process and starts it again.
+// restartNode ends a node's process and starts it again after the downtime.
 func (c *cluster) restartNode(random *rand.Rand, downtime time.Duration, sig syscall.Signal) {
 	n := c.randomNode(random)
 	n.mu.Lock()
@@ -102,7 +104,7 @@
 	n.stop(sig)
 	time.Sleep(downtime)
 	if err := n.start(); err != nil {
-		c.reportViolation("%s can't be started: %v", n.name, err)
+		c.reportViolation("start %s: %v", n.name, err)
 	}
 }
 
@@ -119,8 +121,8 @@
 	c.store.SetFault(standin.StoreFine)
 }
 
-// takeStoreDown takes the store away for longer than nodes trust what they know, and counts the calls that it gets
-// from nodes that have noticed: they must not grow with the nodes.
+// takeStoreDown makes the store unavailable for longer than nodes rely on what they have read, and counts the calls of
+// nodes that have noticed the outage. Their number must not grow with the number of nodes.
 func takeStoreDown(c *cluster, random *rand.Rand, _ time.Duration) {
 	if !c.outageMu.TryLock() {
 		return
@@ -134,11 +136,11 @@
 	calls, elapsed := c.store.Calls()-before, time.Since(start).Seconds()
 	maxCalls := elapsed*float64(maxDomainCallsPerSecond*failureDomainCount+maxUnsettledCallsPerSecond*c.unsettledNodes()) + 20
 	if float64(calls) > maxCalls {
-		c.reportViolation("the store got %d calls in %.1f s while it was away, with %d nodes, %d of them unsettled", calls, elapsed, len(c.nodes), c.unsettledNodes())
+		c.reportViolation("the store received %d calls in %.1f s during an outage, with %d nodes, %d of them unsettled", calls, elapsed, len(c.nodes), c.unsettledNodes())
 	}
 }
 
-// unsettled counts the nodes that may not know the others, or not reach them.
+// unsettledNodes returns the number of nodes that may not know or reach the others.
 func (c *cluster) unsettledNodes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +162,7 @@
 	n.recordDisturbance()
 }
 
-// disturbNodeLink spoils the way of other nodes to one.
+// disturbNodeLink disturbs the connections of other nodes to one node.
 func disturbNodeLink(c *cluster, random *rand.Rand, duration time.Duration) {
 	n := c.randomNode(random)
 	n.recordDisturbance()
@@ -168,8 +170,8 @@
 	n.recordDisturbance()
 }
 
-// cutOffReader cuts a node off from the store for long, while it answers other nodes, and makes
-// an endpoint leave meanwhile.
+// cutOffReader cuts a node off from the store for a long time, while it still answers other nodes, and replaces an
+// endpoint meanwhile.
 func cutOffReader(c *cluster, random *rand.Rand, duration time.Duration) {
 	n := c.randomNode(random)
 	n.recordDisturbance()
@@ -185,7 +187,7 @@
 	disturbLink(c.randomEndpoint(random).proxy, random, duration)
 }
 
-// spoil resets or silences the open connections of a link, or cuts or slows the link for a while.
+// disturbLink resets or silences the open connections of a proxy, or blocks or slows the proxy for a duration.
 func disturbLink(p *proxy, random *rand.Rand, duration time.Duration) {
 	switch random.IntN(3) {
 	case 0:
@@ -206,7 +208,8 @@
 	e.SetFault(standin.EndpointFine)
 }
 
-// replaceEndpoint replaces an endpoint: the new one is listed first, the old one drains.
+// replaceEndpoint replaces an endpoint: the new one is listed first, then the old one is unlisted, sometimes after it
+// was listed as draining.
 func replaceEndpoint(c *cluster, random *rand.Rand, duration time.Duration) {
 	old := c.randomEndpoint(random)
 	c.mu.Lock()
@@ -218,7 +221,7 @@
 		return
 	}
 	if err := c.startEndpoint(name, old.pool); err != nil {
-		c.reportViolation("an endpoint can't be started: %v", err)
+		c.reportViolation("start replacement endpoint: %v", err)
 		return
 	}
 	if random.IntN(2) == 0 {
@@ -231,7 +234,7 @@
 	c.store.Unlist(old.Name)
 }
 
-// restartEndpoint restarts an endpoint under its name, at times behind a cut.
+// restartEndpoint restarts an endpoint under its name, sometimes while its connections are blocked.
 func restartEndpoint(c *cluster, random *rand.Rand, duration time.Duration) {
 	e := c.randomEndpoint(random)
 	blocked := random.IntN(2) == 0
@@ -253,7 +256,8 @@
 	e.proxy.setFault(linkOK)
 }
 
-// putInvalidEntries puts entries that name no endpoint among the others, and over one for a moment.
+// putInvalidEntries writes entries that name no endpoint into the endpoint list, and briefly overwrites a valid entry
+// with one.
 func putInvalidEntries(c *cluster, random *rand.Rand, duration time.Duration) {
 	invalid := standin.BadEntries()
 	for range 3 {
@@ -269,7 +273,7 @@
 	}
 }
 
-// changeRouting writes several versions in quick succession.
+// changeRouting writes several routing versions in quick succession.
 func changeRouting(c *cluster, random *rand.Rand, _ time.Duration) {
 	for range 1 + random.IntN(4) {
 		c.mu.Lock()
@@ -280,8 +284,8 @@
 	}
 }
 
-// addRoutes adds many routes: after a few times the routing takes a narrow link longer than a question
-// about it usually does.
+// addRoutes adds many routes. After a few injections, a narrow link takes longer to transfer the routing than a call
+// for it usually takes.
 func addRoutes(c *cluster, random *rand.Rand, _ time.Duration) {
 	c.mu.Lock()
 	c.sequence += 500 + random.IntN(1500)
@@ -289,7 +293,7 @@
 	c.writeRouting()
 }
 
-// revokeKey gives a key and takes it away again.
+// revokeKey adds an API key and revokes it after the duration.
 func revokeKey(c *cluster, _ *rand.Rand, duration time.Duration) {
 	c.mu.Lock()
 	c.sequence++
@@ -307,8 +311,8 @@
 	c.mu.Unlock()
 }
 
-// revokeKeyDuringCut takes a key away while a node hears nothing from the store, or is paused, for
-// longer than the key may go on working.
+// revokeKeyDuringCut revokes an API key while a node is cut off from the store, or paused, for longer than nodes may
+// still accept the key.
 func revokeKeyDuringCut(c *cluster, random *rand.Rand, duration time.Duration) {
 	n := c.randomNode(random)
 	n.recordDisturbance()
--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// poison is in the subjects of requests that end the endpoints that begin to run them.
+	// poisonMarker is the prefix of the subjects of poison requests, which crash the endpoints that begin to run them.
 	poisonMarker = "poison"
-	// mark stands between a subject and the number of a repeat in its ID.
+	// repeatSeparator separates the subject from the number of the repeat in the ID of a poison request.
 	repeatSeparator = "#"
-	// contact is after which time nodes that are left alone are bound by what was found of a request, and
-	// maxFurtherCrashes how many of its repeats may reach an endpoint all the same.
+	// quarantineDelay is the time after which nodes without faults apply the quarantine of a request. maxFurtherCrashes
+	// is how many of its repeats may crash an endpoint nevertheless.
 	quarantineDelay   = 3 * time.Second
 	maxFurtherCrashes = 3
 	// meanRepeatInterval is the mean time between two repeats while faults are injected.
 	meanRepeatInterval = 200 * time.Millisecond
-	repeatsPerNode     = 3
+	// repeatsPerNode is how many repeats are sent to each node once all faults have ended.
+	repeatsPerNode = 3
 )
 
 var poisonRoutes = []string{"post", "get", "gen", "res"}
 
-// sendPoisonRequests sends a request that ends endpoints again and again, to any node.
+// sendPoisonRequests sends a poison request repeatedly, to random nodes.
 func sendPoisonRequests(c *cluster, random *rand.Rand, duration time.Duration) {
 	route := poisonRoutes[random.IntN(len(poisonRoutes))]
 	subject := c.newPoisonSubject(route)
@@ -40,7 +41,7 @@
 	}
 }
 
-// newPoisonSubject returns a subject for requests on a route that end endpoints, and remembers it.
+// newPoisonSubject returns a new subject for poison requests on a route, and records it.
 func (c *cluster) newPoisonSubject(route string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +50,7 @@
 	return subject
 }
 
-// repeat sends a request that ends endpoints once more.
+// sendPoison sends one repeat of a poison request.
 func (cs *callers) sendPoison(n *node, route, subject string) {
 	cs.mu.Lock()
 	id := fmt.Sprint(subject, repeatSeparator, len(cs.requests))
@@ -57,7 +58,7 @@
 	cs.sendCall(n, standin.Call{ID: id, Route: route, Subject: subject, Key: validKey})
 }
 
-// reached counts the repeats of a subject that have ended an endpoint.
+// crashCount returns the number of repeats of a poison request that have crashed an endpoint.
 func (c *cluster) crashCount(subject string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +71,8 @@
 	return len(ids)
 }
 
-// checkPoison sends the requests that end endpoints again after all faults have ended, and one of each kind that was
-// not sent before. Few of them may still reach an endpoint.
+// checkPoison repeats the poison requests after all faults have ended, and sends a new one on each route. Only a few of
+// them may still crash an endpoint.
 func (c *cluster) checkPoison(cs *callers) {
 	for _, route := range poisonRoutes {
 		c.newPoisonSubject(route)
@@ -96,9 +97,9 @@
 			}
 		}
 	}
-	// Those up to the third end are what it takes to know of it.
+	// A request is quarantined only after CrashThreshold crashes.
 	allowed := max(0, kernel.CrashThreshold-before) + maxFurtherCrashes
 	if after := c.crashCount(subject) - before; after > allowed {
-		c.reportViolation("%s had ended endpoints in %d tries and reached more in %d tries after all faults had ended", subject, before, after)
+		c.reportViolation("%s had crashed endpoints in %d repeats and crashed more in %d repeats after all faults had ended", subject, before, after)
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// linkFault is what is wrong with a link.
+// linkFault is a fault of the connections through a proxy.
 type linkFault int
 
 const (
 	linkOK linkFault = iota
-	// linkSlow holds every part back for a while.
+	// linkSlow delays each part that is read by slowLinkDelay.
 	linkSlow
-	// linkBlockedToServer passes nothing on towards the server, linkBlockedFromServer nothing from it.
+	// linkBlockedToServer forwards nothing to the server, linkBlockedFromServer nothing from it.
 	linkBlockedToServer
 	linkBlockedFromServer
 	linkFaultCount
 )
 
 const (
-	// slowLinkDelay is how long a slow link holds a part back.
+	// slowLinkDelay is how long a slow link delays a part.
 	slowLinkDelay = 80 * time.Millisecond
-	// narrowLinkRate is what a narrow link carries of a server's answers, in bytes a second: 10 Mbit/s, the least
-	// that hosts have. What outgrows it is to come all the same.
+	// narrowLinkRate is the rate at which a narrow link carries a server's answers, in bytes per second. It is 10 Mbit/s,
+	// the lowest bandwidth of a host. Answers that are large at this rate must arrive nevertheless.
 	narrowLinkRate = 1_250_000
 )
 
-// proxy passes connections on to a server and spoils them on demand.
+// proxy forwards connections to a server and injects faults into them.
 type proxy struct {
 	listener net.Listener
-	// narrow tells that answers share narrowLinkRate; line is held while some of one are under way.
+	// narrow is true if all answers share narrowLinkRate. bandwidthMu is held while a part of an answer is transferred.
 	narrow      bool
 	bandwidthMu sync.Mutex
 
@@ -40,11 +40,11 @@
 	conns  map[net.Conn]*proxyConn
 }
 
-// link is one connection through a proxy.
+// proxyConn is one connection through a proxy.
 type proxyConn struct {
 	server net.Conn
-	// silent is closed for a connection that is to pass nothing on for good, while new ones
-	// work; gone once either end is closed.
+	// silent is closed once the connection must never forward anything again, while new connections work. closed is
+	// closed once either end is closed.
 	silent, closed        chan struct{}
 	silentOnce, closeOnce sync.Once
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// silenceAll makes all open connections silent for good.
+// silenceAll makes all open connections silent permanently.
 func (p *proxy) silenceAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +144,8 @@
 	p.mu.Unlock()
 }
 
-// pass copies one direction. What a cut link held back is passed on when the cut heals.
+// forward copies one direction of a connection, which a fault of the given kind blocks. What was held back meanwhile is
+// forwarded when the fault ends.
 func (p *proxy) forward(to, from net.Conn, pc *proxyConn, blocking linkFault) {
 	defer to.Close()
 	defer from.Close()
@@ -169,14 +170,14 @@
 	}
 }
 
-// carry takes the time that a narrow link needs for some bytes.
+// throttle waits for the time that a narrow link needs to transfer some bytes.
 func (p *proxy) throttle(bytes int) {
 	p.bandwidthMu.Lock()
 	defer p.bandwidthMu.Unlock()
 	time.Sleep(time.Duration(bytes) * time.Second / narrowLinkRate)
 }
 
-// hold waits while a link passes nothing on; false means that it has ended.
+// waitWhileBlocked waits while nothing may be forwarded. It returns false if the connection was closed.
 func (p *proxy) waitWhileBlocked(pc *proxyConn, blocking linkFault) bool {
 	for {
 		p.mu.Lock()
--- a/soak/ratecap_test.go
+++ b/soak/ratecap_test.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// rateCapWindow is the time in which an endpoint that states a rate cap gets at most rateCapExcess times what that allows,
-	// and rateCapSlack requests, of nodes that know of it.
+	// Within rateCapWindow, an endpoint that states a rate cap gets at most rateCapExcess times what the cap allows, plus
+	// rateCapSlack requests, from nodes that know the cap.
 	rateCapWindow = 4 * time.Second
 	rateCapExcess = 1.5
 	rateCapSlack  = 5
-	// rateCapLearnTime is how long after a request to the endpoint its node counts as knowing, and as not knowing after trouble.
+	// rateCapLearnTime is the time after a request to the endpoint from which the node that sent it must know the cap,
+	// and the time after a disturbance of a node during which it need not know the cap.
 	rateCapLearnTime = 3 * time.Second
-	// rateCapDuration is how long a cap is stated: longer than nodes wait for all to know who shares it.
+	// rateCapDuration is how long a cap is stated: longer than nodes wait until all know which nodes share it.
 	rateCapDuration = 14 * time.Second
 )
 
-// stated is a rate cap that an endpoint stated for a time.
+// statedRateCap is a rate cap that an endpoint stated for a period.
 type statedRateCap struct {
 	period
 	perSecond float64
 }
 
-// applyRateCaps has an endpoint, or at times all of a pool, state how many requests a second it takes, at times change that, and
-// take it back.
+// applyRateCaps makes an endpoint, or sometimes all endpoints of a pool, state a rate cap, sometimes change it, and
+// withdraw it.
 func applyRateCaps(c *cluster, random *rand.Rand, _ time.Duration) {
 	chosen := c.randomEndpoint(random)
 	capped := []*endpoint{chosen}
@@ -60,7 +61,7 @@
 	e.SetRateCap(nil)
 }
 
-// checkRateCaps checks that no endpoint got more than its cap allowed of the nodes that knew of it.
+// checkRateCaps checks that no endpoint got more requests than its cap allows from the nodes that knew the cap.
 func (c *cluster) checkRateCaps(requests map[string]*sentRequest) {
 	for _, e := range c.endpoints {
 		for _, stated := range e.rateCaps {
@@ -71,7 +72,7 @@
 			allowed := int(rateCapExcess*stated.perSecond*rateCapWindow.Seconds() + rateCapSlack)
 			for i := allowed; i < len(times); i++ {
 				if times[i].Sub(times[i-allowed]) < rateCapWindow {
-					c.reportViolation("%s got more than %d requests in %v of nodes that knew that it takes %v a second", e.Name, allowed, rateCapWindow, stated.perSecond)
+					c.reportViolation("%s received more than %d requests within %v from nodes that knew its rate cap of %v per second", e.Name, allowed, rateCapWindow, stated.perSecond)
 					break
 				}
 			}
@@ -79,8 +80,8 @@
 	}
 }
 
-// runsFromInformedNodes returns when an endpoint got requests, in a period, of nodes that knew of its cap before and that had no trouble
-// since.
+// runsFromInformedNodes returns the times in a period at which an endpoint got requests from nodes that already knew
+// its cap and had not been disturbed since they learned of it.
 func (c *cluster) runsFromInformedNodes(e *endpoint, p period, requests map[string]*sentRequest) []time.Time {
 	runs := e.Runs()
 	var times []time.Time
@@ -103,8 +104,9 @@
 	return times
 }
 
-// callsWhileUndisturbed returns when a worker got calls, in a period, while no node had had trouble for a while: no caller sent them,
-// so it is not known which node did, but without trouble of nodes all that make them know of the cap.
+// callsWhileUndisturbed returns the times in a period at which a worker got calls while no node had been disturbed for
+// settleTime. No caller sends these calls, so it is not known which node did. If no node is disturbed, all nodes that
+// make calls know the cap.
 func (c *cluster) callsWhileUndisturbed(e *endpoint, p period) []time.Time {
 	var times []time.Time
 	var informedAt time.Time
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,42 +20,43 @@
 )
 
 var (
-	firstSeed  = flag.Uint64("first", 1, "the first seed of a soak by hand")
-	seedCount  = flag.Int("seeds", 0, "how many seeds a soak by hand runs; 0: only the kept ones")
-	faultTime  = flag.Duration("for", 6*time.Second, "how long faults are injected for each seed")
-	onlyFaults = flag.String("only", "", "the kinds of faults, with commas between; empty for all")
-	nodeCount  = flag.Int("nodes", 4, "how many nodes run")
-	logFolder  = flag.String("logs", "", "folder that gets the nodes' logs of seeds that fail")
+	firstSeed  = flag.Uint64("first", 1, "the first of the further seeds")
+	seedCount  = flag.Int("seeds", 0, "how many further seeds to run; 0 runs only the kept seeds")
+	faultTime  = flag.Duration("for", 6*time.Second, "how long faults are injected for each further seed")
+	onlyFaults = flag.String("only", "", "the kinds of faults for further seeds, separated by commas; empty for all")
+	nodeCount  = flag.Int("nodes", 4, "how many nodes to run")
+	logFolder  = flag.String("logs", "", "folder to which the nodes' logs of failed seeds are written")
 )
 
-// seed1Faults are the kinds of faults that seed 1 drew from when it failed.
+// seed1Faults are the kinds of faults from which seed 1 drew when it failed.
 const seed1Faults = "kill,terminate,pause,reload,store fails,store compacts,store link,node link,reader cut off," +
 	"endpoint fails,endpoint link,endpoint leaves,endpoint starts again,foreign entries,routing changes,routes added," +
 	"key taken away,key taken away behind a cut,store away"
 
-// poisonSeedFaults are the kinds of faults that the seeds drew from that have poison requests and no evacuations.
+// poisonSeedFaults are the kinds of faults of the seeds with poison requests and without evacuations.
 const poisonSeedFaults = seed1Faults + ",poison requests"
 
-// keptSeeds are run each time: the first for a start, the others because they once failed.
+// keptSeeds are run each time. The cause is the failure that a seed once found. Seeds without one cover a combination
+// of faults.
 var keptSeeds = []struct {
 	seed uint64
-	// only names the kinds of faults; empty for all.
+	// only lists the kinds of faults, separated by commas; empty for all.
 	only     string
 	duration time.Duration
 	cause    string
 }{
-	{1, seed1Faults, 6 * time.Second, "no node served after the faults, once beside much else"},
-	{2, poisonSeedFaults, 6 * time.Second, "none: a short run of these kinds"},
-	{3, "evacuation,cold endpoint,kill,terminate,pause,store fails,store compacts,reader cut off", 6 * time.Second, "none: evacuations and cold endpoints beside troubles of nodes and the store"},
-	{4, "rate cap,kill,terminate,pause,store fails,reader cut off", 12 * time.Second, "none: endpoints that state rate caps beside troubles of nodes and the store"},
-	{100, "rate cap,store fails,store compacts", 10 * time.Second, "none: rate caps of engines, services and workers, while nodes have no trouble of their own"},
-	{74019, poisonSeedFaults, 10 * time.Second, "two requests that end endpoints at one end: it counts against one of them only, and the other needs one more"},
-	{4015, "reader cut off,endpoint leaves", 12 * time.Second, "an endpoint listed and removed between two questions stayed in use"},
-	{9005, "routes added,routing changes,kill,store link", 12 * time.Second, "a node was told each version of a large routing that it had missed, more than it reads at once"},
+	{1, seed1Faults, 6 * time.Second, "no node served after the faults, once, on a busy machine"},
+	{2, poisonSeedFaults, 6 * time.Second, "none: a short run of these kinds of faults"},
+	{3, "evacuation,cold endpoint,kill,terminate,pause,store fails,store compacts,reader cut off", 6 * time.Second, "none: evacuations and cold endpoints during faults of nodes and the store"},
+	{4, "rate cap,kill,terminate,pause,store fails,reader cut off", 12 * time.Second, "none: endpoints that state rate caps during faults of nodes and the store"},
+	{100, "rate cap,store fails,store compacts", 10 * time.Second, "none: rate caps of engines, services and workers, without faults of nodes"},
+	{74019, poisonSeedFaults, 10 * time.Second, "two poison requests at one crash: it counts against only one of them, and the other needs a further crash"},
+	{4015, "reader cut off,endpoint leaves", 12 * time.Second, "an endpoint that was listed and removed between two reads of the list stayed in use"},
+	{9005, "routes added,routing changes,kill,store link", 12 * time.Second, "a node received every version of a large routing that it had missed, more than it reads at once"},
 }
 
-// faultsPerSecond is how many faults begin in a second; each lasts up to maxFaultDuration.
 const (
+	// faultsPerSecond is the mean number of faults that begin per second. Each lasts up to maxFaultDuration.
 	faultsPerSecond  = 2.0
 	maxFaultDuration = 2500 * time.Millisecond
 	callerCount      = 6
@@ -81,7 +82,8 @@
 	}
 }
 
-// soak runs one seed: the same faults at the same times, as far as processes allow.
+// runSeed runs one seed. The same seed gives the same faults at the same times, as far as the scheduling of processes
+// allows.
 func runSeed(t *testing.T, binary string, seed uint64, only string, duration time.Duration) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	c := &cluster{
@@ -124,7 +126,7 @@
 	}
 }
 
-// chosen returns the kinds of faults with certain names; all for none.
+// selectFaults returns the kinds of faults whose names are listed, separated by commas; all if names is empty.
 func selectFaults(names string) []fault {
 	if names == "" {
 		return faults
@@ -138,7 +140,7 @@
 	return out
 }
 
-// inject starts faults at random times and returns how many of each kind once all have ended.
+// inject starts faults at random times for a duration, waits until all have ended and returns the count of each kind.
 func inject(c *cluster, random *rand.Rand, faults []fault, duration time.Duration) map[string]int {
 	counts := map[string]int{}
 	var running sync.WaitGroup
@@ -155,7 +157,7 @@
 	return counts
 }
 
-// printLogs prints how the nodes' logs end, where they are kept nowhere.
+// printLogs prints the ends of the nodes' logs.
 func (c *cluster) printLogs(t *testing.T) {
 	const tailBytes = 12 << 10
 	for _, n := range c.nodes {
@@ -165,7 +167,7 @@
 	}
 }
 
-// saveLogs keeps the nodes' logs of a seed that failed.
+// saveLogs writes the nodes' logs of a failed seed to the folder given by -logs, or prints their ends if it is not set.
 func (c *cluster) saveLogs(t *testing.T, seed uint64) {
 	if *logFolder == "" {
 		c.printLogs(t)
