--- a/scenario/balance_test.go
+++ b/scenario/balance_test.go
@@ -6,10 +6,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Seen: in CI beside much else, scenarios whole_answers and keys_outage counted 66 and 45 requests as missing that had never
-// been sent. How: no node answered one probe within 300 ms, and the load found no address to send to. Cause: the balancer's
-// part took silence of all nodes for nodes that are not ready. Proved by the reasons of these requests: none, not even that
-// of a broken connection.
+// Guards against loads that find no address to send to and count requests as missing that were never sent: they have no
+// reason recorded, not even that of a broken connection. On a busy machine, it can happen that no node answers a
+// readiness probe within 300 ms. The balancer must not treat nodes as not ready if all of them are silent.
 func TestBalancerKeepsSilentNodesWhenNoneIsReady(t *testing.T) {
 	t.Parallel()
 	before := []string{"a", "b"}
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -18,7 +18,7 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// logTailBytes is how much of a log is shown where a process ended badly, in bytes.
+// logTailBytes is how much of the end of a log is printed if a process exits with an unexpected code.
 const logTailBytes = 6000
 
 // cmdStandin starts the stand-in: standin FILE.
@@ -30,7 +30,7 @@
 	ts.Setenv("PLATFORM", f.platform)
 }
 
-// cmdNode starts nodes: node NAMES DOMAINS [FLAGS...], both lists with commas.
+// cmdNode starts nodes: node NAMES DOMAINS [FLAGS...]. Both lists are separated by commas; domains repeat as needed.
 func cmdNode(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	domains := strings.Split(args[1], ",")
@@ -49,8 +49,8 @@
 	}
 }
 
-// listenAddresses returns where a node is to listen: on a host of its own at first, and at the same addresses when it is
-// started again, as on a replaced host.
+// listenAddresses returns the addresses on which a node listens: any ports on a host of its own at first, and the same
+// addresses when it is started again, as on a replaced host.
 func (f *fleet) listenAddresses(name string) (callers, operators, peers string) {
 	if old := f.processes[name]; old != nil {
 		return old.addresses[0], old.addresses[1], old.addresses[2]
@@ -59,8 +59,8 @@
 	return anyPort, anyPort, anyPort
 }
 
-// cmdSettled waits until all nodes that run are ready and own the newest era's keys together,
-// and until that era has begun, so that what follows meets the whole fleet.
+// cmdSettled waits until all running nodes are ready and members of the newest era, and until that era has begun, so
+// that all nodes take part in what follows.
 func cmdSettled(ts *testscript.TestScript, _ bool, _ []string) {
 	f := fleetOf(ts)
 	ts.Check(waitFor(func() bool {
@@ -75,7 +75,7 @@
 	}))
 }
 
-// cmdSignal sends a signal: signal NAME TERM|KILL|STOP|CONT.
+// cmdSignal sends a signal to processes: signal NAMES TERM|KILL|STOP|CONT.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	for _, name := range strings.Split(args[0], ",") {
@@ -83,7 +83,7 @@
 	}
 }
 
-// cmdExited waits for a process to end: exited NAME [CODE].
+// cmdExited waits until a process has exited and checks its exit code: exited NAME [CODE].
 func cmdExited(ts *testscript.TestScript, _ bool, args []string) {
 	p := fleetOf(ts).processes[args[0]]
 	<-p.done
@@ -93,7 +93,7 @@
 	}
 }
 
-// cmdOccupy takes the ports of a process that has ended, on 127.0.0.1, until the script ends: occupy NAME.
+// cmdOccupy listens on the ports of an exited process, on 127.0.0.1, until the script ends: occupy NAME.
 func cmdOccupy(ts *testscript.TestScript, _ bool, args []string) {
 	for _, address := range fleetOf(ts).processes[args[0]].addresses {
 		_, port, err := net.SplitHostPort(address)
@@ -107,7 +107,7 @@
 	}
 }
 
-// cmdFault switches a fault on: fault TARGET KIND [Delay=1s] [Factor=10] [Count=3] [Times=1].
+// cmdFault injects a fault: fault TARGET KIND [Delay=1s] [Factor=10] [Count=3] [Times=1].
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
 	fault := standin.Fault{Target: args[0], Kind: standin.FaultKind(args[1])}
 	var err error
@@ -123,19 +123,19 @@
 		case "Times":
 			fault.Times, err = strconv.Atoi(value)
 		default:
-			ts.Fatalf("unknown %s", arg)
+			ts.Fatalf("unknown argument %s", arg)
 		}
 		ts.Check(err)
 	}
 	err = fleetOf(ts).setFault(fault)
 	if fault.Target == "platform" {
-		// The platform's own answer is on a connection that has just gone silent.
+		// The response comes over a connection that this fault has just made silent.
 		return
 	}
 	ts.Check(err)
 }
 
-// cmdClear switches faults off: clear [TARGET].
+// cmdClear removes the faults of a target, or all faults: clear [TARGET].
 func cmdClear(ts *testscript.TestScript, _ bool, args []string) {
 	target := ""
 	if len(args) > 0 {
@@ -145,7 +145,7 @@
 }
 
 // cmdLoad starts a load: load NAME PIPELINE [count=N] [workers=N] [keys=v7|v4] [fan] [tries=N]
-// [tokens=N] [stream] [numbers] [pause=D] [via=NODES].
+// [tokens=N] [stream] [numbers] [pause=D] [via=NODES]. See loadPlan; via sends to the named nodes only.
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
@@ -178,21 +178,21 @@
 		case "via":
 			addresses = f.callersOf(strings.Split(value, ","))
 		default:
-			ts.Fatalf("unknown %s", arg)
+			ts.Fatalf("unknown argument %s", arg)
 		}
 		ts.Check(err)
 	}
 	f.loads[args[0]] = startLoad(plan, addresses)
 }
 
-// cmdJoin waits until a load has ended.
+// cmdJoin waits until loads have ended: join NAME...
 func cmdJoin(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		<-fleetOf(ts).loads[name].done
 	}
 }
 
-// cmdReached waits until a load has sent some requests: reached NAME N.
+// cmdReached waits until a load has finished N requests: reached NAME N.
 func cmdReached(ts *testscript.TestScript, _ bool, args []string) {
 	l := fleetOf(ts).loads[args[0]]
 	n, err := strconv.Atoi(args[1])
@@ -200,7 +200,7 @@
 	ts.Check(waitFor(func() bool { return l.ended.Load() >= int64(n) }))
 }
 
-// cmdExpect checks a figure of a load: expect NAME FIGURE OPERATOR NUMBER.
+// cmdExpect waits until a load has ended and checks one of its statistics: expect NAME STATISTIC OPERATOR NUMBER.
 func cmdExpect(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	l := f.loads[args[0]]
@@ -209,9 +209,9 @@
 	ts.Check(err)
 	want, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
-	ts.Logf("%s: %s is %g, wanted %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
+	ts.Logf("%s: %s is %g, want %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
 	if !compare(got, args[2], want) {
-		ts.Fatalf("%s: %s is %g, wanted %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
+		ts.Fatalf("%s: %s is %g, want %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
 	}
 }
 
@@ -228,7 +228,7 @@
 	}
 }
 
-// figures are what a load can be asked: whether a request counts.
+// statistics holds the statistics of a load. Each function reports whether a request counts.
 var statistics = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
 	"doubles": func(l *load, o *outcome, journal standin.JournalSummary) bool {
 		return journal.Keys[l.plan.account+"/"+o.key] > 1
@@ -245,8 +245,8 @@
 	},
 }
 
-// figure reads one figure of a load against the stand-in's journal: how many requests count,
-// or with the ending -share which part of them.
+// statistic returns a statistic of a load, computed with the stand-in's journal: the number of requests that count, or
+// their share if the name ends in -share. A name reason-REASON counts requests that got this reason at least once.
 func (f *fleet) statistic(l *load, name string) (float64, error) {
 	journal, err := f.journal()
 	if err != nil {
@@ -260,7 +260,7 @@
 		}
 	}
 	if counts == nil {
-		return 0, fmt.Errorf("unknown figure %s", name)
+		return 0, fmt.Errorf("unknown statistic %s", name)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -276,8 +276,8 @@
 	return count, nil
 }
 
-// ranDespiteNotRun tells whether a request that was refused as NotRun was seen by an endpoint, or
-// a key whose last word was NotRun has run.
+// ranDespiteNotRun reports whether a request refused with the verdict NotRun reached an endpoint, or whether a key
+// whose last verdict was NotRun has run.
 func ranDespiteNotRun(l *load, o *outcome, journal standin.JournalSummary) bool {
 	for _, id := range o.notRunIDs {
 		if journal.Requests[id] > 0 {
@@ -317,9 +317,9 @@
 	return counts
 }
 
-// cmdAwait waits until all nodes that run show something; a metric counts over all nodes.
+// cmdAwait waits until all running nodes report a state, or until the sum of a metric over them reaches a minimum.
 //
-//	await metric NAME AT-LEAST   await state MEMBER STATE
+//	await metric NAME MINIMUM    await state MEMBER STATE
 //	await leaving ENDPOINT       await revision N
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
@@ -383,7 +383,7 @@
 	return sum
 }
 
-// cmdMark remembers how often endpoints have run: mark ENDPOINT...
+// cmdMark records how many runs endpoints have had, for the command quiet: mark ENDPOINT...
 func cmdMark(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
@@ -391,13 +391,13 @@
 	}
 }
 
-// cmdQuiet checks that endpoints got no work since mark: quiet ENDPOINT...
+// cmdQuiet checks that endpoints have had no runs since the command mark: quiet ENDPOINT...
 func cmdQuiet(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
 		count := f.runCount(ts, endpoint)
 		if (count == f.markedRuns[endpoint]) == neg {
-			ts.Fatalf("%s ran %d times, and %d times before", endpoint, count, f.markedRuns[endpoint])
+			ts.Fatalf("%s has had %d runs, %d at mark", endpoint, count, f.markedRuns[endpoint])
 		}
 	}
 }
@@ -414,9 +414,8 @@
 	return n
 }
 
-// cmdChange lets operators change one document at once, through different nodes, and checks
-// that each revision has one winner and that all nodes bring the last one in force:
-// change COUNT RACERS.
+// cmdChange makes operators change one document concurrently, through different nodes. It checks that exactly one of
+// them is applied as each revision and that each revision comes into force on all nodes: change COUNT RACERS.
 func cmdChange(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	count, err := strconv.Atoi(args[0])
@@ -425,5 +424,5 @@
 	ts.Check(err)
 	longest, err := f.raceChanges(count, racers)
 	ts.Check(err)
-	ts.Logf("%d changes by %d racing operators; slowest in force everywhere after %s", count, racers, longest)
+	ts.Logf("%d changes by %d concurrent operators; longest time until in force on all nodes: %s", count, racers, longest)
 }
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -25,10 +25,10 @@
 
 const (
 	fleetKey = "fleet"
-	// maxWait ends a wait for a condition that never comes; no verdict rests on it.
+	// maxWait limits the wait for a condition that is never met. No check depends on its value.
 	maxWait      = 2 * time.Minute
 	pollInterval = 20 * time.Millisecond
-	// balanceInterval is how often the balancer's part asks the nodes for their readiness.
+	// balanceInterval is how often the simulated balancer probes the readiness of nodes.
 	balanceInterval = 50 * time.Millisecond
 
 	operatorsToken = "scenario-operators"
@@ -36,7 +36,7 @@
 )
 
 type (
-	// process is one process that a script started.
+	// process is a process that a script started. exitCode is valid once done is closed.
 	process struct {
 		name      string
 		cmd       *exec.Cmd
@@ -46,14 +46,14 @@
 		addresses []string
 	}
 
-	// probe is what came of the question whether a node is ready; silent where no answer came.
+	// probe is the result of a readiness probe of a node. silent is true if there was no response.
 	probe struct {
 		address string
 		ready   bool
 		silent  bool
 	}
 
-	// fleet is what a script has started.
+	// fleet holds the processes and loads that a script has started.
 	fleet struct {
 		dir       string
 		env       []string
@@ -62,11 +62,11 @@
 		processes map[string]*process
 		loads     map[string]*load
 		client    *http.Client
-		// prober asks for readiness; ready is what it learned.
+		// probeClient sends readiness probes. readyAddresses are the addresses to which the balancer sends callers.
 		probeClient    *http.Client
 		readyAddresses []string
 		closed         bool
-		// runs remembers how often endpoints had run, for the command quiet.
+		// markedRuns holds how many runs each endpoint had at the last command mark, for the command quiet.
 		markedRuns map[string]int
 	}
 )
@@ -86,10 +86,10 @@
 	return ts.Value(fleetKey).(*fleet)
 }
 
-// start runs the binary under test and waits until it wrote its addresses.
+// start starts the binary under test and waits until it has written its addresses.
 func (f *fleet) start(name string, args ...string) (*process, error) {
-	addresses := filepath.Join(f.dir, name+".addresses")
-	_ = os.Remove(addresses)
+	addressesFile := filepath.Join(f.dir, name+".addresses")
+	_ = os.Remove(addressesFile)
 	logFile, err := os.Create(filepath.Join(f.dir, name+".log"))
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(path, append(args, "--addresses-file", addresses)...)
+	cmd := exec.Command(path, append(args, "--addresses-file", addressesFile)...)
 	cmd.Env = f.env
 	cmd.Stderr = logFile
 	cmd.Stdout = logFile
@@ -116,7 +116,7 @@
 	f.processes[name] = p
 	f.mu.Unlock()
 	err = waitFor(func() bool {
-		data, err := os.ReadFile(addresses)
+		data, err := os.ReadFile(addressesFile)
 		if err != nil {
 			return p.exited()
 		}
@@ -127,7 +127,7 @@
 	})
 	if err == nil && len(p.addresses) == 0 {
 		data, _ := os.ReadFile(p.logPath)
-		err = fmt.Errorf("%s exited: %s", name, data)
+		err = fmt.Errorf("%s exited before it wrote its addresses: %s", name, data)
 	}
 	return p, err
 }
@@ -153,7 +153,7 @@
 	}
 }
 
-// nodes returns the nodes that run, by name.
+// nodes returns the running nodes, sorted by name.
 func (f *fleet) nodes() []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,14 +167,14 @@
 	return out
 }
 
-// callers returns the addresses for callers of the nodes that the balancer holds ready.
+// callers returns the caller addresses of the nodes that the balancer keeps in rotation.
 func (f *fleet) callers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.readyAddresses)
 }
 
-// balance follows the nodes' readiness as the platform's balancer does.
+// balance tracks the readiness of nodes as the platform's load balancer does.
 func (f *fleet) balance() {
 	for {
 		var probes []probe
@@ -192,9 +192,9 @@
 	}
 }
 
-// inRotation returns the addresses that callers are sent to after one round of probes. Where no node says that it is ready,
-// those stay that are silent: the platform, too, sends callers somewhere, and a machine that is too busy to answer a probe
-// in time says nothing of its nodes.
+// inRotation returns the addresses to which callers are sent after one round of probes. If no node reports that it is
+// ready, silent nodes that were in rotation stay in it. The platform also keeps sending callers to some node in this
+// case, and a probe that a busy machine does not answer in time says nothing about the node.
 func inRotation(before []string, probes []probe) []string {
 	var ready, silent []string
 	for _, p := range probes {
@@ -211,7 +211,7 @@
 	return ready
 }
 
-// ask asks a node whether it is ready.
+// probe probes the readiness of a node.
 func (f *fleet) probe(p *process) probe {
 	res, err := f.probeClient.Get("http://" + p.addresses[0] + "/readyz")
 	if err != nil {
@@ -274,14 +274,14 @@
 	return res.Body.Close()
 }
 
-// waitFor polls until a condition holds.
+// waitFor polls until a condition holds, for at most maxWait.
 func waitFor(condition func() bool) error {
 	for deadline := time.Now().Add(maxWait); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("the condition did not come within %s", maxWait)
+	return fmt.Errorf("condition not met within %s", maxWait)
 }
 
 var signals = map[string]syscall.Signal{
--- a/scenario/helpers_test.go
+++ b/scenario/helpers_test.go
@@ -21,7 +21,7 @@
 	return settings.Pipeline("bilbao", name)
 }
 
-// callersOf returns the addresses for callers of those of the named nodes that run.
+// callersOf returns a function that returns the caller addresses of those named nodes that are running.
 func (f *fleet) callersOf(names []string) func() []string {
 	return func() []string {
 		var out []string
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -16,27 +16,30 @@
 )
 
 type (
-	// loadPlan says what a load sends.
+	// loadPlan configures a load.
 	loadPlan struct {
 		pipeline string
 		token    string
 		account  string
-		// count is how many requests (or keys) are sent, by how many workers.
+		// count is the number of requests, or of idempotency keys if requests have one. workers is the number of
+		// concurrent senders.
 		count   int
 		workers int
-		// keys is "" for none, "v7" for UUIDv7, "v4" for keys without a time.
+		// keyForm is "" for no idempotency keys, "v7" for UUIDv7, "v4" for keys without a time.
 		keyForm string
-		// fan sends each key to all nodes at once instead of to one.
+		// fanOut sends each request to all nodes in parallel before the attempts with one node each.
 		fanOut bool
-		// tries bounds the tries of one key; each goes to another node.
-		maxAttempts    int
-		maxTokens      int
-		stream         bool
+		// maxAttempts limits the attempts for one request. Each goes to another node.
+		maxAttempts int
+		maxTokens   int
+		stream      bool
+		// numberAttempts sends the number of the attempt with each request.
 		numberAttempts bool
-		pause          time.Duration
+		// pause is how long a worker waits after each request.
+		pause time.Duration
 	}
 
-	// outcome is all that the callers learned of one request or key.
+	// outcome collects the results of all attempts of one request.
 	outcome struct {
 		text      string
 		key       string
@@ -45,13 +48,13 @@
 		verdicts  []model.Verdict
 		reasons   []model.Reason
 		answers   []string
-		// cut counts tries that ended without an answer or refusal.
+		// cutAttempts counts attempts that ended without an answer or refusal.
 		cutAttempts int
-		// gaps is true if a stream had a gap or a repeat.
+		// streamGaps is true if the tokens of a stream had a gap or a repeat.
 		streamGaps bool
 	}
 
-	// load is a load that runs or ran.
+	// load is a load that is running or has ended. done is closed when it ends.
 	load struct {
 		plan     loadPlan
 		done     chan struct{}
@@ -62,8 +65,8 @@
 	}
 )
 
-// startLoad sends requests in the background; the addresses are asked for before each try, so
-// that a balancer's view of the nodes is followed.
+// startLoad sends requests in the background. It calls addresses before each attempt, so that changes by the balancer
+// take effect at once.
 func startLoad(plan loadPlan, addresses func() []string) *load {
 	l := &load{plan: plan, done: make(chan struct{})}
 	client := &http.Client{
@@ -121,7 +124,7 @@
 	l.mu.Unlock()
 }
 
-// retry tries until the request ran, each time through another node.
+// sendUntilRan sends a request up to maxAttempts times until it has run, each time through another node.
 func (l *load) sendUntilRan(client *http.Client, addresses func() []string, o *outcome, i int) {
 	for attempt := range l.plan.maxAttempts {
 		if o.ran() {
@@ -143,7 +146,7 @@
 	}
 }
 
-// try sends the request once and returns when to come back.
+// attempt sends a request once and returns the delay before the next attempt.
 func (l *load) attempt(client *http.Client, address string, o *outcome, attemptNumber int) time.Duration {
 	nextIndex := 0
 	streamGaps := false
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -12,7 +12,7 @@
 	"basilstall.example/basilstall/table"
 )
 
-// cmdHolder puts the node that holds a pool's lease into $HOLDER: holder POOL.
+// cmdHolder sets $HOLDER to the name of the node that holds a pool's lease: holder POOL.
 func cmdHolder(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	ts.Check(waitFor(func() bool {
@@ -29,9 +29,9 @@
 	}))
 }
 
-// cmdOrders checks the engines' journal of orders: no order of an earlier holder after one of
-// a later, at most MOST loads of one adapter on one engine, and at least HOLDERS holders:
-// orders MOST HOLDERS.
+// cmdOrders checks the journal of orders to engines: no order of an earlier lease holder follows one of a later holder,
+// no engine loaded an adapter more than MAXLOADS times, and at least MINHOLDERS holders sent orders:
+// orders MAXLOADS MINHOLDERS.
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
 	var orders []standin.OrderRun
 	ts.Check(fleetOf(ts).platformGet("/journal/orders", &orders))
@@ -52,10 +52,10 @@
 	}
 	for engineAdapter, n := range loads {
 		if n > maxLoads {
-			ts.Fatalf("%s was loaded %d times", engineAdapter, n)
+			ts.Fatalf("engine and adapter %s: loaded %d times, at most %d allowed", engineAdapter, n, maxLoads)
 		}
 	}
 	if got := len(slices.Compact(fencingNumbers)); got < minHolders {
-		ts.Fatalf("orders of %d holders", got)
+		ts.Fatalf("orders came from %d holders, want at least %d", got, minHolders)
 	}
 }
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -14,9 +14,9 @@
 
 const fleetSettingsFormat = "Horizon: 4s\nRetention: %ds\n"
 
-// race makes changes one after another; in each, racing operators start from the same base
-// through different nodes. Just one may win. It returns the longest time until a change was
-// in force on all nodes.
+// raceChanges makes changes one after another. In each, several operators submit changes with the same base revision
+// through different nodes, and at most one may be applied. It returns the longest time until a change was in force on
+// all nodes.
 func (f *fleet) raceChanges(count, racers int) (time.Duration, error) {
 	var longest time.Duration
 	for i := range count {
@@ -27,7 +27,7 @@
 		start := time.Now()
 		revision := uint64(0)
 		for revision == 0 {
-			// Nobody wins if the base was read from a stale table: the answers name the newer one.
+			// No operator wins if the base was read from a stale table. The replies then contain the current revision.
 			if revision, base, err = f.raceOnce(base, racers, i); err != nil {
 				return longest, err
 			}
@@ -53,7 +53,8 @@
 	return 0, err
 }
 
-// raceOnce returns the winner's revision, or zero and the base that the losers were told.
+// raceOnce runs one race. It returns the revision of the winner, or zero and the current revision that the replies to
+// the losers contain.
 func (f *fleet) raceOnce(base uint64, racers, round int) (revision, current uint64, err error) {
 	nodes := f.nodes()
 	results := make([]operator.ChangeResult, racers)
@@ -74,7 +75,7 @@
 				Author:    fmt.Sprintf("racer-%d", r),
 				YAML:      fmt.Sprintf(fleetSettingsFormat, 600+round*racers+r),
 			}
-			// An outcome that is unknown is asked for again by the operation's number.
+			// If the outcome is unknown, the same operation is submitted again to learn it.
 			for range 5 {
 				results[r], errs[r] = c.Set(context.Background(), "fleet", change)
 				if errs[r] != nil || results[r].Outcome != table.Unknown {
@@ -93,7 +94,7 @@
 			return 0, 0, errs[i]
 		}
 		if result.Outcome == table.Unknown {
-			return 0, 0, fmt.Errorf("operation %s is unknown", result.Operation)
+			return 0, 0, fmt.Errorf("outcome of operation %s is unknown", result.Operation)
 		}
 		if result.Outcome != table.Applied {
 			if result.Current != nil {
@@ -107,13 +108,13 @@
 		revision = result.Revision
 	}
 	if revision == 0 && current == 0 {
-		return 0, 0, fmt.Errorf("nobody won: %+v", results)
+		return 0, 0, fmt.Errorf("no operator won: %+v", results)
 	}
 	return revision, current, nil
 }
 
-// awaitRevision waits until all nodes have a revision in force, and fails if one ever shows a
-// lower revision than it showed before.
+// awaitRevision waits until a revision, or a later one, is in force on all nodes. It fails if a node reverts to a lower
+// revision.
 func (f *fleet) awaitRevision(revision uint64) error {
 	var reverted error
 	lastSeen := map[string]uint64{}
@@ -126,7 +127,7 @@
 				continue
 			}
 			if s.Revision < lastSeen[p.name] {
-				reverted = fmt.Errorf("%s went back from revision %d to %d", p.name, lastSeen[p.name], s.Revision)
+				reverted = fmt.Errorf("%s reverted from revision %d to %d", p.name, lastSeen[p.name], s.Revision)
 				return true
 			}
 			lastSeen[p.name] = s.Revision
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -1,5 +1,5 @@
-// Package scenario_test runs scripted scenarios with real processes and sockets: a stand-in for
-// platform and endpoints, nodes, load, and the failures of the brief.
+// Package scenario_test runs scripted scenarios with real processes and sockets: nodes, a stand-in for the platform and
+// the endpoints, load, and injected faults.
 package scenario_test
 
 import (
@@ -54,7 +54,7 @@
 	})
 }
 
-// copyConfigs gives each script the stand-ins' configurations.
+// copyConfigs copies the configurations of the stand-in into the folder of a script.
 func copyConfigs(dir string) error {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil {
