--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -29,7 +29,7 @@
 		pool       *pool
 		job        Job
 		deadline   time.Time
-		carry      model.Carry
+		carry      model.StageOutput
 
 		// callCount is how many calls were started.
 		callCount int
@@ -206,7 +206,7 @@
 	if !a.idempotent() || a.dispatcher.plain || a.callCount >= kernel.MaxAttempts || !a.pool.takeRetry() {
 		return false
 	}
-	a.dispatcher.metrics.Retried(model.RetryHedge, a.pool.name)
+	a.dispatcher.metrics.CountRetry(model.RetryHedge, a.pool.name)
 	a.hedging = true
 	defer func() { a.hedging = false }()
 	return a.startCall(ctx, running, outcomes)
@@ -221,7 +221,7 @@
 	if o.err == nil {
 		a.mayHaveRun = true
 		a.reportLeaving(o.target, &o.reply.Load)
-		carry, err := a.job.Plugin.Accept(a.job.Work, o.reply)
+		carry, err := a.job.Plugin.ParseReply(a.job.Work, o.reply)
 		if err == nil {
 			a.pool.recordSuccess(now, o.target, o.elapsed, &o.reply.Load)
 			a.carry = carry
@@ -255,7 +255,7 @@
 	if a.callCount-a.notLoadedCount >= kernel.MaxAttempts || !a.pool.takeRetry() {
 		return false
 	}
-	a.dispatcher.metrics.Retried(fault.RetryReason(), a.pool.name)
+	a.dispatcher.metrics.CountRetry(fault.RetryReason(), a.pool.name)
 	return true
 }
 
@@ -301,7 +301,7 @@
 		waited := now.Sub(call.startedAt)
 		a.busy += waited
 		a.pool.recordFailure(now, call.target, waited > failureLatency)
-		a.dispatcher.metrics.Event("ConnectionsRetired")
+		a.dispatcher.metrics.CountEvent("ConnectionsRetired")
 		a.dispatcher.client.Retire(call.target.address)
 	}
 }
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -189,7 +189,7 @@
 	switch {
 	case e.leaving:
 		state = model.Leaving
-	case state == model.Live && p.evacuations.Holds(e.candidate.Endpoint.FailureDomain):
+	case state == model.Live && p.evacuations.Contains(e.candidate.Endpoint.FailureDomain):
 		state = model.Evacuated
 	}
 	e.candidate.Endpoint.State = state
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -94,7 +94,7 @@
 	case kernel.TrialOnly:
 		permitted, trialRetryAfter := c.requestTrial(ctx, held)
 		if permitted {
-			c.metrics.Event("QuarantineTrial")
+			c.metrics.CountEvent("QuarantineTrial")
 			c.log.Info().Str("Digest", string(digest)).Str("Pool", held.Pool).Msg("request that is held back runs on trial")
 			return true, nil
 		}
@@ -167,7 +167,7 @@
 			continue
 		}
 		if state == kernel.NotHeld {
-			c.metrics.Event("QuarantineLearned")
+			c.metrics.CountEvent("QuarantineLearned")
 		}
 		if before.Firm != h.Firm || len(before.Incarnations) != len(h.Incarnations) {
 			c.log.Info().Str("Digest", string(h.Digest)).Str("Pool", h.Pool).Bool("Firm", h.Firm).Strs("Ended", h.Incarnations).
@@ -180,7 +180,7 @@
 		c.q.Clear(digest)
 		c.mu.Unlock()
 		if before != kernel.NotHeld {
-			c.metrics.Event("QuarantineLifted")
+			c.metrics.CountEvent("QuarantineLifted")
 			c.log.Info().Str("Digest", string(digest)).Msg("request no longer held back")
 		}
 	}
@@ -236,7 +236,7 @@
 			if err == nil || c.persistViaPeers(change) {
 				return
 			}
-			c.metrics.Event("QuarantineStoreFailed")
+			c.metrics.CountEvent("QuarantineStoreFailed")
 			c.log.Warn().Int("Held", len(change.Hold)).Int("Lifted", len(change.Lift)).Err(err).Msg("held requests not written")
 			if !clock.Sleep(c.ctx, storeRetryInterval) {
 				return
@@ -274,7 +274,7 @@
 		}
 		remaining--
 		ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
-		err := c.deps.Call(ctx, p.Name, peer.KindHold, peer.Hold{Change: change}, &peer.Empty{})
+		err := c.deps.Call(ctx, p.Name, peer.KindStoreQuarantine, peer.StoreQuarantine{Change: change}, &peer.Empty{})
 		cancel()
 		if err == nil {
 			return true
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -66,7 +66,7 @@
 	}
 	if check == nil {
 		if len(c.crashChecks) >= maxCrashChecks {
-			c.metrics.Event("EndpointEndUnknown")
+			c.metrics.CountEvent("EndpointEndUnknown")
 			return
 		}
 		check = &crashCheck{endpoint: e, brokeAt: now, connectTried: make(chan struct{})}
@@ -74,7 +74,7 @@
 		go c.checkCrash(check)
 	}
 	if len(check.unreported)+len(digests) > maxReportedDigests {
-		c.metrics.Event("CrashReportDropped")
+		c.metrics.CountEvent("CrashReportDropped")
 		return
 	}
 	check.unreported = append(check.unreported, digests...)
@@ -150,7 +150,7 @@
 // holds c.mu.
 func (c *Coordinator) confirmCrash(check *crashCheck, proof string) {
 	check.proof = proof
-	c.metrics.Event("EndpointEnded")
+	c.metrics.CountEvent("EndpointEnded")
 	c.scheduleReport(check)
 }
 
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	if c.notifying >= maxNotifications {
 		c.mu.Unlock()
-		c.metrics.Event("CoordinatorNotInformed")
+		c.metrics.CountEvent("CoordinatorNotInformed")
 		return
 	}
 	c.notifying++
@@ -50,7 +50,7 @@
 			}
 		}
 		if !allNotified {
-			c.metrics.Event("CoordinatorNotInformed")
+			c.metrics.CountEvent("CoordinatorNotInformed")
 		}
 	}()
 }
@@ -144,7 +144,7 @@
 	}
 	var reply peer.TrialReply
 	if c.deps.Call(ctx, coordinator, peer.KindTrial, request, &reply) != nil {
-		c.metrics.Event("CoordinatorNotInformed")
+		c.metrics.CountEvent("CoordinatorNotInformed")
 		return peer.TrialReply{}
 	}
 	return reply
@@ -164,10 +164,10 @@
 // Handlers returns the handlers of the messages that other nodes send to the coordinator.
 func (c *Coordinator) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
-		peer.KindCrash: c.handleCrash,
-		peer.KindTrial: c.handleTrial,
-		peer.KindClear: c.handleClear,
-		peer.KindHold:  c.handleHold,
+		peer.KindCrash:           c.handleCrash,
+		peer.KindTrial:           c.handleTrial,
+		peer.KindClear:           c.handleClear,
+		peer.KindStoreQuarantine: c.handleHold,
 	}
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (c *Coordinator) handleHold(ctx context.Context, body []byte) (any, error) {
-	var m peer.Hold
+	var m peer.StoreQuarantine
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
 	}
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -73,7 +73,7 @@
 		rank     int
 		rankedAt time.Time
 		// permits tells which of the nodes that share the cap, as of sharersAt, may be asked for a permit.
-		permits   kernel.Permits
+		permits   kernel.PermitRequester
 		sharersAt time.Time
 		// issuer grants permits to other nodes.
 		issuer kernel.PermitIssuer
@@ -129,7 +129,7 @@
 	if !view.Cap.Stated || l.deps.Part == nil {
 		return view
 	}
-	return view.WithPart(l.deps.Part(incarnation))
+	return view.WithFraction(l.deps.Part(incarnation))
 }
 
 // HasCap reports whether an endpoint states a cap.
@@ -158,7 +158,7 @@
 		}
 		at, ok := l.permitRequestAt(now, incarnation)
 		capped = append(capped, kernel.CappedEndpoint{
-			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), Asks: ok, AskAt: at,
+			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), MayRequestPermit: ok, NextPermitRequestAt: at,
 		})
 	}
 	return kernel.AdmitCapped(now, pool, capped)
@@ -167,7 +167,7 @@
 // RecordSend counts the requests and calls for pieces that are sent to endpoints with caps.
 func (l *Limiter) RecordSend(e model.Endpoint) {
 	if l.HasCap(e.Incarnation()) {
-		l.metrics.Event("SentUnderRateCap")
+		l.metrics.CountEvent("SentUnderRateCap")
 	}
 }
 
@@ -211,7 +211,7 @@
 	if before.Cap == after.Cap {
 		return
 	}
-	l.metrics.Event("RateCapChanged")
+	l.metrics.CountEvent("RateCapChanged")
 	l.log.Info().Str("Endpoint", incarnation).Str("From", from).Bool("Stated", after.Cap.Stated).
 		Float64("PerSecond", after.Cap.PerSecond).Float64("Before", before.Cap.PerSecond).Msg("rate cap of an endpoint")
 	l.deps.Changed()
@@ -275,7 +275,7 @@
 	defer cancel()
 	err := l.deps.Publish(ctx, incarnation, stated)
 	if err != nil {
-		l.metrics.Event("RateCapNotPublished")
+		l.metrics.CountEvent("RateCapNotPublished")
 	}
 	l.update(incarnation, func(c *endpointCap) {
 		c.publishing = false
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -144,7 +144,7 @@
 	}
 	b.mu.Unlock()
 	if !accepted {
-		b.relay.metrics.Event("PiecesRefused")
+		b.relay.metrics.CountEvent("PiecesRefused")
 		return batchResult{refused: true, retryAfter: retry, report: report}
 	}
 	b.startCalls()
@@ -250,9 +250,9 @@
 func (b *batcher) handleOverdue(batch kernel.PieceBatch) {
 	r := b.relay
 	b.mu.Lock()
-	requeued := b.queue.Overdue(r.now(), batch)
+	requeued := b.queue.RequeueOverdue(r.now(), batch)
 	b.mu.Unlock()
-	r.metrics.Event("PieceCallOverdue")
+	r.metrics.CountEvent("PieceCallOverdue")
 	r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 		Str("Request", batch.Pieces[0].Request).Int("Again", requeued).Msg("call for pieces overdue")
 	b.startCalls()
@@ -260,12 +260,12 @@
 
 func (b *batcher) logCall(batch kernel.PieceBatch, reply PieceReply, err error) {
 	r := b.relay
-	r.metrics.Event("PieceCalls")
+	r.metrics.CountEvent("PieceCalls")
 	faults := map[model.PieceFault]int{}
 	for _, res := range reply.Results {
 		if res.Fault != "" {
 			faults[res.Fault]++
-			r.metrics.Event("PieceFault" + string(res.Fault))
+			r.metrics.CountEvent("PieceFault" + string(res.Fault))
 		}
 	}
 	if len(faults) > 0 {
@@ -278,11 +278,11 @@
 	}
 	switch {
 	case err != nil:
-		r.metrics.Event("PieceCallFailed")
+		r.metrics.CountEvent("PieceCallFailed")
 		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Err(err).Msg("call for pieces failed")
 	case reply.NotRun:
-		r.metrics.Event("PieceCallRefused")
+		r.metrics.CountEvent("PieceCallRefused")
 		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Msg("call for pieces refused")
 	}
@@ -310,7 +310,7 @@
 	b.mu.Unlock()
 	for _, o := range ended {
 		if o.Fault == model.PieceStarved {
-			b.relay.metrics.Event("PiecesStarved")
+			b.relay.metrics.CountEvent("PiecesStarved")
 		}
 	}
 	b.deliverOutcomes(ended)
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -75,7 +75,7 @@
 		defer cancel()
 		var empty peer.Empty
 		if r.peers.Call(ctx, address, peer.KindBatchCancel, peer.BatchCancel{Pool: m.Pool, Group: m.Group}, &empty) != nil {
-			r.metrics.Event("BatchCancelFailed")
+			r.metrics.CountEvent("BatchCancelFailed")
 		}
 	}()
 }
@@ -87,7 +87,7 @@
 		peer.KindBatchCancel: r.answerBatchCancel,
 		peer.KindRelease:     r.answerRelease,
 		peer.KindProbe:       r.answerProbe,
-		peer.KindReturn:      r.handleReturn,
+		peer.KindCallerWait:  r.handleReturn,
 		peer.KindTakeOver:    r.answerTakeOver,
 		peer.KindCapPermit:   r.handleCapPermit,
 	}
@@ -113,7 +113,7 @@
 		Domain:       m.Domain,
 		LocalityWait: m.LocalityWait,
 		Rank:         m.Rank,
-		AskedAt:      now.Add(-m.AskedAgo),
+		FirstSentAt:  now.Add(-m.AskedAgo),
 		Due:          now.Add(m.DueIn),
 		Until:        now.Add(m.UntilIn),
 	}
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -38,7 +38,7 @@
 func (r *Relay) sendLimits(pool string) sendLimits {
 	table := r.View().Table
 	traits, _ := table.Pool(pool)
-	return sendLimits{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.ColdLimits.FractionalShare(table.Share(pool), traits.ColdRate), announced: r.announcedPeers, caps: r.rateCaps}
+	return sendLimits{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.ColdLimits.FractionalShare(table.CapacityShare(pool), traits.ColdRate), announced: r.announcedPeers, caps: r.rateCaps}
 }
 
 // admits reports whether this node may send a request to an endpoint now, and whether it needs a permit of another
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -224,7 +224,7 @@
 func (p *pool) recordRequest(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.Request(now)
+	p.budget.CountRequest(now)
 }
 
 // takeRetry takes a retry from the budget that all nodes share; nodes is their number, or 0 if unknown. It reports
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -36,7 +36,7 @@
 // size.
 func (r *Relay) capPart(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
-	return r.View().Table.Share(e.Pool)
+	return r.View().Table.CapacityShare(e.Pool)
 }
 
 // requestCapPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
@@ -71,7 +71,7 @@
 
 // admitRateCaps refuses a request if all endpoints of its pool are at their rate caps. It returns nil otherwise.
 func (r *Relay) admitRateCaps(a kernel.Admission) *model.Refusal {
-	endpoints := a.Homes.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
+	endpoints := a.Regions.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
 	return r.rateCaps.AdmitPool(r.now(), a.Pool, endpoints, r.pool(a.Pool).lastSentAt)
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -110,7 +110,7 @@
 			{Name: "gen", Host: "h", Prefix: "/gen/", Kind: model.Stream, Timeout: time.Minute, Objective: objective, MaxAttempts: 1, Split: []model.WeightedPool{{Pool: "engines"}}, Stages: stages},
 		}...),
 		Pools: map[string]model.Pool{"workers": {Name: "workers", ColdRate: 4, Pieces: &model.PieceTraits{
-			Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, Room: 18_000_000, Keep: time.Minute,
+			Slots: 1, MaxBatch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, Room: 18_000_000, ResultTTL: time.Minute,
 		}}},
 	}))
 }
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -81,8 +81,8 @@
 	run := &stageRun{
 		relay:        r,
 		stages:       j.admission.Route.Stages,
-		regions:      j.admission.Homes,
-		prefixDomain: kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Homes.AllowedEndpoints(r.Registry().Endpoints(p.name))),
+		regions:      j.admission.Regions,
+		prefixDomain: kernel.AffinityDomain(kernel.AffinityKey(j.forward.Prompt), j.admission.Regions.AllowedEndpoints(r.Registry().Endpoints(p.name))),
 		results:      map[int][]kernel.ResultRef{},
 		started:      map[int]bool{},
 		held:         map[int][]kernel.ResultRef{},
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -103,7 +103,7 @@
 	claim := b.claims
 	pollRoom := b.traits.Room >= minPolledRoom
 	b.mu.Unlock()
-	r.metrics.Event("BatcherTookOver")
+	r.metrics.CountEvent("BatcherTookOver")
 	r.log.Info().Str("Pool", b.queueName).Bool("Yielded", yielded).Msg("batching begins here")
 	if pollRoom {
 		go b.pollFreeRoom()
@@ -167,7 +167,7 @@
 	for i, node := range nodes {
 		calls.Go(func() {
 			if r.peers.Call(ctx, r.addressOf(node), peer.KindTakeOver, request, &replies[i]) != nil {
-				r.metrics.Event("TakeOverUnanswered")
+				r.metrics.CountEvent("TakeOverUnanswered")
 			}
 		})
 	}
@@ -204,9 +204,9 @@
 	if !active {
 		return peer.TakeOverReply{MovedTo: b.knownBatcher([]string{m.Node})}
 	}
-	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
-	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
-	switch kernel.AnswerClaim(b.queueName, own, other) {
+	own := kernel.BatcherCandidate{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
+	other := kernel.BatcherCandidate{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
+	switch kernel.DecideTakeOver(b.queueName, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
 	case kernel.SharePool:
@@ -226,7 +226,7 @@
 	moved := b.queue.HandOver()
 	b.mu.Unlock()
 	b.deliverOutcomes(moved)
-	r.metrics.Event("BatcherYielded")
+	r.metrics.CountEvent("BatcherYielded")
 	r.log.Info().Str("Pool", b.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -221,7 +221,7 @@
 
 // allowedEndpoints returns the endpoints of the request's pool in the regions that may serve the request.
 func (j *job) allowedEndpoints() []model.Endpoint {
-	return j.admission.Homes.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
+	return j.admission.Regions.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
 }
 
 // refuseNoEndpoint refuses a request that may not be sent to any endpoint now.
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -55,7 +55,7 @@
 	if old := f.processes[name]; old != nil {
 		return old.addresses[0], old.addresses[1], old.addresses[2]
 	}
-	anyPort := net.JoinHostPort(standin.NewHost(), "0")
+	anyPort := net.JoinHostPort(standin.NewLoopbackHost(), "0")
 	return anyPort, anyPort, anyPort
 }
 
@@ -149,7 +149,7 @@
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
-		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoAccount,
+		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoCustomer,
 		count: 100, workers: 8, maxAttempts: 1, maxTokens: 8,
 	}
 	addresses := f.callers
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -232,7 +232,7 @@
 }
 
 func (f *fleet) operatorGet(p *process, path string, result any) error {
-	c := &operator.Client{Base: "http://" + p.addresses[1], Token: operatorsToken, HTTP: f.client}
+	c := &operator.Client{BaseURL: "http://" + p.addresses[1], Token: operatorsToken, HTTP: f.client}
 	return c.Get(context.Background(), path, result)
 }
 
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -152,13 +152,13 @@
 	streamGaps := false
 	call := caller.Call{
 		Pipeline: l.plan.pipeline, Key: o.key, Attempt: attemptNumber,
-		Body: caller.Body{Input: model.Input{Text: o.text, MaxTokens: l.plan.maxTokens}, Stream: l.plan.stream},
+		Body: caller.RequestBody{Input: model.Input{Text: o.text, MaxTokens: l.plan.maxTokens}, Stream: l.plan.stream},
 		OnToken: func(t caller.TokenBody) {
 			streamGaps = streamGaps || t.Index != nextIndex
 			nextIndex++
 		},
 	}
-	c := &caller.Client{Base: "http://" + address, Token: l.plan.token, HTTP: client}
+	c := &caller.Client{BaseURL: "http://" + address, Token: l.plan.token, HTTP: client}
 	result, err := c.Send(context.Background(), call)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -33,7 +33,7 @@
 // no engine loaded an adapter more than MAXLOADS times, and at least MINHOLDERS holders sent orders:
 // orders MAXLOADS MINHOLDERS.
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
-	var orders []standin.OrderRun
+	var orders []standin.OrderRecord
 	ts.Check(fleetOf(ts).platformGet("/journal/orders", &orders))
 	maxLoads, err := strconv.Atoi(args[0])
 	ts.Check(err)
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -65,9 +65,9 @@
 		go func() {
 			defer wg.Done()
 			c := &operator.Client{
-				Base:  "http://" + nodes[r%len(nodes)].addresses[1],
-				Token: operatorsToken,
-				HTTP:  &http.Client{Timeout: 30 * time.Second},
+				BaseURL: "http://" + nodes[r%len(nodes)].addresses[1],
+				Token:   operatorsToken,
+				HTTP:    &http.Client{Timeout: 30 * time.Second},
 			}
 			change := operator.Change{
 				Base:      base,
@@ -77,7 +77,7 @@
 			}
 			// If the outcome is unknown, the same operation is submitted again to learn it.
 			for range 5 {
-				results[r], errs[r] = c.Set(context.Background(), "fleet", change)
+				results[r], errs[r] = c.SetDocument(context.Background(), "fleet", change)
 				if errs[r] != nil || results[r].Outcome != table.Unknown {
 					return
 				}
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -79,12 +79,12 @@
 
 // send sends one request and records the answer.
 func (cs *callers) send(n *node, id, route, key string) *sentRequest {
-	return cs.sendCall(n, standin.Call{ID: id, Route: route, Key: key})
+	return cs.sendCall(n, standin.Call{ID: id, Route: route, APIKey: key})
 }
 
 func (cs *callers) sendCall(n *node, call standin.Call) *sentRequest {
-	call.Within = callerDeadline
-	call.Prompt = call.Route == "gen" || call.Route == "res"
+	call.Timeout = callerDeadline
+	call.Stream = call.Route == "gen" || call.Route == "res"
 	if call.Route == "gen" {
 		call.Pieces = "2,3"
 	}
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -23,7 +23,7 @@
 	cs.mu.Unlock()
 	runs := map[string][]endpointRun{}
 	for _, e := range c.endpoints {
-		for _, id := range e.Mixed() {
+		for _, id := range e.RequestsWithForeignInputs() {
 			c.reportViolation("%s received results of another request at %s", id, e.Name)
 		}
 		for _, run := range e.Runs() {
@@ -57,7 +57,7 @@
 
 // checkAnswer checks the answer that a caller received.
 func (c *cluster) checkAnswer(s *sentRequest, runs []endpointRun) {
-	if s.Status == http.StatusOK && s.Whole {
+	if s.Status == http.StatusOK && s.Complete {
 		signed := false
 		for _, r := range runs {
 			signed = signed || s.Signature == r.run.Signature()
@@ -69,13 +69,13 @@
 			c.reportViolation("%s received a success response with a wrong body: %q", s.ID, s.Answer.Body)
 		}
 	}
-	if s.Status == http.StatusOK && !s.Whole && !strings.HasPrefix(expectedBody(s), s.Answer.Body) {
+	if s.Status == http.StatusOK && !s.Complete && !strings.HasPrefix(expectedBody(s), s.Answer.Body) {
 		c.reportViolation("%s received a truncated answer that is not a prefix of the expected one: %q", s.ID, s.Answer.Body)
 	}
 	if s.Status == http.StatusServiceUnavailable && s.Route != "get" && s.Route != "res" && len(runs) > 0 {
 		c.reportViolation("%s ran although its caller was told that it had not", s.ID)
 	}
-	if s.Key == validKey && !isAddedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
+	if s.APIKey == validKey && !isAddedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
 		c.reportViolation("%s received status %d although its key and route were valid throughout", s.ID, s.Status)
 	}
 }
@@ -111,7 +111,7 @@
 	if r.run.Customer() != standin.Customer || r.run.Credentials() != "" {
 		c.reportViolation("%s reached an endpoint with a wrong customer or with credentials: customer %q", s.ID, r.run.Customer())
 	}
-	if s.Key == invalidKey {
+	if s.APIKey == invalidKey {
 		c.reportViolation("%s ran with an API key that was never valid", s.ID)
 	}
 	if s.Route == "gen" && len(r.run.Inputs()) != 3 {
@@ -121,8 +121,8 @@
 	if !unlistedAt.IsZero() && s.sentAt.After(unlistedAt.Add(drainPeriod+slack)) {
 		c.reportViolation("%s was sent to %s, which had been unlisted or had crashed %v before", s.ID, r.endpoint.Name, s.sentAt.Sub(unlistedAt))
 	}
-	c.checkEvacuated(s.ID, r.run.At, r.endpoint)
-	if at, revoked := c.revokedAt(s.Key); revoked && s.sentAt.After(at.Add(revocationPeriod)) {
+	c.checkEvacuated(s.ID, r.run.StartedAt, r.endpoint)
+	if at, revoked := c.revokedAt(s.APIKey); revoked && s.sentAt.After(at.Add(revocationPeriod)) {
 		c.reportViolation("%s ran although its API key was revoked %v before it was sent", s.ID, s.sentAt.Sub(at))
 	}
 }
@@ -148,7 +148,7 @@
 				break
 			}
 			s := cs.send(n, fmt.Sprintf("%s-%s-%d", phase, n.name, i), routes[i%len(routes)], validKey)
-			if s.Status == http.StatusOK && s.Whole {
+			if s.Status == http.StatusOK && s.Complete {
 				served++
 				continue
 			}
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -153,12 +153,12 @@
 			c.reportViolation("start replacement endpoint: %v", err)
 		}
 		time.Sleep(lapseDelay - replacementDelay)
-		c.store.Unlist(e.Name)
+		c.store.RemoveEndpoint(e.Name)
 	})
 }
 
 func (c *cluster) writeEntry(e *endpoint, draining bool) {
-	c.store.List(standin.Entry{Name: e.Name, Pool: e.pool, Address: e.proxy.address(), Domain: e.domain, Draining: draining, Cold: time.Until(e.coldPeriod.to), Started: e.Started()})
+	c.store.PutEndpoint(standin.Entry{Name: e.Name, Pool: e.pool, Address: e.proxy.address(), Domain: e.domain, Draining: draining, Cold: time.Until(e.coldPeriod.to), Started: e.Started()})
 }
 
 // writeRouting writes the next version of the routing. Versions are written in order, as on the platform. Otherwise
@@ -168,18 +168,18 @@
 	defer c.routingMu.Unlock()
 	c.mu.Lock()
 	c.version += 2
-	routing := standin.Routing{Version: c.version, Keys: slices.Clone(c.keys), Routes: []standin.Route{
-		{Name: "post", Kind: "unsafe", Pool: "plain", Attempts: 2},
-		{Name: "get", Kind: "safe", Pool: "plain", Attempts: 2},
-		{Name: "gen", Kind: "stream", Pool: "engines", Attempts: 2, Stages: 2},
-		{Name: "res", Kind: "stream", Pool: "engines", Attempts: 2, Resumable: true},
+	routing := standin.Routing{Version: c.version, APIKeys: slices.Clone(c.keys), Routes: []standin.Route{
+		{Name: "post", Kind: "unsafe", Pool: "plain", MaxAttempts: 2},
+		{Name: "get", Kind: "safe", Pool: "plain", MaxAttempts: 2},
+		{Name: "gen", Kind: "stream", Pool: "engines", MaxAttempts: 2, Stages: 2},
+		{Name: "res", Kind: "stream", Pool: "engines", MaxAttempts: 2, Resumable: true},
 	}}
 	c.addedRoutes = c.sequence
 	for i := range c.addedRoutes {
-		routing.Routes = append(routing.Routes, standin.Route{Name: fmt.Sprint(addedRoutePrefix, i), Kind: "safe", Pool: "plain", Attempts: 2})
+		routing.Routes = append(routing.Routes, standin.Route{Name: fmt.Sprint(addedRoutePrefix, i), Kind: "safe", Pool: "plain", MaxAttempts: 2})
 	}
 	c.mu.Unlock()
-	c.store.Configure(routing)
+	c.store.PutRouting(routing)
 }
 
 // startNode creates the proxies, log and settings file of a node and starts its process.
@@ -195,8 +195,8 @@
 	if n.logFile, err = os.Create(filepath.Join(c.dir, n.name+".log")); err != nil {
 		return err
 	}
-	settings := standin.Node{Name: n.name, Domain: n.domain, Store: n.storeProxy.address(), Drain: drainPeriod, Grace: gracePeriod, Revoke: revocationPeriod}
-	if err := os.WriteFile(n.settingsPath(), []byte(settings.Settings()), 0o600); err != nil {
+	settings := standin.NodeSettings{Name: n.name, Domain: n.domain, StoreAddress: n.storeProxy.address(), MaxDrainDelay: drainPeriod, GracePeriod: gracePeriod, RevocationTime: revocationPeriod}
+	if err := os.WriteFile(n.settingsPath(), []byte(settings.TOML()), 0o600); err != nil {
 		return err
 	}
 	c.mu.Lock()
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -41,7 +41,7 @@
 	if random.IntN(2) == 0 {
 		c.store.Evacuate(evacuatedDomain)
 		time.Sleep(duration / 4)
-		c.store.TakeBack(evacuatedDomain)
+		c.store.Restore(evacuatedDomain)
 	}
 	c.store.Evacuate(evacuatedDomain)
 	from := time.Now()
@@ -49,7 +49,7 @@
 	c.mu.Lock()
 	c.evacuations[evacuatedDomain] = append(c.evacuations[evacuatedDomain], period{from: from, to: time.Now()})
 	c.mu.Unlock()
-	c.store.TakeBack(evacuatedDomain)
+	c.store.Restore(evacuatedDomain)
 	time.Sleep(duration / 2)
 }
 
@@ -68,7 +68,7 @@
 	for _, e := range c.endpoints {
 		for _, batch := range e.Batches() {
 			for _, item := range batch {
-				c.checkEvacuated(item.ID, item.At, e)
+				c.checkEvacuated(item.ID, item.ReceivedAt, e)
 			}
 		}
 	}
@@ -100,8 +100,8 @@
 		}
 		var times []time.Time
 		for _, run := range e.Runs() {
-			if run.At.After(e.coldPeriod.from.Add(slack)) && run.At.Before(e.coldPeriod.to) {
-				times = append(times, run.At)
+			if run.StartedAt.After(e.coldPeriod.from.Add(slack)) && run.StartedAt.Before(e.coldPeriod.to) {
+				times = append(times, run.StartedAt)
 			}
 		}
 		slices.SortFunc(times, time.Time.Compare)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -116,9 +116,9 @@
 }
 
 func failStore(c *cluster, random *rand.Rand, duration time.Duration) {
-	c.store.SetFault([]standin.StoreFault{standin.StoreBusy, standin.StoreSilent, standin.StoreLost}[random.IntN(3)])
+	c.store.SetFault([]standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent, standin.StoreReplyLost}[random.IntN(3)])
 	time.Sleep(duration)
-	c.store.SetFault(standin.StoreFine)
+	c.store.SetFault(standin.StoreHealthy)
 }
 
 // takeStoreDown makes the store unavailable for longer than nodes rely on what they have read, and counts the calls of
@@ -128,8 +128,8 @@
 		return
 	}
 	defer c.outageMu.Unlock()
-	c.store.SetFault([]standin.StoreFault{standin.StoreBusy, standin.StoreSilent}[random.IntN(2)])
-	defer c.store.SetFault(standin.StoreFine)
+	c.store.SetFault([]standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent}[random.IntN(2)])
+	defer c.store.SetFault(standin.StoreHealthy)
 	time.Sleep(outageNoticeTime)
 	before, start := c.store.Calls(), time.Now()
 	time.Sleep(callCountTime)
@@ -203,9 +203,9 @@
 
 func failEndpoint(c *cluster, random *rand.Rand, duration time.Duration) {
 	e := c.randomEndpoint(random)
-	e.SetFault(standin.EndpointFine + 1 + standin.EndpointFault(random.IntN(int(standin.EndpointUnsigned))))
+	e.SetFault(standin.EndpointHealthy + 1 + standin.EndpointFault(random.IntN(int(standin.EndpointUnsigned))))
 	time.Sleep(duration)
-	e.SetFault(standin.EndpointFine)
+	e.SetFault(standin.EndpointHealthy)
 }
 
 // replaceEndpoint replaces an endpoint: the new one is listed first, then the old one is unlisted, sometimes after it
@@ -231,7 +231,7 @@
 	c.mu.Lock()
 	old.unlistedAt = time.Now()
 	c.mu.Unlock()
-	c.store.Unlist(old.Name)
+	c.store.RemoveEndpoint(old.Name)
 }
 
 // restartEndpoint restarts an endpoint under its name, sometimes while its connections are blocked.
--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -55,7 +55,7 @@
 	cs.mu.Lock()
 	id := fmt.Sprint(subject, repeatSeparator, len(cs.requests))
 	cs.mu.Unlock()
-	cs.sendCall(n, standin.Call{ID: id, Route: route, Subject: subject, Key: validKey})
+	cs.sendCall(n, standin.Call{ID: id, Route: route, Content: subject, APIKey: validKey})
 }
 
 // crashCount returns the number of repeats of a poison request that have crashed an endpoint.
@@ -64,7 +64,7 @@
 	defer c.mu.Unlock()
 	ids := map[string]bool{}
 	for _, e := range c.endpoints {
-		if by := e.EndedBy(); strings.HasPrefix(by, subject+repeatSeparator) {
+		if by := e.CrashedBy(); strings.HasPrefix(by, subject+repeatSeparator) {
 			ids[by] = true
 		}
 	}
--- a/soak/ratecap_test.go
+++ b/soak/ratecap_test.go
@@ -88,16 +88,16 @@
 	informedAt := map[string]time.Time{}
 	for _, run := range runs {
 		request := requests[run.ID]
-		if request == nil || run.At.Before(p.from) || run.At.After(p.to) {
+		if request == nil || run.StartedAt.Before(p.from) || run.StartedAt.After(p.to) {
 			continue
 		}
 		informed, seen := informedAt[request.nodeName]
-		if !seen || c.disturbedBetween(request.nodeName, informed.Add(-rateCapLearnTime), run.At) {
-			informedAt[request.nodeName] = run.At.Add(rateCapLearnTime)
+		if !seen || c.disturbedBetween(request.nodeName, informed.Add(-rateCapLearnTime), run.StartedAt) {
+			informedAt[request.nodeName] = run.StartedAt.Add(rateCapLearnTime)
 			continue
 		}
-		if run.At.After(informed) {
-			times = append(times, run.At)
+		if run.StartedAt.After(informed) {
+			times = append(times, run.StartedAt)
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -91,7 +91,7 @@
 		endpoints: map[string]*endpoint{}, keys: []string{validKey}, revokedKeys: map[string]time.Time{}, evacuations: map[string][]period{},
 	}
 	defer c.close()
-	c.store.Rewrite(c.replaceNodeAddress)
+	c.store.SetRewrite(c.replaceNodeAddress)
 	for pool, count := range map[string]int{"plain": 3, "engines": 3, "workers": 2} {
 		for i := range count {
 			must.NoError(t, c.startEndpoint(fmt.Sprintf("%s-%d", pool, i), pool))
