--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -12,7 +12,7 @@
 	"basilstall.example/basilstall/table"
 )
 
-// cmdHolder puts the node that holds a pool's lease into $HOLDER: holder POOL.
+// cmdHolder sets $HOLDER to the name of the node that holds a pool's lease: holder POOL.
 func cmdHolder(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	ts.Check(waitFor(func() bool {
@@ -29,33 +29,33 @@
 	}))
 }
 
-// cmdOrders checks the engines' journal of orders: no order of an earlier holder after one of
-// a later, at most MOST loads of one adapter on one engine, and at least HOLDERS holders:
-// orders MOST HOLDERS.
+// cmdOrders checks the journal of orders to engines: no order of an earlier lease holder follows one of a later holder,
+// no engine loaded an adapter more than MAXLOADS times, and at least MINHOLDERS holders sent orders:
+// orders MAXLOADS MINHOLDERS.
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
 	var orders []standin.OrderRecord
 	ts.Check(fleetOf(ts).platformGet("/journal/orders", &orders))
-	most, err := strconv.Atoi(args[0])
+	maxLoads, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	holders, err := strconv.Atoi(args[1])
+	minHolders, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	loads := map[string]int{}
-	var numbers []uint64
+	var fencingNumbers []uint64
 	for _, o := range orders {
-		if len(numbers) > 0 && o.Fencing < numbers[len(numbers)-1] {
-			ts.Fatalf("order with fencing number %d after one with %d", o.Fencing, numbers[len(numbers)-1])
+		if len(fencingNumbers) > 0 && o.Fencing < fencingNumbers[len(fencingNumbers)-1] {
+			ts.Fatalf("order with fencing number %d after one with %d", o.Fencing, fencingNumbers[len(fencingNumbers)-1])
 		}
-		numbers = append(numbers, o.Fencing)
+		fencingNumbers = append(fencingNumbers, o.Fencing)
 		if o.Kind == "Load" {
 			loads[o.Endpoint+" "+o.Adapter]++
 		}
 	}
-	for what, n := range loads {
-		if n > most {
-			ts.Fatalf("%s was loaded %d times", what, n)
+	for engineAdapter, n := range loads {
+		if n > maxLoads {
+			ts.Fatalf("engine and adapter %s: loaded %d times, at most %d allowed", engineAdapter, n, maxLoads)
 		}
 	}
-	if got := len(slices.Compact(numbers)); got < holders {
-		ts.Fatalf("orders of %d holders", got)
+	if got := len(slices.Compact(fencingNumbers)); got < minHolders {
+		ts.Fatalf("orders came from %d holders, want at least %d", got, minHolders)
 	}
 }
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -12,49 +12,50 @@
 	"basilstall.example/basilstall/table"
 )
 
-const fleetDocument = "Horizon: 4s\nRetention: %ds\n"
+const fleetSettingsFormat = "Horizon: 4s\nRetention: %ds\n"
 
-// race makes changes one after another; in each, racing operators start from the same base
-// through different nodes. Just one may win. It returns the longest time until a change was
-// in force on all nodes.
-func (f *fleet) race(count, racers int) (time.Duration, error) {
-	var slowest time.Duration
+// raceChanges makes changes one after another. In each, several operators submit changes with the same base revision
+// through different nodes, and at most one may be applied. It returns the longest time until a change was in force on
+// all nodes.
+func (f *fleet) raceChanges(count, racers int) (time.Duration, error) {
+	var longest time.Duration
 	for i := range count {
-		base, err := f.baseOf("fleet")
+		base, err := f.documentRevision("fleet")
 		if err != nil {
-			return slowest, err
+			return longest, err
 		}
-		began := time.Now()
+		start := time.Now()
 		revision := uint64(0)
 		for revision == 0 {
-			// Nobody wins if the base was read from a stale table: the answers name the newer one.
+			// No operator wins if the base was read from a stale table. The replies then contain the current revision.
 			if revision, base, err = f.raceOnce(base, racers, i); err != nil {
-				return slowest, err
+				return longest, err
 			}
 		}
 		if err := f.awaitRevision(revision); err != nil {
-			return slowest, err
+			return longest, err
 		}
-		slowest = max(slowest, time.Since(began))
+		longest = max(longest, time.Since(start))
 	}
-	return slowest, nil
+	return longest, nil
 }
 
-func (f *fleet) baseOf(path string) (uint64, error) {
+func (f *fleet) documentRevision(path string) (uint64, error) {
 	nodes := f.nodes()
 	var doc model.Document
 	var err error
 	for range 50 {
-		if err = f.operate(nodes[0], "/v1/settings/"+path, &doc); err == nil {
+		if err = f.operatorGet(nodes[0], "/v1/settings/"+path, &doc); err == nil {
 			return doc.Revision, nil
 		}
-		time.Sleep(pollWait)
+		time.Sleep(pollInterval)
 	}
 	return 0, err
 }
 
-// raceOnce returns the winner's revision, or zero and the base that the losers were told.
-func (f *fleet) raceOnce(base uint64, racers, round int) (revision, newer uint64, err error) {
+// raceOnce runs one race. It returns the revision of the winner, or zero and the current revision that the replies to
+// the losers contain.
+func (f *fleet) raceOnce(base uint64, racers, round int) (revision, current uint64, err error) {
 	nodes := f.nodes()
 	results := make([]operator.ChangeResult, racers)
 	errs := make([]error, racers)
@@ -64,7 +65,7 @@
 		go func() {
 			defer wg.Done()
 			c := &operator.Client{
-				BaseURL: "http://" + nodes[r%len(nodes)].lines[1],
+				BaseURL: "http://" + nodes[r%len(nodes)].addresses[1],
 				Token:   operatorsToken,
 				HTTP:    &http.Client{Timeout: 30 * time.Second},
 			}
@@ -72,9 +73,9 @@
 				Base:      base,
 				Operation: fmt.Sprintf("round-%d-racer-%d-of-%d", round, r, base),
 				Author:    fmt.Sprintf("racer-%d", r),
-				YAML:      fmt.Sprintf(fleetDocument, 600+round*racers+r),
+				YAML:      fmt.Sprintf(fleetSettingsFormat, 600+round*racers+r),
 			}
-			// An outcome that is unknown is asked for again by the operation's number.
+			// If the outcome is unknown, the same operation is submitted again to learn it.
 			for range 5 {
 				results[r], errs[r] = c.SetDocument(context.Background(), "fleet", change)
 				if errs[r] != nil || results[r].Outcome != table.Unknown {
@@ -84,20 +85,20 @@
 		}()
 	}
 	wg.Wait()
-	return oneWinner(results, errs)
+	return checkOneWinner(results, errs)
 }
 
-func oneWinner(results []operator.ChangeResult, errs []error) (revision, newer uint64, err error) {
+func checkOneWinner(results []operator.ChangeResult, errs []error) (revision, current uint64, err error) {
 	for i, result := range results {
 		if errs[i] != nil {
 			return 0, 0, errs[i]
 		}
 		if result.Outcome == table.Unknown {
-			return 0, 0, fmt.Errorf("operation %s is unknown", result.Operation)
+			return 0, 0, fmt.Errorf("outcome of operation %s is unknown", result.Operation)
 		}
 		if result.Outcome != table.Applied {
 			if result.Current != nil {
-				newer = max(newer, result.Current.Revision)
+				current = max(current, result.Current.Revision)
 			}
 			continue
 		}
@@ -106,33 +107,33 @@
 		}
 		revision = result.Revision
 	}
-	if revision == 0 && newer == 0 {
-		return 0, 0, fmt.Errorf("nobody won: %+v", results)
+	if revision == 0 && current == 0 {
+		return 0, 0, fmt.Errorf("no operator won: %+v", results)
 	}
-	return revision, newer, nil
+	return revision, current, nil
 }
 
-// awaitRevision waits until all nodes have a revision in force, and fails if one ever shows a
-// lower revision than it showed before.
+// awaitRevision waits until a revision, or a later one, is in force on all nodes. It fails if a node reverts to a lower
+// revision.
 func (f *fleet) awaitRevision(revision uint64) error {
 	var reverted error
-	seen := map[string]uint64{}
+	lastSeen := map[string]uint64{}
 	err := waitFor(func() bool {
-		all := true
+		reached := true
 		for _, p := range f.nodes() {
 			s, err := f.status(p)
 			if err != nil {
-				all = false
+				reached = false
 				continue
 			}
-			if s.Revision < seen[p.name] {
-				reverted = fmt.Errorf("%s went back from revision %d to %d", p.name, seen[p.name], s.Revision)
+			if s.Revision < lastSeen[p.name] {
+				reverted = fmt.Errorf("%s reverted from revision %d to %d", p.name, lastSeen[p.name], s.Revision)
 				return true
 			}
-			seen[p.name] = s.Revision
-			all = all && s.Revision >= revision
+			lastSeen[p.name] = s.Revision
+			reached = reached && s.Revision >= revision
 		}
-		return all
+		return reached
 	})
 	if reverted != nil {
 		return reverted
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -10,60 +10,61 @@
 )
 
 const (
-	// evacuateWithin is by when nothing more may be sent to an evacuated failure domain, beside slack.
-	evacuateWithin = time.Second
-	// emptied is the failure domain that is evacuated: its endpoints are started for that.
-	emptied = "domain-emptied"
-	// coldRate is how many requests a second an engine bears while it is cold, and coldFor how long one is: longer than
-	// news of it may take.
-	coldRate = int(standin.ColdRate)
-	coldFor  = slack + 4*time.Second
+	// evacuationDelay is the time, plus slack, after which nothing may be sent to an evacuated failure domain.
+	evacuationDelay = time.Second
+	// evacuatedDomain is the failure domain that is evacuated. Its endpoints are started for that purpose.
+	evacuatedDomain = "domain-emptied"
+	// maxColdRate is the number of requests per second that a cold engine can take. coldDuration is how long an engine is
+	// cold: longer than the nodes may take to learn of it.
+	maxColdRate  = int(standin.ColdRate)
+	coldDuration = slack + 4*time.Second
 )
 
-// evacuation starts an endpoint of each pool in another failure domain, evacuates it for longer than that may take to
-// be in force, at times twice in quick succession, and takes it back.
-func evacuation(c *cluster, random *rand.Rand, last time.Duration) {
-	if !c.emptying.TryLock() {
+// evacuate starts an endpoint of each pool in a separate failure domain, evacuates the domain for longer than the
+// evacuation may take to apply, sometimes twice in quick succession, and takes it back.
+func evacuate(c *cluster, random *rand.Rand, duration time.Duration) {
+	if !c.evacuationMu.TryLock() {
 		return
 	}
-	defer c.emptying.Unlock()
+	defer c.evacuationMu.Unlock()
 	for _, pool := range []string{"plain", "engines", "workers"} {
 		c.mu.Lock()
-		c.extra++
-		name := fmt.Sprintf("%s-%d", pool, c.extra+100)
+		c.sequence++
+		name := fmt.Sprintf("%s-%d", pool, c.sequence+100)
 		c.mu.Unlock()
-		if err := c.newServerIn(emptied, name, pool); err != nil {
-			c.breach("an endpoint can't be started: %v", err)
+		if err := c.startEndpointIn(evacuatedDomain, name, pool); err != nil {
+			c.reportViolation("start endpoint to evacuate: %v", err)
 			return
 		}
 	}
-	time.Sleep(last / 2)
+	time.Sleep(duration / 2)
 	if random.IntN(2) == 0 {
-		c.store.Evacuate(emptied)
-		time.Sleep(last / 4)
-		c.store.Restore(emptied)
+		c.store.Evacuate(evacuatedDomain)
+		time.Sleep(duration / 4)
+		c.store.Restore(evacuatedDomain)
 	}
-	c.store.Evacuate(emptied)
+	c.store.Evacuate(evacuatedDomain)
 	from := time.Now()
-	time.Sleep(evacuateWithin + slack + last)
+	time.Sleep(evacuationDelay + slack + duration)
 	c.mu.Lock()
-	c.evacuated[emptied] = append(c.evacuated[emptied], period{from: from, to: time.Now()})
+	c.evacuations[evacuatedDomain] = append(c.evacuations[evacuatedDomain], period{from: from, to: time.Now()})
 	c.mu.Unlock()
-	c.store.Restore(emptied)
-	time.Sleep(last / 2)
+	c.store.Restore(evacuatedDomain)
+	time.Sleep(duration / 2)
 }
 
-// checkEvacuated checks that nothing reached an endpoint whose failure domain had long been evacuated.
-func (c *cluster) checkEvacuated(request string, at time.Time, e *server) {
-	for _, p := range c.evacuated[e.domain] {
-		if at.After(p.from.Add(evacuateWithin+slack)) && at.Before(p.to) {
-			c.breach("%s reached %s, whose domain was evacuated %v before", request, e.Name, at.Sub(p.from))
+// checkEvacuated checks that a request or piece did not reach an endpoint after the evacuation of its failure domain
+// had to apply.
+func (c *cluster) checkEvacuated(id string, at time.Time, e *endpoint) {
+	for _, p := range c.evacuations[e.domain] {
+		if at.After(p.from.Add(evacuationDelay+slack)) && at.Before(p.to) {
+			c.reportViolation("%s reached %s, whose failure domain was evacuated %v before", id, e.Name, at.Sub(p.from))
 		}
 	}
 }
 
-// checkPieces checks where calls for pieces went.
-func (c *cluster) checkPieces() {
+// checkPieceCalls checks that no call for pieces reached an evacuated failure domain.
+func (c *cluster) checkPieceCalls() {
 	for _, e := range c.endpoints {
 		for _, batch := range e.Batches() {
 			for _, item := range batch {
@@ -73,39 +74,40 @@
 	}
 }
 
-// coldEndpoint has an engine say that it is cold.
-func coldEndpoint(c *cluster, random *rand.Rand, _ time.Duration) {
-	s := c.anyServer(random)
-	if s.pool != "engines" {
+// makeEngineCold makes an engine report that it is cold, if the endpoint that is chosen is an engine.
+func makeEngineCold(c *cluster, random *rand.Rand, _ time.Duration) {
+	e := c.randomEndpoint(random)
+	if e.pool != "engines" {
 		return
 	}
 	c.mu.Lock()
-	if !s.unlistedAt.IsZero() || !s.cold.to.IsZero() {
+	if !e.unlistedAt.IsZero() || !e.coldPeriod.to.IsZero() {
 		c.mu.Unlock()
 		return
 	}
-	s.cold = period{from: time.Now(), to: time.Now().Add(coldFor)}
+	e.coldPeriod = period{from: time.Now(), to: time.Now().Add(coldDuration)}
 	c.mu.Unlock()
-	c.list(s, false)
-	time.Sleep(coldFor)
+	c.writeEntry(e, false)
+	time.Sleep(coldDuration)
 }
 
-// checkCold checks that no second brought an endpoint more than it bears, once all could know that it was cold.
+// checkCold checks that no cold endpoint received more than maxColdRate requests within a second once all nodes had to
+// know that it was cold.
 func (c *cluster) checkCold() {
 	for _, e := range c.endpoints {
-		if e.cold.to.IsZero() {
+		if e.coldPeriod.to.IsZero() {
 			continue
 		}
-		var at []time.Time
+		var times []time.Time
 		for _, run := range e.Runs() {
-			if run.StartedAt.After(e.cold.from.Add(slack)) && run.StartedAt.Before(e.cold.to) {
-				at = append(at, run.StartedAt)
+			if run.StartedAt.After(e.coldPeriod.from.Add(slack)) && run.StartedAt.Before(e.coldPeriod.to) {
+				times = append(times, run.StartedAt)
 			}
 		}
-		slices.SortFunc(at, time.Time.Compare)
-		for i := range at {
-			if i >= coldRate && at[i].Sub(at[i-coldRate]) < time.Second {
-				c.breach("%s got more than %d requests in a second while it was cold", e.Name, coldRate)
+		slices.SortFunc(times, time.Time.Compare)
+		for i := range times {
+			if i >= maxColdRate && times[i].Sub(times[i-maxColdRate]) < time.Second {
+				c.reportViolation("%s received more than %d requests within a second while it was cold", e.Name, maxColdRate)
 				break
 			}
 		}
