--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -265,12 +265,12 @@
 }
 
 // recordFailure records a failed call. blamed is true if it counts as a failure of the endpoint.
-func (p *pool) recordFailure(now time.Time, e *endpointState, blamed bool) {
+func (p *pool) recordFailure(now time.Time, e *endpointState, isFault bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
 	e.candidate.Health.Probing = false
-	if !blamed {
+	if !isFault {
 		return
 	}
 	e.faults++
--- a/endpoint/exchanger.go
+++ b/endpoint/exchanger.go
@@ -93,8 +93,8 @@
 		if c == nil {
 			break
 		}
-		age := now.Sub(c.idleSince)
-		if age < c.idleTimeout && age <= e.MaxConnIdleTime && c.usable() {
+		idleTime := now.Sub(c.idleSince)
+		if idleTime < c.idleTimeout && idleTime <= e.MaxConnIdleTime && c.usable() {
 			return c, nil
 		}
 		c.close()
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -41,7 +41,7 @@
 		// localityWait is how long the pieces wait for an endpoint in domain.
 		localityWait time.Duration
 		rank         int
-		askedAt      time.Time
+		firstSentAt  time.Time
 		due          time.Time
 		until        time.Time
 		// excluded names the nodes that did not answer, are leaving, or named another batcher.
@@ -79,12 +79,12 @@
 		if err == nil && !result.leaving && !result.moved {
 			b.setCurrentBatcher(node)
 			b.recordReport(result.report)
-			done := result.stageResult(req)
-			done.time.Batcher = node
-			if done.refusal == nil {
-				r.metrics.ObserveWaitError(req.pool, done.time.Estimate, done.time.Waited)
+			stage := result.stageResult(req)
+			stage.timing.Batcher = node
+			if stage.refusal == nil {
+				r.metrics.ObserveWaitError(req.pool, stage.timing.Estimate, stage.timing.Waited)
 			}
-			return done
+			return stage
 		}
 		if err != nil || result.leaving || result.movedTo != "" {
 			req.excluded = append(req.excluded, node)
@@ -134,21 +134,21 @@
 	if result.refused {
 		return stageResult{refusal: model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(result.retryAfter), "pool "+pool+" has no time for the pieces")}
 	}
-	done := stageResult{results: result.outcome.Made}
-	done.inputsFreed = result.outcome.InputsFreed
-	done.time.Waited = result.outcome.Waited
-	done.time.Estimate = result.report.wait
+	stage := stageResult{results: result.outcome.Made}
+	stage.inputsFreed = result.outcome.InputsFreed
+	stage.timing.Waited = result.outcome.Waited
+	stage.timing.Estimate = result.report.wait
 	fault := result.outcome.Fault
-	if fault == "" && len(done.results) != len(req.pieces) {
+	if fault == "" && len(stage.results) != len(req.pieces) {
 		// An incomplete set of results must not be used as an input.
 		fault = model.PieceFailed
 	}
 	if fault != "" {
-		done.time.Fault = fault
-		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusalRetryAfter)),
+		stage.timing.Fault = fault
+		stage.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusalRetryAfter)),
 			fmt.Sprintf("pool %s: pieces not made: %s", pool, fault))
 	}
-	return done
+	return stage
 }
 
 // estimateWaits returns the estimates for the pieces of several stages, by stage. It asks batchers without a
@@ -164,13 +164,13 @@
 		if b == nil {
 			continue
 		}
-		if last, fresh := b.recentReport(); fresh && (!last.queued() || !r.options.Policy.Uses(kernel.WaitPerRequest)) {
-			out[i].Wait, out[i].RoomTaken = last.wait, last.roomTaken
+		if report, fresh := b.recentReport(); fresh && (!report.queued() || !r.options.Policy.Uses(kernel.WaitPerRequest)) {
+			out[i].Wait, out[i].RoomTaken = report.wait, report.roomTaken
 			continue
 		}
 		reports.Go(func() {
-			last := r.requestQueueReport(ctx, b, req)
-			out[i].Wait, out[i].RoomTaken = last.wait, last.roomTaken
+			report := r.requestQueueReport(ctx, b, req)
+			out[i].Wait, out[i].RoomTaken = report.wait, report.roomTaken
 		})
 	}
 	reports.Wait()
@@ -190,9 +190,9 @@
 		r.metrics.CountEvent("QueueReportUnknown")
 		return queueReport{}
 	}
-	last := queueReport{wait: reply.Wait, roomTaken: reply.RoomTaken}
-	b.recordReport(last)
-	return last
+	report := queueReport{wait: reply.Wait, roomTaken: reply.RoomTaken}
+	b.recordReport(report)
+	return report
 }
 
 func (r *Relay) recordBatcherFailure(node string, req batchRequest, err error) {
@@ -212,7 +212,7 @@
 		Domain:       req.domain,
 		LocalityWait: req.localityWait,
 		Rank:         req.rank,
-		FirstSentAt:  req.askedAt,
+		FirstSentAt:  req.firstSentAt,
 		Due:          req.due,
 		Until:        req.until,
 	}
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// pumpInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
+	// startCallsInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
 	// a piece waits for an endpoint in its failure domain.
-	pumpInterval = 30 * time.Millisecond
+	startCallsInterval = 30 * time.Millisecond
 	// A call for pieces times out after callTimeoutFactor times its expected duration plus callGrace; its pieces
 	// are then requested from another endpoint.
 	callTimeoutFactor = 2.5
@@ -128,8 +128,8 @@
 // runGroup adds a group of this or another node to the queue and waits for its outcome. If another node
 // batches for the pool, it returns the name of that node instead.
 func (b *batcher) runGroup(ctx context.Context, group kernel.PieceGroup, excluded []string) batchResult {
-	if elsewhere := b.placeGroup(ctx, excluded); elsewhere != "" {
-		return batchResult{moved: true, movedTo: elsewhere}
+	if movedTo := b.placeGroup(ctx, excluded); movedTo != "" {
+		return batchResult{moved: true, movedTo: movedTo}
 	}
 	now := b.relay.now()
 	if kernel.AnyStale(group.Inputs, b.relay.Registry().Superseded) {
@@ -190,7 +190,7 @@
 		time.AfterFunc(batch.FetchTime(), b.freeFetchedInputs)
 	}
 	if pieces, _ := b.queue.Pending(); pieces > 0 {
-		b.timer.Reset(min(pumpInterval, max(time.Millisecond, b.queue.Spacing()/2)))
+		b.timer.Reset(min(startCallsInterval, max(time.Millisecond, b.queue.Spacing()/2)))
 	}
 }
 
@@ -206,8 +206,8 @@
 	timeout := time.Duration(callTimeoutFactor*float64(expected)) + callGrace
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
-	ctx, over := r.trackCall(ctx, batch.Endpoint, batch.Digests()...)
-	defer over()
+	ctx, endCall := r.trackCall(ctx, batch.Endpoint, batch.Digests()...)
+	defer endCall()
 	overdue := time.AfterFunc(overdueAfter, func() { b.handleOverdue(batch) })
 	defer overdue.Stop()
 	reply, err := r.runPieces(ctx, batch.Endpoint, batch.Pieces)
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -63,7 +63,7 @@
 
 // applyPool creates or updates the batcher of a queue. Its calls may use only a part, from 0 to 1, of the bound of
 // cold endpoints.
-func (s *batcherSet) applyPool(name, region string, pool model.Pool, part float64) {
+func (s *batcherSet) applyPool(name, region string, pool model.Pool, share float64) {
 	b := s.byQueue[name]
 	if b == nil {
 		b = &batcher{
@@ -78,7 +78,7 @@
 	defer b.mu.Unlock()
 	b.traits = *pool.Pieces
 	b.queue.SetTraits(*pool.Pieces)
-	b.queue.SetColdShare(s.relay.options.ColdLimits.FractionalShare(part, pool.ColdRate).ForSingleSender())
+	b.queue.SetColdShare(s.relay.options.ColdLimits.FractionalShare(share, pool.ColdRate).ForSingleSender())
 }
 
 func (s *batcherSet) setEndpoints(registry kernel.Registry) {
--- a/relay/incarnations.go
+++ b/relay/incarnations.go
@@ -55,9 +55,9 @@
 func (t *callTracker) cancelCalls(incarnation string) (calls int, digests []model.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for cancel, of := range t.calls[incarnation] {
+	for cancel, callDigests := range t.calls[incarnation] {
 		(*cancel)(errEndpointRestarted)
-		digests = append(digests, of...)
+		digests = append(digests, callDigests...)
 	}
 	return len(t.calls[incarnation]), digests
 }
@@ -88,8 +88,8 @@
 // which may have crashed it. Endpoints that are leaving or no longer listed are not reported: they have announced
 // that they close their connections.
 func (r *Relay) recordDisconnect(e model.Endpoint, digests ...model.Digest) {
-	now, listed := r.Registry().Find(e.Name)
-	if !listed || now.State == model.Leaving {
+	current, listed := r.Registry().Find(e.Name)
+	if !listed || current.State == model.Leaving {
 		return
 	}
 	r.quarantine.RecordDisconnect(e, digests...)
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -37,7 +37,7 @@
 		load   model.Load
 		loadAt time.Time
 		health kernel.Health
-		gate   sendState
+		sends  sendState
 	}
 
 	// choice is an endpoint chosen for one attempt, which already counts as in flight.
@@ -70,11 +70,11 @@
 
 // candidates returns the listed endpoints that this node may send to now, with their state. It also drops the states of
 // endpoints that are no longer listed.
-func (p *pool) candidates(now time.Time, listed []model.Endpoint, gate sendLimits) []kernel.Candidate {
+func (p *pool) candidates(now time.Time, listed []model.Endpoint, limits sendLimits) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(listed))
 	for _, e := range listed {
 		s := p.state(e.Incarnation())
-		if admitted, _ := gate.admits(now, e, s); !admitted {
+		if admitted, _ := limits.admits(now, e, s); !admitted {
 			continue
 		}
 		out = append(out, kernel.Candidate{Endpoint: e, InFlight: s.inFlight, Load: s.load, LoadAt: s.loadAt, Health: s.health})
@@ -90,22 +90,22 @@
 }
 
 // pick chooses one of the listed endpoints for a unary request and reserves it.
-func (p *pool) pick(now time.Time, listed []model.Endpoint, gate sendLimits, domain string, excluded []string) (choice, bool) {
+func (p *pool) pick(now time.Time, listed []model.Endpoint, limits sendLimits, domain string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
+	usable := kernel.Usable(now, p.candidates(now, listed, limits), excluded)
 	i := kernel.PickTwoChoices(now, usable, domain, rand.Float64(), rand.Float64())
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.reserve(now, gate, usable[i], 0), true
+	return p.reserve(now, limits, usable[i], 0), true
 }
 
 // pickEngine chooses one of the listed engines for a prompt and reserves it.
-func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, gate sendLimits, prompt model.Prompt, key string, excluded []string) (choice, bool) {
+func (p *pool) pickEngine(now time.Time, listed []model.Endpoint, limits sendLimits, prompt model.Prompt, key string, excluded []string) (choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usable := kernel.Usable(now, p.candidates(now, listed, gate), excluded)
+	usable := kernel.Usable(now, p.candidates(now, listed, limits), excluded)
 	engines := make([]kernel.EngineCandidate, 0, len(usable))
 	for _, c := range usable {
 		engines = append(engines, kernel.EngineCandidate{Candidate: c, PendingPrefillTokens: p.state(c.Endpoint.Incarnation()).pendingPrefillTokens})
@@ -114,16 +114,16 @@
 	if i < 0 {
 		return choice{}, false
 	}
-	return p.reserve(now, gate, usable[i], prompt.TokensIn), true
+	return p.reserve(now, limits, usable[i], prompt.TokensIn), true
 }
 
 // reserve counts a request, and the prompt tokens that its engine has to read, as in flight at an endpoint. If the
 // endpoint is ejected, the request is its probe.
-func (p *pool) reserve(now time.Time, gate sendLimits, c kernel.Candidate, prefillTokens int) choice {
+func (p *pool) reserve(now time.Time, limits sendLimits, c kernel.Candidate, prefillTokens int) choice {
 	s := p.state(c.Endpoint.Incarnation())
-	_, needsPermit := gate.admits(now, c.Endpoint, s)
+	_, needsPermit := limits.admits(now, c.Endpoint, s)
 	if !needsPermit {
-		s.gate.sentAt = now
+		s.sends.lastSentAt = now
 	}
 	s.inFlight++
 	s.pendingPrefillTokens += prefillTokens
@@ -137,7 +137,7 @@
 func (p *pool) recordPermittedSend(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).gate.sentAt = now
+	p.state(incarnation).sends.lastSentAt = now
 }
 
 // grantPermit calls decide for whether another node may send to an endpoint in place of this node. A granted permit
@@ -146,9 +146,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
-	granted, wait = decide(now, incarnation, s.gate.sentAt)
+	granted, wait = decide(now, incarnation, s.sends.lastSentAt)
 	if granted {
-		s.gate.sentAt = now
+		s.sends.lastSentAt = now
 	}
 	return granted, wait
 }
@@ -159,17 +159,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.states[incarnation]; s != nil {
-		return s.gate.sentAt
+		return s.sends.lastSentAt
 	}
 	return time.Time{}
 }
 
 // recordFirstEvent records that an engine has sent the first event of a stream, and so has read the prompt.
-func (p *pool) recordFirstEvent(incarnation string, tokens int, took time.Duration) {
+func (p *pool) recordFirstEvent(incarnation string, tokens int, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state(incarnation).pendingPrefillTokens -= tokens
-	p.firstEventTimes.Observe(took)
+	p.firstEventTimes.Observe(elapsed)
 }
 
 // dropPendingPrefill records that an engine will not read a prompt.
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -25,16 +25,16 @@
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
-		Part:          r.capPart,
+		Part:          r.rateCapShare,
 		Publish:       r.deps.PublishRateCap,
 		RequestPermit: r.requestCapPermit,
 		Changed:       r.batchers.updateRateCaps,
 	}, r.now, r.metrics, r.log)
 }
 
-// capPart returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
+// rateCapShare returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
 // size.
-func (r *Relay) capPart(incarnation string) float64 {
+func (r *Relay) rateCapShare(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
 	return r.View().Table.CapacityShare(e.Pool)
 }
@@ -107,14 +107,14 @@
 
 // chooseEndpoint chooses an endpoint for one attempt by pick. If this node may send to the endpoint only with another
 // node's permit, it requests one; if the permit is denied, it calls release for the endpoint and chooses another.
-func (j *job) chooseEndpoint(ctx context.Context, p *pool, pick func(now time.Time, g sendLimits) (choice, bool), release func(model.Endpoint)) (model.Endpoint, bool) {
+func (j *job) chooseEndpoint(ctx context.Context, p *pool, pick func(now time.Time, limits sendLimits) (choice, bool), release func(model.Endpoint)) (model.Endpoint, bool) {
 	r := j.relay
 	j.permitUntil = time.Time{}
-	g := r.sendLimits(p.name)
+	limits := r.sendLimits(p.name)
 	for requested := 0; ; requested++ {
-		g.allowPermits = requested < maxPermitRequests
+		limits.allowPermits = requested < maxPermitRequests
 		now := r.now()
-		c, ok := pick(now, g)
+		c, ok := pick(now, limits)
 		if !ok || !c.needsPermit {
 			return c.endpoint, ok
 		}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -99,13 +99,13 @@
 	b.setRoutes(time.Minute, route)
 }
 
-func (b *testBed) setRoutes(objective time.Duration, more ...model.Route) {
+func (b *testBed) setRoutes(objective time.Duration, extra ...model.Route) {
 	b.routingVersion++
 	now := time.Now()
 	stages := []model.StageNode{{Pool: "workers", ResultBytes: 1000}}
 	b.relay.SetRouting(now, kernel.NewRouteTable(model.Routing{
 		Version: b.routingVersion,
-		Routes: append(more, []model.Route{
+		Routes: append(extra, []model.Route{
 			{Name: "get", Host: "h", Prefix: "/get/", Kind: model.Safe, Timeout: time.Minute, Objective: objective, MaxAttempts: 2, Split: []model.WeightedPool{{Pool: "plain"}}},
 			{Name: "gen", Host: "h", Prefix: "/gen/", Kind: model.Stream, Timeout: time.Minute, Objective: objective, MaxAttempts: 1, Split: []model.WeightedPool{{Pool: "engines"}}, Stages: stages},
 		}...),
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -39,7 +39,7 @@
 		// inputsFreed is true if the batcher has freed the inputs of the stage.
 		inputsFreed bool
 		refusal     *model.Refusal
-		time        StageTiming
+		timing      StageTiming
 	}
 )
 
@@ -57,7 +57,7 @@
 	for running > 0 {
 		result := <-finished
 		running--
-		j.stageTimes = append(j.stageTimes, result.time)
+		j.stageTimings = append(j.stageTimings, result.timing)
 		run.holdResults(result.stage, result.results)
 		if result.inputsFreed {
 			run.forgetInputs(result.stage)
@@ -95,7 +95,7 @@
 	groups := map[int]batchRequest{}
 	for i := range run.stages {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			groups[i] = j.newPieceGroup(run, i)
+			groups[i] = j.newBatchRequest(run, i)
 		}
 	}
 	estimates := r.estimateWaits(ctx, run.stages, groups)
@@ -143,12 +143,12 @@
 			continue
 		}
 		running++
-		group := j.newPieceGroup(run, i)
+		req := j.newBatchRequest(run, i)
 		go func() {
 			defer j.relay.recoverPanic(func() {
 				finished <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
 			})
-			finished <- j.runStage(ctx, i, group)
+			finished <- j.runStage(ctx, i, req)
 		}()
 	}
 	return running
@@ -185,14 +185,14 @@
 	return true
 }
 
-// newPieceGroup returns the pieces of a stage.
-func (j *job) newPieceGroup(run *stageRun, stage int) batchRequest {
+// newBatchRequest returns the pieces of a stage.
+func (j *job) newBatchRequest(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
-	g := batchRequest{
+	req := batchRequest{
 		pool:        run.queueName(stage),
 		domain:      run.prefixDomain,
 		resultBytes: node.ResultBytes,
-		askedAt:     j.relay.now(),
+		firstSentAt: j.relay.now(),
 		due:         run.plan.Due[stage],
 		until:       run.plan.Until[stage],
 		rank:        j.admission.Rank,
@@ -208,10 +208,10 @@
 		inputBytes += int64(len(run.results[before])) * j.admission.Route.Stages[before].ResultBytes
 	}
 	piece.Inputs = resultHandles(inputs)
-	g.inputs = inputs
-	g.freeInputs = run.isSoleConsumer(stage) && j.inputRoomScarce(run, stage)
+	req.inputs = inputs
+	req.freeInputs = run.isSoleConsumer(stage) && j.inputRoomScarce(run, stage)
 	if domain := kernel.MostCommonDomain(inputs); domain != "" {
-		g.domain = domain
+		req.domain = domain
 	}
 	pieces := kernel.PieceCount(j.forward, stage)
 	// Each piece fetches all inputs. Without inputs, only the results are transferred, later.
@@ -220,21 +220,21 @@
 		transferBytes = node.ResultBytes * int64(pieces)
 	}
 	fullCall := j.relay.batchers.lastEstimate(run.queueName(stage)).FullCall()
-	g.localityWait = kernel.LocalityWait(transferBytes, fullCall, g.due.Sub(j.relay.now())-fullCall)
+	req.localityWait = kernel.LocalityWait(transferBytes, fullCall, req.due.Sub(j.relay.now())-fullCall)
 	for n := range pieces {
 		piece.Number = n
-		g.pieces = append(g.pieces, piece)
+		req.pieces = append(req.pieces, piece)
 	}
-	return g
+	return req
 }
 
 // runStage has the pieces of a stage made and waits for their results.
-func (j *job) runStage(ctx context.Context, stage int, group batchRequest) stageResult {
+func (j *job) runStage(ctx context.Context, stage int, req batchRequest) stageResult {
 	startedAt := j.relay.now()
-	result := j.relay.runGroup(ctx, group)
+	result := j.relay.runGroup(ctx, req)
 	result.stage = stage
-	result.time.Stage = stage
-	result.time.Pool = group.pool
-	result.time.Elapsed = j.relay.now().Sub(startedAt)
+	result.timing.Stage = stage
+	result.timing.Pool = req.pool
+	result.timing.Elapsed = j.relay.now().Sub(startedAt)
 	return result
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -109,8 +109,8 @@
 func (j *job) attemptStream(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamResult, bool) {
 	r := j.relay
 	tokens := j.forward.Prompt.TokensIn
-	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
-		return p.pickEngine(now, j.allowedEndpoints(), g, j.forward.Prompt, j.affinityKey(), j.excluded)
+	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, limits sendLimits) (choice, bool) {
+		return p.pickEngine(now, j.allowedEndpoints(), limits, j.forward.Prompt, j.affinityKey(), j.excluded)
 	}, func(e model.Endpoint) {
 		p.dropPendingPrefill(e.Incarnation(), tokens)
 		p.release(e.Incarnation())
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -29,7 +29,7 @@
 // placeGroup returns the other node that is to batch a group, or an empty name if this one is. Two nodes that
 // batch for one pool would assign the same room twice and call busy workers, so a node that does not batch
 // redirects groups to the one that does, and begins to batch only if there is none.
-func (b *batcher) placeGroup(ctx context.Context, excluded []string) (elsewhere string) {
+func (b *batcher) placeGroup(ctx context.Context, excluded []string) (movedTo string) {
 	b.claimMu.Lock()
 	defer b.claimMu.Unlock()
 	if b.recordGroup() {
@@ -86,7 +86,7 @@
 
 // claimPool asks the possible batchers to hand the pool over. It returns the node that continues to batch, or an
 // empty name if this one batches from now on.
-func (b *batcher) claimPool(ctx context.Context, excluded []string) (elsewhere string) {
+func (b *batcher) claimPool(ctx context.Context, excluded []string) (movedTo string) {
 	r := b.relay
 	b.mu.Lock()
 	b.queue.TakeOver(r.now())
@@ -194,9 +194,9 @@
 	return nodes
 }
 
-// answerTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
+// handleTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
 // node that batches.
-func (b *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
+func (b *batcher) handleTakeOver(m peer.TakeOver) peer.TakeOverReply {
 	r := b.relay
 	b.mu.Lock()
 	active := b.active && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
@@ -230,7 +230,7 @@
 	r.log.Info().Str("Pool", b.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
-func (r *Relay) answerTakeOver(_ context.Context, body []byte) (any, error) {
+func (r *Relay) handleTakeOver(_ context.Context, body []byte) (any, error) {
 	var m peer.TakeOver
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -239,5 +239,5 @@
 	if b == nil {
 		return peer.TakeOverReply{}, nil
 	}
-	return b.answerTakeOver(m), nil
+	return b.handleTakeOver(m), nil
 }
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -47,8 +47,8 @@
 		// permitUntil is when the other node's permit for the chosen endpoint expires; zero if no permit is needed.
 		permitUntil time.Time
 		// trial is true for a request that is held back and may run once.
-		trial      bool
-		stageTimes []StageTiming
+		trial        bool
+		stageTimings []StageTiming
 		// estimates are the estimates for the stages' pools at the arrival of the request.
 		estimates []StageEstimate
 	}
@@ -112,8 +112,8 @@
 // could be chosen.
 func (j *job) startAttempt(ctx context.Context, p *pool, results chan<- unaryResult) bool {
 	r := j.relay
-	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
-		return p.pick(now, j.allowedEndpoints(), g, r.options.Domain, j.excluded)
+	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, limits sendLimits) (choice, bool) {
+		return p.pick(now, j.allowedEndpoints(), limits, r.options.Domain, j.excluded)
 	}, func(e model.Endpoint) { p.release(e.Incarnation()) })
 	if !ok {
 		return false
@@ -128,8 +128,8 @@
 			res.err = errPanic
 			results <- res
 		})
-		ctx, end := r.trackCall(ctx, e, j.forward.Digest)
-		defer end()
+		ctx, endCall := r.trackCall(ctx, e, j.forward.Digest)
+		defer endCall()
 		res.reply, res.err = r.forward(ctx, send)
 		if res.err == nil {
 			res.body, res.err = readAnswer(res.reply)
