--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -264,7 +264,7 @@
 	e.candidate.Endpoint.ColdUntil = e.pacing.coldUntil
 }
 
-// recordFailure records a failed call. blamed is true if it counts as a failure of the endpoint.
+// recordFailure records a failed call. isFault is true if it counts as a failure of the endpoint.
 func (p *pool) recordFailure(now time.Time, e *endpointState, isFault bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -24,7 +24,7 @@
 	// maxInlineBody is the maximum size of a body, in bytes, that is written before the reply is read. A longer one is
 	// written concurrently, since an endpoint may answer before it has read the body.
 	maxInlineBody = 2 << 10
-	// maxWriteLag is how long after the reply the write of the request may end.
+	// maxWriteLag is how long after the reply the write of the request may end if the connection is to be reused.
 	maxWriteLag = 2 * time.Millisecond
 	// maxStrayReplies is how many replies to earlier requests are skipped before a connection is closed.
 	maxStrayReplies = 2
--- a/endpoint/exchanger.go
+++ b/endpoint/exchanger.go
@@ -30,7 +30,7 @@
 	// Exchanger keeps a pool of connections to endpoints, each of which carries one exchange at a time. It never
 	// resends a request. It is safe for concurrent use.
 	Exchanger struct {
-		// Now returns the time, from which the age of idle connections is computed.
+		// Now returns the time, from which it is computed how long connections have been idle.
 		Now func() time.Time
 		// OnConnect is called after each connection is opened.
 		OnConnect func()
@@ -40,8 +40,10 @@
 		idle   map[string][]*exchangeConn
 	}
 
+	// exchangeConn is a connection and its state.
 	exchangeConn struct {
-		conn    net.Conn
+		conn net.Conn
+		// raw accesses the socket of conn. Without it, nil, the connection is not reused.
 		raw     syscall.RawConn
 		limiter *headerLimiter
 		reader  *bufio.Reader
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// batchReplyGrace is how long after the end of a group's time its sender still waits for the batcher's reply.
+	// batchReplyGrace is how long after the deadline of a group its sender still waits for the batcher's reply.
 	batchReplyGrace = 200 * time.Millisecond
 	// queueReportTimeout bounds the request for a batcher's queue report. Without a reply in time, the pieces
 	// are assumed not to wait.
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -31,7 +31,7 @@
 	queueReport struct {
 		// wait is how long the pieces that the batcher was asked about would wait.
 		wait time.Duration
-		// roomTaken is the share of the pool's room that is taken, from 0 to 1.
+		// roomTaken is the share of the workers' memory for results that is taken, from 0 to 1.
 		roomTaken float64
 	}
 
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -13,7 +13,7 @@
 )
 
 // The failure domain of an endpoint may be evacuated after the endpoint was chosen for a request, while the connection
-// is being opened. The request goes to another endpoint, and the first one's health does not suffer.
+// is being opened. The request goes to another endpoint, and this does not count as a failure of the first one.
 func TestEvacuationBeforeSendMovesRequest(t *testing.T) {
 	b := newTestBed(t)
 	now := time.Now()
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -10,17 +10,18 @@
 
 type (
 	// sendLimits limits the requests that this node sends to the endpoints of a pool, so that all nodes together stay
-	// within the bounds of cold endpoints and within rate caps. All sends of requests are subject to it.
+	// within cold limits and rate caps. All sends of requests are subject to it.
 	sendLimits struct {
+		// self is the name of this node.
 		self string
 		// startedAt is when this node started; leaving is true if it is about to stop.
 		startedAt time.Time
 		leaving   bool
-		// cold is what each sender may send to a cold endpoint. The senders are chosen from the nodes that announced
-		// returns.
+		// cold is what each sender may send to a cold endpoint. The senders are chosen from the nodes that the function
+		// announced returns.
 		cold      kernel.ColdShare
 		announced func() []kernel.Peer
-		// caps limits what is sent to endpoints with rate caps.
+		// rateCaps limits what is sent to endpoints with rate caps.
 		rateCaps *ratecap.Limiter
 		// allowPermits is true if endpoints may be chosen that require a permit of another node.
 		allowPermits bool
--- a/relay/held.go
+++ b/relay/held.go
@@ -30,8 +30,8 @@
 }
 
 // handleFirstEvent frees the engine's inputs at the first event of its stream, if the stream cannot be resumed at
-// another engine or if room is scarce. Held for the length of the stream, they would take several times the room. In
-// return, a stream that breaks off cannot be resumed; a new request of its caller is served as soon.
+// another engine or if room is scarce. Held for the length of the stream, they would take several times the room. The
+// cost is that a stream that breaks off cannot be resumed: its caller has to retry, which takes no longer.
 func (j *job) handleFirstEvent(run *stageRun) {
 	early := j.relay.options.Policy.Uses(kernel.FreeInputsAtFirstEvent) && slices.ContainsFunc(run.plan.FinalStages, run.roomScarce)
 	if j.admission.Route.Resumable && !early {
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// applyPool creates or updates the batcher of a queue. Its calls may use only a part, from 0 to 1, of the bound of
-// cold endpoints.
+// applyPool creates or updates the batcher of a queue. share, from 0 to 1, is the share of the cold limits that its
+// calls may use.
 func (s *batcherSet) applyPool(name, region string, pool model.Pool, share float64) {
 	b := s.byQueue[name]
 	if b == nil {
--- a/relay/log.go
+++ b/relay/log.go
@@ -69,12 +69,12 @@
 	}
 }
 
-// stageTimingArray marshals the times of a request's stages.
+// stageTimingArray marshals the timings of a request's stages.
 type stageTimingArray []StageTiming
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (times stageTimingArray) MarshalZerologArray(a *zerolog.Array) {
-	for _, t := range times {
+func (timings stageTimingArray) MarshalZerologArray(a *zerolog.Array) {
+	for _, t := range timings {
 		a.Dict(zerolog.Dict().Int("Stage", t.Stage).Str("Pool", t.Pool).Str("Batcher", t.Batcher).
 			Dur("Elapsed", t.Elapsed).Dur("Waited", t.Waited).Dur("Estimate", t.Estimate).Str("Fault", string(t.Fault)))
 	}
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -14,7 +14,8 @@
 	// defaultFirstEventTime is the assumed time to a stream's first event while too few have been measured. It is that
 	// of a long prompt that the engine reads together with others.
 	defaultFirstEventTime = 300 * time.Millisecond
-	firstEventQuantile    = 0.7
+	// firstEventQuantile is the quantile of the measured times that is used as the estimate.
+	firstEventQuantile = 0.7
 )
 
 type (
@@ -23,12 +24,13 @@
 		name   string
 		mu     sync.Mutex
 		budget *kernel.FleetRetryBudget
-		// states is by incarnation of the endpoint.
+		// states holds the states of endpoints by their incarnations.
 		states map[string]*endpointState
 		// firstEventTimes are the times from an attempt to its stream's first event.
 		firstEventTimes kernel.Quantiles
 	}
 
+	// endpointState is what this node knows about one incarnation of an endpoint.
 	endpointState struct {
 		inFlight int
 		// pendingPrefillTokens is the number of prompt tokens of this node's requests that have no first event yet.
--- a/relay/probe.go
+++ b/relay/probe.go
@@ -16,9 +16,9 @@
 	// quickProbeTimeout bounds the probes of possible successors of a lost batcher: many round trips between
 	// hosts.
 	quickProbeTimeout = 100 * time.Millisecond
-	// maxParallelProbes is how many nodes are probed at the same time. If three of five nodes are lost at once,
-	// one of those probed answers nine times in ten. Probed one after the other, a request would wait for the
-	// time-out of each lost node.
+	// maxParallelProbes is how many nodes are probed at the same time. If three fifths of all nodes are lost at once,
+	// at least one of those probed answers in nine of ten cases. If nodes were probed one after the other, a request
+	// would wait for the time-out of each lost node.
 	maxParallelProbes = 5
 )
 
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -32,8 +32,8 @@
 	}, r.now, r.metrics, r.log)
 }
 
-// rateCapShare returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
-// size.
+// rateCapShare returns the share of an endpoint's rate cap, from 0 to 1, that requests may use; pieces may use a share
+// of the same size.
 func (r *Relay) rateCapShare(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
 	return r.View().Table.CapacityShare(e.Pool)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,11 @@
-// Package relay runs callers' requests: it has the pieces of their stages made, sends each request to an
-// endpoint and streams the answer back. It does the I/O for the decisions of package kernel; the
-// functions in Dependencies implement the wire formats.
+// Package relay runs callers' requests: it runs the stages of each request, sends the request to an endpoint and
+// streams the answer back. It does the I/O for the decisions of package kernel; the functions in Dependencies
+// implement the wire formats.
+//
+// The work of a stage is split into pieces, each of which a worker, an endpoint of the stage's pool, makes into a
+// result. For each pool one node is the batcher: all nodes send it their pieces, those of one stage of one request
+// as a group, and it batches the pieces of several groups into calls to the workers. A worker holds a result until
+// the result is freed or expires.
 package relay
 
 import (
@@ -60,7 +65,7 @@
 		remoteGroups *remoteGroups
 		// activeCalls holds the calls in flight, which are cancelled when their endpoint restarts.
 		activeCalls *callTracker
-		// refusedRequests holds the refused requests of the pools that this node coordinates.
+		// refusedRequests holds the refused requests of the pools for which this node is the refusedRequestsCoordinator.
 		refusedRequests *refusedRequests
 		// quarantine holds back requests that crash the endpoints that run them.
 		quarantine *quarantine.Coordinator
@@ -147,7 +152,7 @@
 	r.stopsAt.Store(&stopsAt)
 }
 
-// Leaving reports whether Leave was called: callers should open new connections to other nodes.
+// Leaving reports whether Leave was called. If so, callers should open new connections to other nodes.
 func (r *Relay) Leaving() bool {
 	return r.stopsAt.Load() != nil
 }
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -11,8 +11,8 @@
 )
 
 // refusedRequests is a kernel.RefusedRequests that is safe for concurrent use. For each pool of stages, one node holds
-// it: the pool's batcher, which all nodes talk to anyway. It is soft state: if the batcher is lost, callers that retry
-// count as new ones.
+// it: the first by hash, which usually is the pool's batcher, so that all nodes talk to it anyway. It is soft state: if
+// the node is lost, callers that retry count as new ones.
 type refusedRequests struct {
 	mu       sync.Mutex
 	requests *kernel.RefusedRequests
@@ -82,7 +82,7 @@
 	}()
 }
 
-// refusedRequestsCoordinator returns the node that keeps the refused requests of a route.
+// refusedRequestsCoordinator returns the node that keeps the refused requests of routes with the given stages.
 func (r *Relay) refusedRequestsCoordinator(stages []model.StageNode) string {
 	return kernel.NodesByHash(stages[0].Pool, r.Reachable())[0]
 }
--- a/relay/room.go
+++ b/relay/room.go
@@ -30,7 +30,7 @@
 		b.mu.Lock()
 		worker, ok := b.queue.Worker(name)
 		b.mu.Unlock()
-		// Other workers drop the results by themselves after a while, and so does the queue.
+		// Other workers drop the results after the pool's ResultTTL, and the queue then counts their room as free.
 		if ok && b.allowsExtraCalls(worker) {
 			go b.freeResultsAt(worker, made)
 		}
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(b.relay.ctx, freeTimeout)
 	defer cancel()
 	if err := b.relay.deps.FreeResults(ctx, worker, resultHandles(made)); err != nil {
-		// The worker drops them by itself after a while, and so does the queue.
+		// The worker drops them after the pool's ResultTTL, and the queue then counts their room as free.
 		b.relay.metrics.CountEvent("FreeFailed")
 		return
 	}
--- a/relay/room_test.go
+++ b/relay/room_test.go
@@ -11,7 +11,7 @@
 )
 
 // A cold worker gets only calls for pieces. It is not asked to free results or for its free room, because such calls
-// may count towards the few that it accepts. Guards against calls to cold workers that bypass their bound.
+// may count towards the few that it accepts. Guards against calls to cold workers that bypass the cold limits.
 func TestColdWorkerGetsOnlyPieceCalls(t *testing.T) {
 	b := newTestBed(t)
 	b.relay.UpdateRegistry(func(before kernel.Registry) kernel.Registry {
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -185,7 +185,7 @@
 	return true
 }
 
-// newBatchRequest returns the pieces of a stage.
+// newBatchRequest returns the request for the pieces of a stage.
 func (j *job) newBatchRequest(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	req := batchRequest{
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -114,7 +114,8 @@
 	return ""
 }
 
-// takeOverRequest returns the message to the possible batchers of the pool.
+// takeOverRequest returns the message to the possible batchers of the pool. batches is true if this node already
+// batches.
 func (b *batcher) takeOverRequest(batches bool) peer.TakeOver {
 	r := b.relay
 	return peer.TakeOver{Pool: b.queueName, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -46,7 +46,7 @@
 		mayHaveRun bool
 		// permitUntil is when the other node's permit for the chosen endpoint expires; zero if no permit is needed.
 		permitUntil time.Time
-		// trial is true for a request that is held back and may run once.
+		// trial is true if the request is held back and was permitted to run once, on trial.
 		trial        bool
 		stageTimings []StageTiming
 		// estimates are the estimates for the stages' pools at the arrival of the request.
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -22,7 +22,7 @@
 		// MaxRoutingAge is the maximum age of the routing up to which API keys are trusted; 0 means that they are
 		// trusted regardless of its age.
 		MaxRoutingAge time.Duration
-		// RetryLimits bounds the repeated sends of all nodes together to each pool.
+		// RetryLimits bounds the retries of all nodes together for each pool.
 		RetryLimits kernel.FleetRetryLimits
 		// ColdLimits bounds what all nodes together send to cold endpoints.
 		ColdLimits kernel.ColdLimits
@@ -116,7 +116,7 @@
 		Pool string
 		// Wait is how long the pieces of the stage are expected to wait.
 		Wait time.Duration
-		// RoomTaken is the share of the pool's room that is taken, from 0 to 1.
+		// RoomTaken is the share of the workers' memory for results that is taken, from 0 to 1.
 		RoomTaken float64
 	}
 
