--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -82,14 +82,14 @@
 // returns the engines that lack the adapter, and false if all still lack it then.
 func (a *attempts) awaitAdapter(ctx context.Context) ([]string, bool) {
 	adapter := adapterName(a.job.Work.Stage)
-	latest := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
+	latestStart := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
 	for {
 		lacking, all := a.pool.enginesWithout(time.Now(), adapter)
 		if !all {
 			return lacking, true
 		}
 		a.reportAdapterDemand(true)
-		if !time.Now().Before(latest) || !clock.Sleep(ctx, adapterPollInterval) {
+		if !time.Now().Before(latestStart) || !clock.Sleep(ctx, adapterPollInterval) {
 			return nil, false
 		}
 	}
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -154,12 +154,12 @@
 // estimateWaits returns the estimates for the pieces of several stages, by stage. It asks batchers without a
 // recent queue report, and those whose queue is not empty: how long pieces wait in it depends on the size of
 // their results and on when they are due.
-func (r *Relay) estimateWaits(ctx context.Context, stages []model.StageNode, groups map[int]batchRequest) []kernel.PoolEstimate {
+func (r *Relay) estimateWaits(ctx context.Context, stages []model.StageNode, requests map[int]batchRequest) []kernel.PoolEstimate {
 	out := r.batchers.poolTraits(stages)
 	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
-	var reports sync.WaitGroup
-	for i, req := range groups {
+	var calls sync.WaitGroup
+	for i, req := range requests {
 		b := r.batchers.find(req.pool)
 		if b == nil {
 			continue
@@ -168,12 +168,12 @@
 			out[i].Wait, out[i].RoomTaken = report.wait, report.roomTaken
 			continue
 		}
-		reports.Go(func() {
+		calls.Go(func() {
 			report := r.requestQueueReport(ctx, b, req)
 			out[i].Wait, out[i].RoomTaken = report.wait, report.roomTaken
 		})
 	}
-	reports.Wait()
+	calls.Wait()
 	return out
 }
 
--- a/relay/resume.go
+++ b/relay/resume.go
@@ -7,12 +7,12 @@
 )
 
 // allowStreamRetry reports whether another engine may be tried, and counts the retry.
-func (j *job) allowStreamRetry(p *pool, state *streamState, stages *stageRun, result streamResult) bool {
+func (j *job) allowStreamRetry(p *pool, state *streamState, run *stageRun, result streamResult) bool {
 	var refusal *model.Refusal
 	if errors.As(result.err, &refusal) {
 		return false
 	}
-	if stages.inputsReleased || (result.reply != nil && result.reply.InputsGone) {
+	if run.inputsReleased || (result.reply != nil && result.reply.InputsGone) {
 		// The inputs are gone for any other engine as well.
 		return false
 	}
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -92,13 +92,13 @@
 	if len(run.plan.FinalStages) == 0 {
 		return run, nil
 	}
-	groups := map[int]batchRequest{}
+	requests := map[int]batchRequest{}
 	for i := range run.stages {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			groups[i] = j.newBatchRequest(run, i)
+			requests[i] = j.newBatchRequest(run, i)
 		}
 	}
-	estimates := r.estimateWaits(ctx, run.stages, groups)
+	estimates := r.estimateWaits(ctx, run.stages, requests)
 	for i, estimate := range estimates {
 		if kernel.PieceCount(j.forward, i) > 0 {
 			j.estimates = append(j.estimates, StageEstimate{Pool: run.stages[i].Pool, Wait: estimate.Wait, RoomTaken: estimate.RoomTaken})
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -51,8 +51,8 @@
 func (j *job) serveStream(ctx context.Context) Outcome {
 	p := j.relay.pool(j.admission.Pool)
 	p.recordRequest(j.relay.now())
-	stages, refusal := j.runStages(ctx, p)
-	defer stages.releaseAll()
+	run, refusal := j.runStages(ctx, p)
+	defer run.releaseAll()
 	if refusal != nil {
 		if ctx.Err() != nil {
 			return j.refuseContextDone(ctx)
@@ -61,7 +61,7 @@
 	}
 	var state streamState
 	for {
-		e, result, ok := j.attemptStream(ctx, p, &state, stages)
+		e, result, ok := j.attemptStream(ctx, p, &state, run)
 		if !ok {
 			return j.finishWithoutEngine(&state)
 		}
@@ -69,7 +69,7 @@
 			return outcome
 		}
 		switch {
-		case j.allowStreamRetry(p, &state, stages, result):
+		case j.allowStreamRetry(p, &state, run, result):
 		case state.headerSent:
 			return j.streamOutcome(&state, e)
 		default:
@@ -106,7 +106,7 @@
 }
 
 // attemptStream makes one attempt at an engine. It returns false if there was no engine to send to.
-func (j *job) attemptStream(ctx context.Context, p *pool, state *streamState, stages *stageRun) (model.Endpoint, streamResult, bool) {
+func (j *job) attemptStream(ctx context.Context, p *pool, state *streamState, run *stageRun) (model.Endpoint, streamResult, bool) {
 	r := j.relay
 	tokens := j.forward.Prompt.TokensIn
 	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, limits sendLimits) (choice, bool) {
@@ -129,13 +129,13 @@
 		}
 		firstSeen = true
 		p.recordFirstEvent(e.Incarnation(), tokens, r.now().Sub(startedAt))
-		j.handleFirstEvent(stages)
+		j.handleFirstEvent(run)
 	}
 	send := j.newSend(e, j.attempts > 1)
-	send.Inputs = stages.inputs
+	send.Inputs = run.inputs
 	checkAdmission := send.BeforeSend
 	send.BeforeSend = func() error {
-		if stages.inputsStale() {
+		if run.inputsStale() {
 			return model.NewRefusal(j.verdict(), model.StageFailed, kernel.ClampRetryAfter(refusalRetryAfter), "an input went with its worker")
 		}
 		return checkAdmission()
