--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Permit calls decide to decide whether another node may call an endpoint in place of this one. A granted permit counts
+// Permit asks decide whether another node may call an endpoint in place of this one. A granted permit counts
 // as a call of this node. If the permit is denied, wait is the time until the other node's turn; it is 0 if the
 // endpoint is not listed.
 func (d *Dispatcher) Permit(now time.Time, pool, incarnation string, decide func(now time.Time, incarnation string, calledAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -142,8 +142,8 @@
 	p.state(incarnation).sends.lastSentAt = now
 }
 
-// grantPermit calls decide for whether another node may send to an endpoint in place of this node. A granted permit
-// counts as a send of this node.
+// grantPermit asks decide whether another node may send to an endpoint in place of this node. A granted permit counts
+// as a send of this node.
 func (p *pool) grantPermit(now time.Time, incarnation string, decide func(now time.Time, incarnation string, sentAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
