--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -64,8 +64,9 @@
 	// endpointState is the state of an endpoint at one node.
 	endpointState struct {
 		// name and address never change: an endpoint with a new address gets a new endpointState.
-		name      string
-		address   string
+		name    string
+		address string
+		// candidate holds what endpoints are chosen by, such as the load, the health and the calls in flight.
 		candidate kernel.Candidate
 		// leaving is true once the endpoint or a peer has reported that it is leaving. The list is updated later.
 		leaving bool
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -161,10 +161,11 @@
 	if b == nil {
 		return peer.Empty{}, nil
 	}
-	if next := b.knownBatcher(nil); next != "" && !m.SentOn {
+	// If another node batches by now, the message is passed on to it, but only once.
+	if known := b.knownBatcher(nil); known != "" && !m.SentOn {
 		m.SentOn = true
 		var empty peer.Empty
-		if r.peers.Call(ctx, r.addressOf(next), peer.KindRelease, m, &empty) == nil {
+		if r.peers.Call(ctx, r.addressOf(known), peer.KindRelease, m, &empty) == nil {
 			return peer.Empty{}, nil
 		}
 	}
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -10,7 +10,8 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// SetNodes sets the nodes of the fleet, including this one, and names those that have just announced themselves.
+// SetNodes sets the nodes of the fleet, including this one. A node announces itself by writing its row to the store when
+// it starts; announced names the nodes that have just done so.
 func (r *Relay) SetNodes(nodes []Node, announced []string) {
 	r.nodes.Store(&nodes)
 	r.nodesKnown.Store(true)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -80,7 +80,7 @@
 		cancel      context.CancelFunc
 	}
 
-	// Node is a node that can batch pieces: another one or this one.
+	// Node is a node that can batch pieces: another one or this one. Each node stores its own as JSON in the store.
 	Node struct {
 		Name    string
 		Domain  string
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// lastFailure returns res if it is an answer of an endpoint that ran the request, previous otherwise.
+// lastFailure returns the newest answer of an endpoint that ran the request and failed: res if it is one, previous
+// otherwise.
 func lastFailure(previous *unaryResult, res unaryResult) *unaryResult {
 	if res.err == nil && !res.reply.NotRun {
 		return &res
