--- a/cli/demo.go
+++ b/cli/demo.go
@@ -128,7 +128,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(p.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoAccount+"/"+key.String()])
+	fmt.Fprintf(p.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoCustomer+"/"+key.String()])
 	late := renewal
 	late.Body.Timeout = "1ms"
 	late.Body.Stream = false
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			replay.PrintMeasurementsHead(p.stdout)
+			replay.PrintMeasurementsHeader(p.stdout)
 			for _, file := range files {
 				trace, err := replay.ReadTrace(file)
 				if err != nil {
--- a/cli/replay.go
+++ b/cli/replay.go
@@ -54,16 +54,16 @@
 			return exitWith(ExitUsage, err)
 		}
 	}
-	condition, ok := replay.ConditionNamed(*flags.condition)
+	condition, ok := replay.ConditionByName(*flags.condition)
 	if !ok {
 		return usageError("unknown condition %q", *flags.condition)
 	}
-	setup, err := replay.NewSetup(ctx, trace.Head, *flags.plain, p.logger("fatal"))
+	setup, err := replay.NewSetup(ctx, trace.Header, *flags.plain, p.logger("fatal"))
 	if err != nil {
 		return exitWith(ExitFailed, err)
 	}
 	defer setup.Close()
-	condition.Begin(setup)
+	condition.Apply(setup)
 	run := replay.NewReplay(trace.WithLoad(*flags.load), setup)
 	run.Durable = *flags.durable
 	report := run.Run(ctx)
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -35,7 +35,7 @@
 				f.sendToAll(kind.pipeline)
 			}
 			cold, _ := f.busiestEndpoint(kind.pool)
-			f.platform.Fault(standin.Fault{Target: kind.pool + "/" + cold, Kind: standin.FaultCold, Delay: time.Minute})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool + "/" + cold, Kind: standin.FaultCold, Delay: time.Minute})
 			for began := time.Now(); time.Since(began) < coldPropagationTime; {
 				f.sendToAll(kind.pipeline)
 			}
@@ -59,7 +59,7 @@
 	t.Parallel()
 	f := newFleet(t, 3)
 	f.setFleetSettings(1, "ColdRates: {encoders: 2}\n")
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
 	time.Sleep(rankSettleTime)
 	served := 0
 	var refused []model.Reason
@@ -80,7 +80,7 @@
 	const rate = 2
 	f := newFleet(t, 1)
 	f.setFleetSettings(1, "ColdRates: {encoders: 2}\n")
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultCold, Delay: time.Minute})
 	time.Sleep(coldPropagationTime)
 	began := time.Now()
 	var wg sync.WaitGroup
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -154,7 +154,7 @@
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			f := newFleet(t, 3)
-			f.platform.Fault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("other requests of the customer are served before the crashes"))
 			f.crashUntilHeld(kind.pool, kind.pipeline)
 			pollUntil(awaitTimeout, f.allNodesLearned)
@@ -173,7 +173,7 @@
 // After a restart of all nodes, the requests that were held back still are, because the table stores them.
 func TestRestartedNodesKnowHeldRequests(t *testing.T) {
 	f := newFleet(t, 2)
-	f.platform.Fault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
+	f.platform.InjectFault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 	f.crashUntilHeld("runners", "route-note")
 	pollUntil(awaitTimeout, f.allNodesLearned)
 	for i, n := range f.nodes {
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -119,7 +119,7 @@
 				f.sendToAll(kind.pipeline)
 			}
 			capped, _ := f.busiestEndpoint(kind.pool)
-			f.platform.Fault(standin.Fault{Target: kind.pool + "/" + capped, Kind: standin.FaultRateCap, PerSecond: perSecond})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool + "/" + capped, Kind: standin.FaultRateCap, PerSecond: perSecond})
 			for range 5 {
 				f.sendToAll(kind.pipeline)
 			}
@@ -144,7 +144,7 @@
 	t.Parallel()
 	f := newFleet(t, 3)
 	time.Sleep(rankSettleTime)
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultRateCap, PerSecond: 0.5})
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultRateCap, PerSecond: 0.5})
 	for range 10 {
 		f.sendToAll("renewal")
 	}
@@ -174,10 +174,10 @@
 	t.Parallel()
 	const perSecond = 2.0
 	f := newFleet(t, 5)
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-2", Kind: standin.FaultLeave})
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-3", Kind: standin.FaultLeave})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-2", Kind: standin.FaultLeave})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-3", Kind: standin.FaultLeave})
 	time.Sleep(rankSettleTime)
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-1", Kind: standin.FaultRateCap, PerSecond: perSecond})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-1", Kind: standin.FaultRateCap, PerSecond: perSecond})
 	f.sendToAll("renewal")
 	f.sendToAll("renewal")
 	time.Sleep(capPropagationTime)
--- a/scenario/encodings_test.go
+++ b/scenario/encodings_test.go
@@ -103,7 +103,7 @@
 		"JournalSummary": standin.JournalSummary{},
 		"LogLine":        blame.Line{},
 		"Order":          engine.OrderMessage{},
-		"OrderRun":       standin.OrderRun{},
+		"OrderRun":       standin.OrderRecord{},
 		"Problem":        operator.Problem{},
 		"Record":         model.Record{},
 		"Refusal":        caller.RefusalBody{},
@@ -118,7 +118,7 @@
 		"Token":          caller.TokenBody{},
 		"TokenEvent":     model.TokenEvent{},
 		"TraceEntry":     replay.Entry{},
-		"TraceHead":      replay.Head{},
+		"TraceHead":      replay.Header{},
 		"Transaction":    table.Transaction{},
 		"Usage":          standin.Usage{},
 	})
