--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -21,7 +21,7 @@
 			return e
 		}
 		if a.dispatcher.RequestPermit(ctx, a.pool.endpointOf(e)) {
-			a.pool.recordPermit(time.Now(), e)
+			a.pool.recordPermittedCall(time.Now(), e)
 			a.connectBy = now.Add(kernel.PermitLifetime)
 			return e
 		}
@@ -29,7 +29,7 @@
 	}
 }
 
-// Permit calls decide to decide whether another node may call an endpoint in place of this one. A granted permit counts
+// Permit asks decide whether another node may call an endpoint in place of this one. A granted permit counts
 // as a call of this node. If the permit is denied, wait is the time until the other node's turn; it is 0 if the
 // endpoint is not listed.
 func (d *Dispatcher) Permit(now time.Time, pool, incarnation string, decide func(now time.Time, incarnation string, calledAt time.Time) (granted bool, wait time.Duration)) (granted bool, wait time.Duration) {
@@ -49,8 +49,8 @@
 	return false, 0
 }
 
-// recordPermit records that an endpoint is called with another node's permit.
-func (p *pool) recordPermit(now time.Time, e *endpointState) {
+// recordPermittedCall records that an endpoint is called with another node's permit.
+func (p *pool) recordPermittedCall(now time.Time, e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.pacing.calledAt = now
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -46,9 +46,9 @@
 		mayHaveRun bool
 		// permitUntil is when the other node's permit for the chosen endpoint expires; zero if no permit is needed.
 		permitUntil time.Time
-		// trial is true for a request that is held back and may run once.
-		trial      bool
-		stageTimes []StageTiming
+		// trial is true if the request is held back and was permitted to run once, on trial.
+		trial        bool
+		stageTimings []StageTiming
 		// estimates are the estimates for the stages' pools at the arrival of the request.
 		estimates []StageEstimate
 	}
@@ -100,7 +100,8 @@
 	}
 }
 
-// lastFailure returns res if it is an answer of an endpoint that ran the request, previous otherwise.
+// lastFailure returns the newest answer of an endpoint that ran the request and failed: res if it is one, previous
+// otherwise.
 func lastFailure(previous *unaryResult, res unaryResult) *unaryResult {
 	if res.err == nil && !res.reply.NotRun {
 		return &res
@@ -112,8 +113,8 @@
 // could be chosen.
 func (j *job) startAttempt(ctx context.Context, p *pool, results chan<- unaryResult) bool {
 	r := j.relay
-	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, g sendLimits) (choice, bool) {
-		return p.pick(now, j.allowedEndpoints(), g, r.options.Domain, j.excluded)
+	e, ok := j.chooseEndpoint(ctx, p, func(now time.Time, limits sendLimits) (choice, bool) {
+		return p.pick(now, j.allowedEndpoints(), limits, r.options.Domain, j.excluded)
 	}, func(e model.Endpoint) { p.release(e.Incarnation()) })
 	if !ok {
 		return false
@@ -128,8 +129,8 @@
 			res.err = errPanic
 			results <- res
 		})
-		ctx, end := r.trackCall(ctx, e, j.forward.Digest)
-		defer end()
+		ctx, endCall := r.trackCall(ctx, e, j.forward.Digest)
+		defer endCall()
 		res.reply, res.err = r.forward(ctx, send)
 		if res.err == nil {
 			res.body, res.err = readAnswer(res.reply)
