--- a/caller/server.go
+++ b/caller/server.go
@@ -14,79 +14,81 @@
 )
 
 const (
-	// RequestsPath takes requests to a pipeline.
-	RequestsPath  = "/v1/pipelines/:Pipeline/requests"
-	headerTimeout = 10 * time.Second
+	// RequestsPath is the route of requests to a pipeline.
+	RequestsPath      = "/v1/pipelines/:Pipeline/requests"
+	readHeaderTimeout = 10 * time.Second
 )
 
 type (
-	// Seams are what the server needs of its node.
-	Seams struct {
-		// Caller returns whom a token stands for.
-		Caller func(token string) (kernel.Caller, bool)
-		// Pipeline returns a team's pipeline.
+	// Dependencies are the functions through which a Server reaches its node.
+	Dependencies struct {
+		// Authenticate returns the caller to which a token belongs, or false if the token is unknown.
+		Authenticate func(token string) (kernel.Caller, bool)
+		// Pipeline returns a pipeline of a team by its name.
 		Pipeline func(team, name string) (model.Pipeline, bool)
-		// Serve runs a request to its answer or refusal.
+		// Serve runs a request and returns its answer, or a refusal that is not nil. It passes the tokens of a stream to
+		// emit; emit is nil if the caller did not request a stream.
 		Serve func(ctx context.Context, req model.Request, pipeline model.Pipeline, emit func(model.Token)) (model.Answer, *model.Refusal)
-		// NewID returns a new request's ID.
+		// NewID returns the ID of a new request.
 		NewID func() string
-		// Draining tells whether connections should end.
+		// Draining reports whether the node is draining, so that connections should be closed after their current
+		// request.
 		Draining func() bool
-		// Ready tells whether the balancer should send requests here, and why not.
+		// Ready reports whether the load balancer should send requests to this node, and the reason if not.
 		Ready func() (bool, string)
-		// Count counts an event by name.
-		Count func(event string)
-		// Refused counts a refusal.
-		Refused func(*model.Refusal)
+		// CountEvent counts an event by its name.
+		CountEvent func(event string)
+		// CountRefusal counts a refusal.
+		CountRefusal func(*model.Refusal)
 	}
 
-	// Server is the listener for callers.
+	// Server serves the HTTP API for callers.
 	Server struct {
-		seams    Seams
+		deps     Dependencies
 		listener net.Listener
 		server   *http.Server
 	}
 )
 
-// NewServer listens on an address, HOST:PORT, and serves.
-func NewServer(address string, seams Seams) (*Server, error) {
+// NewServer listens on an address of the form HOST:PORT and starts to serve.
+func NewServer(address string, deps Dependencies) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "caller: unable to listen")
 	}
-	s := &Server{seams: seams, listener: listener}
+	s := &Server{deps: deps, listener: listener}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
-	e.Use(s.endConnections)
+	e.Use(s.closeWhenDraining)
 	e.POST(RequestsPath, s.postRequest)
 	e.GET("/healthz", s.getHealth)
 	e.GET("/readyz", s.getReady)
-	s.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout}
+	s.server = &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens, HOST:PORT.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Shutdown takes no more connections and waits for the requests in flight.
+// Shutdown stops accepting connections and waits until the requests in flight have ended or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) {
 	_ = s.server.Shutdown(ctx)
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() {
 	_ = s.server.Close()
 }
 
-// endConnections lets a draining node's kept connections wind down, so that the shutdown
-// finds no idle one on which a request may just be arriving.
-func (s *Server) endConnections(next echo.HandlerFunc) echo.HandlerFunc {
+// closeWhenDraining makes clients close their keep-alive connections while the node drains. Otherwise, Shutdown might
+// close an idle connection on which a request is just arriving.
+func (s *Server) closeWhenDraining(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		if s.seams.Draining() {
+		if s.deps.Draining() {
 			c.Response().Header().Set("Connection", "close")
 		}
 		return next(c)
@@ -98,9 +100,9 @@
 }
 
 func (s *Server) getReady(c echo.Context) error {
-	ready, why := s.seams.Ready()
+	ready, reason := s.deps.Ready()
 	if !ready {
-		return c.String(http.StatusServiceUnavailable, why+"\n")
+		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -10,22 +10,22 @@
 	"basilstall.example/basilstall/model"
 )
 
-// The events of a stream. A stream that ends without Answer or Refusal was cut.
+// The events of a stream. A stream that ends without Answer or Refusal is incomplete.
 const (
 	EventToken   = "Token"
 	EventAnswer  = "Answer"
 	EventRefusal = "Refusal"
 )
 
-// eventWriter writes numbered server-sent events. The answer begins with the first event, so
-// that a request that is refused before any token gets a plain refusal.
+// eventWriter writes server-sent events with consecutive IDs. The response header is written with the first event, so
+// that a request that is refused before any token gets a refusal with its own status code instead of a stream.
 type eventWriter struct {
 	response *echo.Response
-	number   int
+	nextID   int
 }
 
 func (w *eventWriter) write(event string, data any) {
-	if w.number == 0 {
+	if w.nextID == 0 {
 		w.response.Header().Set("Content-Type", "text/event-stream")
 		w.response.Header().Set("Cache-Control", "no-store")
 		w.response.WriteHeader(http.StatusOK)
@@ -34,22 +34,23 @@
 	if err != nil {
 		return
 	}
-	_, _ = fmt.Fprintf(w.response, "id: %d\nevent: %s\ndata: %s\n\n", w.number, event, body)
+	_, _ = fmt.Fprintf(w.response, "id: %d\nevent: %s\ndata: %s\n\n", w.nextID, event, body)
 	w.response.Flush()
-	w.number++
+	w.nextID++
 }
 
-func (s *Server) answerStream(c echo.Context, p parsed) error {
+// serveStream runs a request and writes its tokens and its answer or refusal as events.
+func (s *Server) serveStream(c echo.Context, p parsedRequest) error {
 	w := &eventWriter{response: c.Response()}
 	emit := func(t model.Token) {
 		w.write(EventToken, TokenBody(t))
 	}
-	answer, refusal := s.seams.Serve(c.Request().Context(), p.request, p.pipeline, emit)
-	if refusal != nil && w.number == 0 {
-		return s.refuse(c, p.request.ID, refusal)
+	answer, refusal := s.deps.Serve(c.Request().Context(), p.request, p.pipeline, emit)
+	if refusal != nil && w.nextID == 0 {
+		return s.writeRefusal(c, p.request.ID, refusal)
 	}
 	if refusal != nil {
-		s.seams.Refused(refusal)
+		s.deps.CountRefusal(refusal)
 		w.write(EventRefusal, newRefusalBody(p.request.ID, refusal))
 		return nil
 	}
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -18,9 +18,9 @@
 	fallbackLatency = 300 * time.Millisecond
 	medianQuantile  = 0.5
 	tailQuantile    = 0.9
-	// unlistedTTL is how long the pacing of an endpoint is kept after the list has dropped it: longer than the pause
+	// unlistedRetention is how long the pacing of an endpoint is kept after the list has dropped it: longer than the pause
 	// between two calls under the smallest rate cap.
-	unlistedTTL = 30 * time.Second
+	unlistedRetention = 30 * time.Second
 	// missingAdapterTTL is how long an engine that replied that it lacks an adapter gets no further calls for it.
 	missingAdapterTTL = time.Second
 	hedgeQuantile     = 0.95
@@ -64,8 +64,9 @@
 	// endpointState is the state of an endpoint at one node.
 	endpointState struct {
 		// name and address never change: an endpoint with a new address gets a new endpointState.
-		name      string
-		address   string
+		name    string
+		address string
+		// candidate holds what endpoints are chosen by, such as the load, the health and the calls in flight.
 		candidate kernel.Candidate
 		// leaving is true once the endpoint or a peer has reported that it is leaving. The list is updated later.
 		leaving bool
@@ -154,7 +155,7 @@
 // rememberUnlisted keeps the pacing of endpoints that the list has dropped. Otherwise all nodes would call an endpoint
 // at once if its entry was missing from the list for a moment.
 func (p *pool) rememberUnlisted(now time.Time, removed map[string]*endpointState) {
-	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedTTL })
+	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedRetention })
 	for name, e := range removed {
 		p.unlisted[name] = unlistedEndpoint{address: e.address, pacing: e.pacing, unlistedAt: now}
 	}
@@ -189,7 +190,7 @@
 	switch {
 	case e.leaving:
 		state = model.Leaving
-	case state == model.Live && p.evacuations.Holds(e.candidate.Endpoint.FailureDomain):
+	case state == model.Live && p.evacuations.Contains(e.candidate.Endpoint.FailureDomain):
 		state = model.Evacuated
 	}
 	e.candidate.Endpoint.State = state
@@ -264,13 +265,13 @@
 	e.candidate.Endpoint.ColdUntil = e.pacing.coldUntil
 }
 
-// recordFailure records a failed call. blamed is true if it counts as a failure of the endpoint.
-func (p *pool) recordFailure(now time.Time, e *endpointState, blamed bool) {
+// recordFailure records a failed call. isFault is true if it counts as a failure of the endpoint.
+func (p *pool) recordFailure(now time.Time, e *endpointState, isFault bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.candidate.InFlight--
 	e.candidate.Health.Probing = false
-	if !blamed {
+	if !isFault {
 		return
 	}
 	e.faults++
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -68,7 +68,7 @@
 		return a.newRefusal(model.StageFailed, fault)
 	}
 	if a.carry.Tokens > 0 {
-		a.dispatcher.metrics.Retried(model.RetryResume, a.pool.name)
+		a.dispatcher.metrics.CountRetry(model.RetryResume, a.pool.name)
 	}
 	// A reused connection without progress may itself be at fault: the endpoint may get one more call, on a new
 	// connection.
@@ -82,14 +82,14 @@
 // returns the engines that lack the adapter, and false if all still lack it then.
 func (a *attempts) awaitAdapter(ctx context.Context) ([]string, bool) {
 	adapter := adapterName(a.job.Work.Stage)
-	latest := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
+	latestStart := a.dispatcher.estimate(a.job.Work.Request, a.job.Weight, a.job.Work.Stage).LatestStart(a.deadline)
 	for {
 		lacking, all := a.pool.enginesWithout(time.Now(), adapter)
 		if !all {
 			return lacking, true
 		}
 		a.reportAdapterDemand(true)
-		if !time.Now().Before(latest) || !clock.Sleep(ctx, adapterPollInterval) {
+		if !time.Now().Before(latestStart) || !clock.Sleep(ctx, adapterPollInterval) {
 			return nil, false
 		}
 	}
@@ -128,7 +128,7 @@
 			return a.checkTokenCount(event)
 		}
 		if event.Index < a.carry.Tokens {
-			a.dispatcher.metrics.Event("TokenRepeated")
+			a.dispatcher.metrics.CountEvent("TokenRepeated")
 			return nil
 		}
 		if event.Index > a.carry.Tokens {
@@ -168,7 +168,7 @@
 	if fault.Kind == endpoint.Silent && fault.Reused {
 		a.mayHaveRun = true
 		a.pool.recordFailure(now, e, false)
-		a.dispatcher.metrics.Event("ConnectionsRetired")
+		a.dispatcher.metrics.CountEvent("ConnectionsRetired")
 		return
 	}
 	a.recordFault(now, e, fault)
--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ClaimsAction is what a node should do with the claims row.
+// ClaimsAction is what a node should do with the row of Claims.
 type ClaimsAction int
 
-// The actions on the claims row.
+// The actions on the row of Claims.
 const (
 	// KeepClaims leaves the row as it is.
 	KeepClaims ClaimsAction = iota
@@ -21,7 +21,7 @@
 )
 
 const (
-	// initialFirmHorizon bounds the firm horizon of the first era, which has few members and is therefore kept
+	// initialFirmHorizon is the maximum time to Firm in the first era, which has few members and is therefore kept
 	// short. It is also the least key time below Firm in a new era, so that its members can run keys at once.
 	initialFirmHorizon = 2 * time.Second
 	// rankDelay is how much longer each node waits than the node ranked before it, so that one of those before it
@@ -29,9 +29,9 @@
 	rankDelay = 700 * time.Millisecond
 )
 
-// Coordinator decides when a node writes the claims row. Any node may write at any time without harm; the nodes are
-// ranked only to keep the writes of the fleet few.
-type Coordinator struct {
+// ClaimsCoordinator decides when a node writes the row of Claims. Any node may write at any time without harm; the
+// nodes are ranked only to keep the writes of the fleet few.
+type ClaimsCoordinator struct {
 	Self Member
 	// FirmHorizon is how far ahead of the present the owners of keys are final.
 	FirmHorizon time.Duration
@@ -43,7 +43,7 @@
 
 // Decide returns the action to take, given the row as last read, the live members, and since when their set has been
 // unchanged.
-func (c Coordinator) Decide(now time.Time, row Claims, alive []Member, stableSince time.Time) ClaimsAction {
+func (c ClaimsCoordinator) Decide(now time.Time, row Claims, alive []Member, stableSince time.Time) ClaimsAction {
 	alive = sortedMembers(alive)
 	rank := slices.IndexFunc(alive, func(m Member) bool { return m.ID() == c.Self.ID() })
 	if rank < 0 {
@@ -73,9 +73,9 @@
 	return KeepClaims
 }
 
-// Next returns the row to write for an action. A new era starts at from, which is above all that the members were
+// NextRow returns the row to write for an action. A new era starts at from, which is above all that the members were
 // granted; other actions ignore from.
-func (c Coordinator) Next(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
+func (c ClaimsCoordinator) NextRow(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
 	now = now.Truncate(time.Millisecond)
 	firm, horizon := now.Add(c.FirmHorizon), now.Add(c.Horizon)
 	switch action {
--- a/kernel/evacuation.go
+++ b/kernel/evacuation.go
@@ -20,10 +20,10 @@
 // Evacuations is the set of failure domains that operators have evacuated: their endpoints get no work. It is
 // immutable.
 type Evacuations struct {
-	// since holds by domain when this node learned of the evacuation that is in force.
-	since map[string]time.Time
-	// ended holds by domain when this node learned of the end of its last evacuation.
-	ended map[string]time.Time
+	// evacuatedAt holds, by domain, when this node learned of the evacuation that is in force.
+	evacuatedAt map[string]time.Time
+	// restoredAt holds, by domain, when this node learned of the end of the last evacuation.
+	restoredAt map[string]time.Time
 }
 
 // EvacuationChange lists the failure domains that operators have evacuated or restored since an earlier state. A domain
@@ -33,49 +33,49 @@
 	Restored  []string
 }
 
-// With returns the evacuations after a change that this node learned of at now, and the domains whose state differs
-// from before.
-func (e Evacuations) With(now time.Time, change EvacuationChange) (after Evacuations, news EvacuationChange) {
-	after = Evacuations{since: maps.Clone(e.since), ended: maps.Clone(e.ended)}
-	if after.since == nil {
-		after.since, after.ended = map[string]time.Time{}, map[string]time.Time{}
+// With returns the evacuations after a change that this node learned of at now, and the part of the change that differs
+// from the state before.
+func (e Evacuations) With(now time.Time, change EvacuationChange) (after Evacuations, effective EvacuationChange) {
+	after = Evacuations{evacuatedAt: maps.Clone(e.evacuatedAt), restoredAt: maps.Clone(e.restoredAt)}
+	if after.evacuatedAt == nil {
+		after.evacuatedAt, after.restoredAt = map[string]time.Time{}, map[string]time.Time{}
 	}
 	for _, domain := range change.Evacuated {
-		if !e.Holds(domain) {
-			after.since[domain] = now
-			news.Evacuated = append(news.Evacuated, domain)
+		if !e.Contains(domain) {
+			after.evacuatedAt[domain] = now
+			effective.Evacuated = append(effective.Evacuated, domain)
 		}
 	}
 	for _, domain := range change.Restored {
-		if e.Holds(domain) {
-			delete(after.since, domain)
-			after.ended[domain] = now
-			news.Restored = append(news.Restored, domain)
+		if e.Contains(domain) {
+			delete(after.evacuatedAt, domain)
+			after.restoredAt[domain] = now
+			effective.Restored = append(effective.Restored, domain)
 		}
 	}
-	return after, news
+	return after, effective
 }
 
-// Holds reports whether a failure domain is evacuated.
-func (e Evacuations) Holds(domain string) bool {
-	_, held := e.since[domain]
-	return held
+// Contains reports whether a failure domain is evacuated.
+func (e Evacuations) Contains(domain string) bool {
+	_, evacuated := e.evacuatedAt[domain]
+	return evacuated
 }
 
 // Domains returns the evacuated failure domains in alphabetical order.
 func (e Evacuations) Domains() []string {
-	return slices.Sorted(maps.Keys(e.since))
+	return slices.Sorted(maps.Keys(e.evacuatedAt))
 }
 
 // Since returns when this node learned that a failure domain is evacuated; zero if it is not evacuated.
 func (e Evacuations) Since(domain string) time.Time {
-	return e.since[domain]
+	return e.evacuatedAt[domain]
 }
 
 // coldUntil returns until when the endpoints of a restored failure domain may be cold although their entries do not say
 // so; zero if the domain has never been evacuated.
 func (e Evacuations) coldUntil(domain string) time.Time {
-	ended, known := e.ended[domain]
+	ended, known := e.restoredAt[domain]
 	if !known {
 		return time.Time{}
 	}
@@ -85,14 +85,14 @@
 // AdmitPools refuses a request if no endpoint of a pool that it needs may get work: the pools of its stages that have
 // pieces, and the pool that serves the request itself. Only endpoints in the allowed regions of the request count.
 func AdmitPools(r Registry, f model.Forward, a Admission) *model.Refusal {
-	if refusal := admitPool(r, a.Pool, a.Homes); refusal != nil {
+	if refusal := admitPool(r, a.Pool, a.Regions); refusal != nil {
 		return refusal
 	}
 	for i, stage := range a.Route.Stages {
 		if PieceCount(f, i) == 0 {
 			continue
 		}
-		if refusal := admitPool(r, stage.Pool, a.Homes); refusal != nil {
+		if refusal := admitPool(r, stage.Pool, a.Regions); refusal != nil {
 			return refusal
 		}
 	}
--- a/kernel/quarantine.go
+++ b/kernel/quarantine.go
@@ -78,7 +78,7 @@
 		Since time.Duration
 	}
 
-	// Quarantine is a node's record of the requests that crashed endpoints. One node, the coordinator of a pool,
+	// Quarantine is a node's record of the requests that crashed endpoints. One node for each pool, its coordinator,
 	// receives the reports on all crashes in the pool and decides which requests are held back; all nodes then hold
 	// them back. It changes in place.
 	Quarantine struct {
@@ -175,7 +175,7 @@
 		q.suspects[digest] = s
 	}
 	s.pool = pool
-	if s.has(crash) {
+	if s.hasCrash(crash) {
 		return
 	}
 	if len(s.crashes) == maxCrashes {
@@ -232,8 +232,8 @@
 	q.trustedUntil[digest] = now.Add(trustDuration)
 }
 
-// has reports whether a crash is recorded already: several nodes report the same one.
-func (s *suspect) has(crash Crash) bool {
+// hasCrash reports whether a crash is recorded already: several nodes report the same one.
+func (s *suspect) hasCrash(crash Crash) bool {
 	return slices.ContainsFunc(s.crashes, func(known Crash) bool {
 		return known.Incarnation == crash.Incarnation && crash.At.Sub(known.At).Abs() < CrashDedupWindow
 	})
--- a/kernel/ratecap.go
+++ b/kernel/ratecap.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// capSenders is how many nodes may send to an endpoint that states a rate cap. Their first sends fall within the
-	// burst that the platform allows beyond the rate, with one request to spare for a node that does not know of them
-	// yet.
-	capSenders = 4
+	// maxCapSharers is how many nodes share the rate cap of an endpoint; the others send to it only with a permit or
+	// as a probe. The first sends of the sharers fall within the burst that the platform allows beyond the rate, with
+	// one request to spare for a node that does not know of them yet.
+	maxCapSharers = 4
 	// maxCapInterval is the maximum time between two sends of one node: an endpoint that takes almost nothing is still
 	// probed in case its cap has changed.
 	maxCapInterval = 20 * time.Second
@@ -32,7 +32,8 @@
 )
 
 type (
-	// CapView is a node's view of the rate cap of an endpoint. It is immutable.
+	// CapView is a node's view of the rate cap of an endpoint: the rate that the endpoint accepts from all nodes
+	// together, which it states in its answers. It is immutable.
 	CapView struct {
 		// Cap is the cap that the endpoint is assumed to state.
 		Cap model.RateCap
@@ -51,18 +52,18 @@
 		SentAt time.Time
 		// Rank is how many nodes rank before this one by rendezvous hash of the endpoint.
 		Rank int
-		// Asks is true where the node may request a permit from other nodes.
-		Asks bool
-		// AskAt is when one of those nodes is next due to be asked.
-		AskAt time.Time
+		// MayRequestPermit is true where the node may ask other nodes for permits (see PermitRequester).
+		MayRequestPermit bool
+		// NextPermitRequestAt is when the node may next ask one of them.
+		NextPermitRequestAt time.Time
 	}
 )
 
-// WithAnswer returns the view after the endpoint answered a request that was sent at asked. Answers may arrive out of
+// WithAnswer returns the view after the endpoint answered a request that was sent at sentAt. Answers may arrive out of
 // order: one that states no cap ends a cap only if its request was sent after the last message that states one arrived,
 // and of two caps whose order is unknown the stricter one holds.
-func (v CapView) WithAnswer(asked, now time.Time, stated model.RateCap) CapView {
-	overlaps := asked.Before(v.statedAt)
+func (v CapView) WithAnswer(sentAt, now time.Time, stated model.RateCap) CapView {
+	overlaps := sentAt.Before(v.statedAt)
 	switch {
 	case stated.Stated && overlaps:
 		stated = stated.Stricter(v.Cap)
@@ -90,9 +91,9 @@
 	return v.with(now, stated)
 }
 
-// WithPart returns the view of a sender that may use only a part of the cap, from 0 to 1.
-func (v CapView) WithPart(part float64) CapView {
-	v.Cap = v.Cap.WithPart(part)
+// WithFraction returns the view of a sender that may use only a fraction of the cap, from 0 to 1.
+func (v CapView) WithFraction(fraction float64) CapView {
+	v.Cap = v.Cap.WithPart(fraction)
 	return v
 }
 
@@ -125,8 +126,8 @@
 		return true
 	case rank == math.MaxInt:
 		return false
-	case rank < capSenders:
-		return now.Sub(sentAt) >= v.pause()
+	case rank < maxCapSharers:
+		return now.Sub(sentAt) >= v.sendInterval()
 	default:
 		lastHeard := sentAt
 		if v.statedAt.After(lastHeard) {
@@ -136,18 +137,19 @@
 	}
 }
 
-// pause returns the minimum time between two sends of one of the nodes that share the cap.
-func (v CapView) pause() time.Duration {
-	return capPause(v.Cap.PerSecond / capSenders)
+// sendInterval returns the minimum time between two sends of one of the nodes that share the cap.
+func (v CapView) sendInterval() time.Duration {
+	return intervalAtRate(v.Cap.PerSecond / maxCapSharers)
 }
 
-// CapBatcherPause returns the minimum time between two calls of the batcher that is the only sender to a worker with a
-// rate cap.
-func CapBatcherPause(stated model.RateCap) time.Duration {
-	return capPause(stated.PerSecond * capBatcherShare)
+// CapBatcherInterval returns the minimum time between two calls of one batcher to a worker with a rate cap. The cap is
+// the part that batchers may use, of which each takes capBatcherShare.
+func CapBatcherInterval(stated model.RateCap) time.Duration {
+	return intervalAtRate(stated.PerSecond * capBatcherShare)
 }
 
-func capPause(perSecond float64) time.Duration {
+// intervalAtRate returns the time between two sends at a rate, at most maxCapInterval.
+func intervalAtRate(perSecond float64) time.Duration {
 	if perSecond*maxCapInterval.Seconds() <= 1 {
 		return maxCapInterval
 	}
@@ -155,7 +157,7 @@
 }
 
 // AdmitCapped refuses a request that only endpoints with rate caps could serve if this node may not send to any of them
-// now and cannot request a permit either. The Retry-After time is when this node may next send or ask for a permit;
+// now and cannot ask for a permit either. The Retry-After time is when this node may next send or ask for a permit;
 // where neither is known, it is when the endpoints together take one more request, from any node.
 func AdmitCapped(now time.Time, pool string, endpoints []CappedEndpoint) *model.Refusal {
 	perSecond, retry := 0.0, time.Duration(0)
@@ -164,21 +166,21 @@
 			return nil
 		}
 		perSecond += e.View.Cap.PerSecond
-		if e.Asks {
-			if !now.Before(e.AskAt) {
+		if e.MayRequestPermit {
+			if !now.Before(e.NextPermitRequestAt) {
 				return nil
 			}
-			retry = shorterWait(retry, e.AskAt.Sub(now))
+			retry = shorterWait(retry, e.NextPermitRequestAt.Sub(now))
 		}
-		if e.Rank < capSenders {
-			retry = shorterWait(retry, e.SentAt.Add(e.View.pause()).Sub(now))
+		if e.Rank < maxCapSharers {
+			retry = shorterWait(retry, e.SentAt.Add(e.View.sendInterval()).Sub(now))
 		}
 	}
 	if len(endpoints) == 0 {
 		return nil
 	}
 	if retry == 0 {
-		retry = min(max(minCapRetry, capPause(perSecond)), maxCapRetry)
+		retry = min(max(minCapRetry, intervalAtRate(perSecond)), maxCapRetry)
 	}
 	return model.NewRefusal(model.NotRun, model.EndpointsCapped, ClampRetryAfter(retry), fmt.Sprintf("all endpoints of pool %s take no more now than they get", pool))
 }
--- a/node/durable.go
+++ b/node/durable.go
@@ -11,27 +11,31 @@
 )
 
 const (
-	// commitEvery is the least time between two group commits of one node.
-	commitEvery = 20 * time.Millisecond
-	// commitMost bounds the keys of one group commit.
-	commitMost = 256
-	// tableAgain is when to come back where the table does not answer.
-	tableAgain = 2 * time.Second
+	// minCommitInterval is the least time between the starts of two group commits of one node.
+	minCommitInterval = 20 * time.Millisecond
+	// maxCommitKeys bounds the keys of one group commit.
+	maxCommitKeys = 256
+	// tableRetryAfter is when a caller should retry if the table does not answer.
+	tableRetryAfter = 2 * time.Second
 )
 
 type (
-	// committer inserts durable keys in group commits: keys that arrive while one commit is
-	// under way go into the next.
+	// committer inserts durable keys into the table in group commits: keys that arrive during a commit are part of the
+	// next one. It is safe for concurrent use.
 	committer struct {
 		store *table.Store
 		mu    sync.Mutex
-		// waiting holds the keys of the next commit.
-		waiting []*pendingInsert
-		working bool
+		// queue holds the inserts that are not part of a commit yet, in order of arrival.
+		queue []*pendingInsert
+		// running is true while a goroutine executes commitQueued.
+		running bool
 	}
 
+	// pendingInsert is the insert of one key.
 	pendingInsert struct {
-		row  table.KeyRow
+		// row is the row to insert, and after the commit the row that is in the table.
+		row table.KeyRow
+		// done is closed once row and err are set.
 		done chan struct{}
 		err  error
 	}
@@ -41,35 +45,35 @@
 	return &committer{store: store}
 }
 
-// insert returns the row that stands in the table for a key: this one or an earlier one.
+// insert inserts the row of a key, unless the table has one, and returns the row that is in the table.
 func (c *committer) insert(row table.KeyRow) (table.KeyRow, error) {
 	p := &pendingInsert{row: row, done: make(chan struct{})}
 	c.mu.Lock()
-	c.waiting = append(c.waiting, p)
-	if !c.working {
-		c.working = true
-		go c.work()
+	c.queue = append(c.queue, p)
+	if !c.running {
+		c.running = true
+		go c.commitQueued()
 	}
 	c.mu.Unlock()
 	<-p.done
 	return p.row, p.err
 }
 
-// work commits until nothing waits.
-func (c *committer) work() {
+// commitQueued commits the queued inserts until none is left.
+func (c *committer) commitQueued() {
 	for {
 		c.mu.Lock()
-		batch := c.waiting[:min(commitMost, len(c.waiting))]
-		c.waiting = c.waiting[len(batch):]
+		batch := c.queue[:min(maxCommitKeys, len(c.queue))]
+		c.queue = c.queue[len(batch):]
 		if len(batch) == 0 {
-			c.working = false
+			c.running = false
 			c.mu.Unlock()
 			return
 		}
 		c.mu.Unlock()
 		began := time.Now()
 		c.commit(batch)
-		time.Sleep(commitEvery - time.Since(began))
+		time.Sleep(minCommitInterval - time.Since(began))
 	}
 }
 
@@ -78,7 +82,7 @@
 	for _, p := range batch {
 		rows = append(rows, p.row)
 	}
-	// A commit outlives the requests in it: its outcome must be learned.
+	// The commit is not cancelled along with the requests in it, because its outcome must be known.
 	result, err := c.store.InsertKeys(context.Background(), rows)
 	for i, p := range batch {
 		p.row, p.err = result[i], err
@@ -86,8 +90,8 @@
 	}
 }
 
-// serveDurable runs a request whose key the table arbitrates. A forwarded one is not
-// forwarded again.
+// serveDurable serves a request whose key is arbitrated by the table. It forwards the request to the member that
+// inserts the key, and serves it here if that member cannot be reached. A forwarded request is not forwarded again.
 func (n *Node) serveDurable(ctx context.Context, req keyedRequest, forwarded bool) (model.Answer, *model.Refusal) {
 	alive, _ := n.fleet.alive()
 	member, ok := kernel.CommitterOf(req.key, alive)
@@ -97,35 +101,37 @@
 			return answer, refusal
 		}
 	}
-	f, answer, refusal := n.durable.take(req.remembered(time.Now()), n.launchDurable)
-	if f == nil {
+	run, answer, refusal := n.durableKeys.admit(req.withIssued(time.Now()), n.executeDurable)
+	if run == nil {
 		return answer, refusal
 	}
-	return f.wait(ctx, req.Deadline)
+	return run.wait(ctx, req.Deadline)
 }
 
-// remembered gives a key without a time one, so that the memory of it ends some day. What
-// counts for at-most-once is the table.
-func (r keyedRequest) remembered(now time.Time) keyedRequest {
+// withIssued sets the time of issue of a key that carries none, so that the key expires in the ledger. At-most-once
+// execution does not depend on the ledger here: it is ensured by the row in the table.
+func (r keyedRequest) withIssued(now time.Time) keyedRequest {
 	if !r.key.Timed() {
 		r.key.Issued = now
 	}
 	return r
 }
 
-// launchDurable inserts the key and runs the request if this process is the one that the
-// table names.
-func (n *Node) launchDurable(req keyedRequest, f *flight) {
+// executeDurable inserts the key, runs the request if the row in the table is that of this process, and records the
+// outcome.
+func (n *Node) executeDurable(req keyedRequest, r *keyedRun) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	began := time.Now()
-	answer, p, refusal := n.runDurable(req)
-	n.remember(req.Request, began, answer, p, refusal, "")
-	n.durable.end(req.key, f, answer, refusal, p.sent)
+	answer, p, refusal := n.insertAndRun(req)
+	n.recordRequest(req.Request, began, answer, p, refusal, "")
+	n.durableKeys.finish(req.key, r, answer, refusal, p.nonIdempotentSent)
 }
 
-func (n *Node) runDurable(req keyedRequest) (model.Answer, progress, *model.Refusal) {
-	writer := n.durable.writer(req.key.ID)
+// insertAndRun inserts the key and runs the request if the row in the table has the writer ID of this process.
+// If the row has another writer ID, an earlier attempt may have run, and the request is refused.
+func (n *Node) insertAndRun(req keyedRequest) (model.Answer, progress, *model.Refusal) {
+	writer := n.durableKeys.writer(req.key.ID)
 	row, err := n.committer.insert(table.KeyRow{
 		Key:         req.key.ID,
 		Member:      n.member.ID(),
@@ -133,10 +139,10 @@
 		Fingerprint: kernel.Fingerprint(req.Request),
 		At:          time.Now(),
 	})
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
-		// An earlier attempt may have run on another node, so this is no NotRun.
-		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.TableUnavailable, tableAgain,
+		// The verdict is not NotRun: an earlier attempt may have run on another node.
+		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.TableUnavailable, tableRetryAfter,
 			"the table cannot say whether the key was used")
 	}
 	if row.Fingerprint != kernel.Fingerprint(req.Request) {
@@ -144,9 +150,9 @@
 			"the key was used for another request; send this one with a new key")
 	}
 	if row.Writer != writer {
-		// Another process took the key, or this one did and has forgotten how it ended.
+		// The key was inserted by another process, or by this one, which no longer has the outcome.
 		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.OutcomeUnknown, 0,
 			"the key was taken before and its answer is not known here")
 	}
-	return n.run(n.ctx, req.Request, req.pipeline, nil)
+	return n.runPipeline(n.ctx, req.Request, req.pipeline, nil)
 }
--- a/node/grants.go
+++ b/node/grants.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// grantsEvery is how often the node looks whether it needs grants.
-	grantsEvery  = 500 * time.Millisecond
+	// grantCheckInterval is how often the node checks whether it needs grants.
+	grantCheckInterval = 500 * time.Millisecond
+	// grantTimeout bounds each call to another member for a grant or a seal.
 	grantTimeout = time.Second
 )
 
-// keepGrants asks for grants whenever they are needed, until the node stops.
-func (n *Node) keepGrants() {
-	n.every(grantsEvery, func(context.Context) {
-		n.askGrants(time.Now())
+// maintainGrants requests grants whenever they are needed, until the node stops.
+func (n *Node) maintainGrants() {
+	n.runPeriodically(grantCheckInterval, func(context.Context) {
+		n.requestGrants(time.Now())
 	})
 }
 
-// askGrants asks all members of the newest era to let keys keep their owners for longer. It
-// is needed only while the table does not move the firm horizon on.
-func (n *Node) askGrants(now time.Time) {
+// requestGrants asks all members of the newest era to grant that keys keep their owners for longer (see kernel.Grants).
+// This is only needed while the table is unavailable and the firm horizon can't be extended: nothing is requested while
+// this node may run keys issued more than half of the firm horizon ahead.
+func (n *Node) requestGrants(now time.Time) {
 	row := n.claims.current()
 	firm := n.coordinator().FirmHorizon
 	if row.Number == 0 || n.claims.bound().Sub(now) > firm/2 {
@@ -46,48 +48,48 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			n.askGrant(m, message)
+			n.requestGrant(m, message)
 		}()
 	}
 	wg.Wait()
 }
 
-func (n *Node) askGrant(m kernel.Member, message peer.Grant) {
+func (n *Node) requestGrant(m kernel.Member, message peer.Grant) {
 	ctx, cancel := context.WithTimeout(n.ctx, grantTimeout)
 	defer cancel()
 	var reply peer.GrantReply
 	if err := n.peers.Call(ctx, m.Address, peer.KindGrant, message, &reply); err != nil || !reply.Granted {
-		n.metrics.Event("GrantMissing")
+		n.metrics.CountEvent("GrantMissing")
 		return
 	}
-	n.claims.takeGrant(m.ID(), message.Era, reply.Until)
+	n.claims.recordGrant(m.ID(), message.Era, reply.Until)
 }
 
-func (c *claimsCoordinator) grant(message peer.Grant) (time.Time, bool) {
+func (c *claimsState) grant(message peer.Grant) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.Grant(c.row, message.Era, message.Until)
 }
 
-func (c *claimsCoordinator) takeGrant(member string, era uint64, until time.Time) {
+func (c *claimsState) recordGrant(member string, era uint64, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grants.Record(member, era, until)
 }
 
-func (c *claimsCoordinator) seal(number uint64) time.Time {
+func (c *claimsState) seal(number uint64) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.Seal(c.row, number)
 }
 
-func (c *claimsCoordinator) beginEra(row kernel.Claims) time.Time {
+func (c *claimsState) beginEra(row kernel.Claims) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.BeginEra(row)
 }
 
-func (n *Node) answerGrant(_ context.Context, body []byte) (any, error) {
+func (n *Node) handleGrant(_ context.Context, body []byte) (any, error) {
 	var message peer.Grant
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
@@ -96,9 +98,9 @@
 	return peer.GrantReply{Granted: granted, Until: until}, nil
 }
 
-// answerSeal is asked by a node outside the era that is about to write the next one. A member
-// that has not read the row yet cannot say how far it granted in that row's newest era.
-func (n *Node) answerSeal(_ context.Context, body []byte) (any, error) {
+// handleSeal answers a node outside the newest era that is about to write the next one. A member that has not read the
+// row yet does not seal, because it does not know up to what key time it has granted in that row's newest era.
+func (n *Node) handleSeal(_ context.Context, body []byte) (any, error) {
 	var message peer.Seal
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
@@ -109,8 +111,8 @@
 	return peer.SealReply{Sealed: true, From: n.claims.seal(message.Number)}, nil
 }
 
-// sealEra returns above what key time a new era must start: what this node granted, if it is
-// of the newest era, else what a member of that era says, else the whole horizon.
+// sealEra returns the earliest key time at which a new era may start: what this node has granted, if it is a member of
+// the newest era; else what a member of that era reports and seals; else the horizon of the row.
 func (n *Node) sealEra(row kernel.Claims) time.Time {
 	for _, m := range row.NewestEra().Members {
 		if m.ID() == n.member.ID() {
@@ -129,14 +131,14 @@
 			return reply.From
 		}
 	}
-	n.metrics.Event("EraAboveHorizon")
+	n.metrics.CountEvent("EraAboveHorizon")
 	return row.Horizon
 }
 
-// cancelEra lets grants go on after a write that certainly had no effect.
-func (n *Node) cancelEra(err error) {
+// cancelEra resumes the grants of this member if the error shows that the write of the row certainly had no effect.
+func (n *Node) cancelEra(writeErr error) {
 	var conflict *table.Conflict
-	if !errors.As(err, &conflict) && !errors.Is(err, table.ErrUnavailable) {
+	if !errors.As(writeErr, &conflict) && !errors.Is(writeErr, table.ErrUnavailable) {
 		return
 	}
 	n.claims.mu.Lock()
--- a/node/orders.go
+++ b/node/orders.go
@@ -13,62 +13,67 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// ordersEvery is how often wanted and reported states are compared.
-const ordersEvery = 500 * time.Millisecond
+// orderInterval is how often the demand for adapters is compared with what the engines report.
+const orderInterval = 500 * time.Millisecond
 
 type (
-	// orderer gives orders to the engines of the pools whose leases this node holds, and
-	// tells the holders of other pools what is wanted. A pool that nobody wants an adapter
-	// of costs nothing: no lease, no reads.
-	orderer struct {
-		mu     sync.Mutex
-		pools  map[string]*orderedPool
+	// orderController sends orders to the engines of the pools whose leases this node holds, and reports the demand for
+	// adapters of other pools to the holders of their leases. A pool without demand causes no lease and no reads of
+	// the table.
+	orderController struct {
+		mu sync.Mutex
+		// pools holds the pools with demand, by name.
+		pools  map[string]*poolOrders
 		client *engine.Client
 	}
 
-	orderedPool struct {
-		watch  kernel.LeaseView
-		orders *kernel.OrderPlanner
-		// wanted is what this node's requests want, until it was told to the holder.
-		wanted map[string]kernel.Demand
-		// lastWanted is when any adapter was last wanted or reported here.
-		lastWanted time.Time
+	// poolOrders is the state of one pool with demand for adapters.
+	poolOrders struct {
+		lease kernel.LeaseView
+		// planner collects the demand that is reported to this node, and plans orders while this node holds the lease.
+		planner *kernel.OrderPlanner
+		// unsentDemands holds the demand of this node's requests that was not yet sent to the holder, by adapter.
+		unsentDemands map[string]kernel.Demand
+		// lastDemandAt is when a request of this node last used an adapter, or another node last reported demand.
+		lastDemandAt time.Time
 	}
 )
 
-func newOrderer() *orderer {
-	return &orderer{pools: map[string]*orderedPool{}, client: engine.NewClient()}
+func newOrderController() *orderController {
+	return &orderController{pools: map[string]*poolOrders{}, client: engine.NewClient()}
 }
 
-// want notes that a request wants an adapter of a pool.
-func (o *orderer) want(pool string, demand kernel.Demand, rate time.Duration) {
+// addDemand records the demand of a request for an adapter of a pool. It keeps the earliest deadline among the requests
+// that wait for the adapter.
+func (o *orderController) addDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	p := o.pool(pool, rate)
-	p.lastWanted = demand.Used
-	known, ok := p.wanted[demand.Adapter]
+	p := o.pool(pool, loadInterval)
+	p.lastDemandAt = demand.Used
+	known, ok := p.unsentDemands[demand.Adapter]
 	if ok && !known.Deadline.IsZero() && known.Deadline.Before(demand.Deadline) {
 		demand.Deadline = known.Deadline
 	}
-	p.wanted[demand.Adapter] = demand
+	p.unsentDemands[demand.Adapter] = demand
 }
 
-func (o *orderer) pool(name string, rate time.Duration) *orderedPool {
+// pool returns the state of a pool, and creates it if there is none. The caller holds mu.
+func (o *orderController) pool(name string, loadInterval time.Duration) *poolOrders {
 	p := o.pools[name]
 	if p == nil {
-		p = &orderedPool{orders: kernel.NewOrderPlanner(rate), wanted: map[string]kernel.Demand{}}
+		p = &poolOrders{planner: kernel.NewOrderPlanner(loadInterval), unsentDemands: map[string]kernel.Demand{}}
 		o.pools[name] = p
 	}
 	return p
 }
 
-// active returns the pools that anything is wanted of, and forgets the others.
-func (o *orderer) active(now time.Time) []string {
+// activePools returns the names of the pools with recent demand, and removes the others.
+func (o *orderController) activePools(now time.Time) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var names []string
 	for name, p := range o.pools {
-		if now.Sub(p.lastWanted) > 2*kernel.AdapterIdleTimeout {
+		if now.Sub(p.lastDemandAt) > 2*kernel.AdapterIdleTimeout {
 			delete(o.pools, name)
 			continue
 		}
@@ -77,139 +82,146 @@
 	return names
 }
 
-// noteAdapter takes in that a request uses an adapter; waiting tells that no engine has it.
-func (n *Node) noteAdapter(pool, adapter string, deadline time.Time, waiting bool) {
+// recordAdapterUse records that a request uses an adapter. If waiting is true, no engine has the adapter loaded.
+func (n *Node) recordAdapterUse(pool, adapter string, deadline time.Time, waiting bool) {
 	demand := kernel.Demand{Adapter: adapter, Used: time.Now()}
 	if waiting {
 		demand.Deadline = deadline
 	}
-	n.orderer.want(pool, demand, n.Settings().Fleet.WeightLoadEvery)
+	n.orderer.addDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
 }
 
-// giveOrders keeps the leases and gives the orders until the node stops.
-func (n *Node) giveOrders() {
-	n.every(ordersEvery, func(ctx context.Context) {
-		for _, name := range n.orderer.active(time.Now()) {
-			n.ordersFor(ctx, name)
+// maintainAdapters maintains the leases of the pools with demand and sends orders to their engines, until the node
+// stops.
+func (n *Node) maintainAdapters() {
+	n.runPeriodically(orderInterval, func(ctx context.Context) {
+		for _, name := range n.orderer.activePools(time.Now()) {
+			n.maintainPool(ctx, name)
 		}
 	})
 }
 
-func (n *Node) ordersFor(ctx context.Context, name string) {
+// maintainPool maintains the lease of a pool, reports the demand of this node's requests, and sends orders if this node
+// holds the lease.
+func (n *Node) maintainPool(ctx context.Context, name string) {
 	if n.draining.Load() {
 		return
 	}
 	n.readLease(ctx, name)
-	n.takeLease(ctx, name)
-	n.tellDemand(ctx, name)
-	n.plan(ctx, name)
+	n.renewOrAcquireLease(ctx, name)
+	n.sendDemands(ctx, name)
+	n.planOrders(ctx, name)
 }
 
-func (n *Node) watchOf(name string) kernel.LeaseView {
+func (n *Node) leaseView(name string) kernel.LeaseView {
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	if p := n.orderer.pools[name]; p != nil {
-		return p.watch
+		return p.lease
 	}
 	return kernel.LeaseView{}
 }
 
-func (n *Node) setWatch(name string, watch kernel.LeaseView) {
+func (n *Node) setLeaseView(name string, view kernel.LeaseView) {
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	if p := n.orderer.pools[name]; p != nil {
-		p.watch = watch
+		p.lease = view
 	}
 }
 
-// readLease reads the row unless this node holds the lease.
+// readLease reads the lease row of a pool, unless this node holds the lease.
 func (n *Node) readLease(ctx context.Context, name string) {
-	watch := n.watchOf(name)
-	if watch.MayOrder(time.Now()) {
+	view := n.leaseView(name)
+	if view.MayOrder(time.Now()) {
 		return
 	}
 	lease, version, err := n.store.Lease(ctx, name)
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err == nil {
-		n.setWatch(name, watch.WithRead(time.Now(), lease, version))
+		n.setLeaseView(name, view.WithRead(time.Now(), lease, version))
 	}
 }
 
-// takeLease renews a lease that is held, or takes one that has lapsed.
-func (n *Node) takeLease(ctx context.Context, name string) {
+// renewOrAcquireLease renews the lease of a pool if this node holds it, or acquires it if it has expired and this node
+// is a candidate.
+func (n *Node) renewOrAcquireLease(ctx context.Context, name string) {
 	alive, _ := n.fleet.alive()
-	rank, standsBy := kernel.LeaseRank(name, n.member, alive)
-	watch := n.watchOf(name)
+	rank, candidate := kernel.LeaseRank(name, n.member, alive)
+	view := n.leaseView(name)
 	now := time.Now()
-	next := kernel.Lease{Holder: n.member, Number: watch.Lease.Number, Writer: uuid.NewString()}
+	next := kernel.Lease{Holder: n.member, Number: view.Lease.Number, Writer: uuid.NewString()}
 	switch {
-	case watch.ShouldRenew(now):
-	case standsBy && watch.MayAcquire(now, rank):
+	case view.ShouldRenew(now):
+	case candidate && view.MayAcquire(now, rank):
 		next.Number++
 	default:
 		return
 	}
 	sent := time.Now()
-	version, err := n.store.CompareAndSwapLease(ctx, name, watch.Version, next)
-	n.noteTable(err)
+	version, err := n.store.CompareAndSwapLease(ctx, name, view.Version, next)
+	n.recordTableResult(err)
 	if err != nil {
 		return
 	}
-	n.setWatch(name, watch.WithWrite(time.Now(), sent, next, version))
-	if next.Number != watch.Lease.Number {
-		n.metrics.Event("LeaseTaken")
-		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease taken")
+	n.setLeaseView(name, view.WithWrite(time.Now(), sent, next, version))
+	if next.Number != view.Lease.Number {
+		n.metrics.CountEvent("LeaseTaken")
+		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease acquired")
 	}
 }
 
-// tellDemand hands what is wanted to the planner, here or at the holder.
-func (n *Node) tellDemand(ctx context.Context, name string) {
+// sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the
+// call fails, this demand is not sent again.
+func (n *Node) sendDemands(ctx context.Context, name string) {
 	n.orderer.mu.Lock()
 	p := n.orderer.pools[name]
-	if p == nil || len(p.wanted) == 0 || p.watch.Lease.Number == 0 {
+	if p == nil || len(p.unsentDemands) == 0 || p.lease.Lease.Number == 0 {
 		n.orderer.mu.Unlock()
 		return
 	}
-	wanted := make([]kernel.Demand, 0, len(p.wanted))
-	for _, d := range p.wanted {
-		wanted = append(wanted, d)
+	demands := make([]kernel.Demand, 0, len(p.unsentDemands))
+	for _, d := range p.unsentDemands {
+		demands = append(demands, d)
 	}
-	clear(p.wanted)
-	holder := p.watch.Lease.Holder
+	clear(p.unsentDemands)
+	holder := p.lease.Lease.Holder
 	n.orderer.mu.Unlock()
 	if holder.ID() == n.member.ID() {
-		n.takeDemand(name, wanted)
+		n.addDemands(name, demands)
 		return
 	}
 	var reply peer.Empty
-	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: wanted}, &reply); err != nil {
-		n.metrics.Event("DemandFailed")
+	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: demands}, &reply); err != nil {
+		n.metrics.CountEvent("DemandFailed")
 	}
 }
 
-func (n *Node) takeDemand(name string, wanted []kernel.Demand) {
+// addDemands adds the demand of this or another node to the planner of a pool.
+func (n *Node) addDemands(name string, demands []kernel.Demand) {
 	now := time.Now()
 	n.orderer.mu.Lock()
 	defer n.orderer.mu.Unlock()
 	p := n.orderer.pool(name, n.Settings().Fleet.WeightLoadEvery)
-	p.lastWanted = now
-	for _, d := range wanted {
-		p.orders.AddDemand(now, d)
+	p.lastDemandAt = now
+	for _, d := range demands {
+		p.planner.AddDemand(now, d)
 	}
 }
 
-func (n *Node) answerDemand(_ context.Context, body []byte) (any, error) {
-	var d peer.Demand
-	if err := peer.DecodeBody(body, &d); err != nil {
+func (n *Node) handleDemand(_ context.Context, body []byte) (any, error) {
+	var message peer.Demand
+	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
-	n.takeDemand(d.Pool, d.Wanted)
+	n.addDemands(message.Pool, message.Wanted)
 	return peer.Empty{}, nil
 }
 
-// plan compares what is wanted with what the engines report, and sends the orders.
-func (n *Node) plan(ctx context.Context, name string) {
-	if !n.watchOf(name).MayOrder(time.Now()) {
+// planOrders compares the demand with what the engines report, and sends the resulting orders if this node holds the
+// lease.
+func (n *Node) planOrders(ctx context.Context, name string) {
+	if !n.leaseView(name).MayOrder(time.Now()) {
 		return
 	}
 	endpoints := n.dispatcher.Endpoints(name)
@@ -220,16 +232,17 @@
 		n.orderer.mu.Unlock()
 		return
 	}
-	p.orders.LoadInterval = n.Settings().Fleet.WeightLoadEvery
-	orders := p.orders.Plan(time.Now(), views)
+	p.planner.LoadInterval = n.Settings().Fleet.WeightLoadEvery
+	orders := p.planner.Plan(time.Now(), views)
 	n.orderer.mu.Unlock()
 	for _, order := range orders {
 		go n.sendOrder(ctx, name, order, endpoints)
 	}
 }
 
+// engineViews asks all endpoints for their states at once. Endpoints that do not answer are left out.
 func (n *Node) engineViews(ctx context.Context, endpoints []model.Endpoint) []kernel.EngineView {
-	states := make([]kernel.EngineView, len(endpoints))
+	reported := make([]kernel.EngineView, len(endpoints))
 	var wg sync.WaitGroup
 	for i, e := range endpoints {
 		wg.Add(1)
@@ -237,13 +250,13 @@
 			defer wg.Done()
 			state, err := n.orderer.client.State(ctx, e.Address)
 			if err == nil {
-				states[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
+				reported[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
 			}
 		}()
 	}
 	wg.Wait()
 	var views []kernel.EngineView
-	for _, v := range states {
+	for _, v := range reported {
 		if v.Name != "" {
 			views = append(views, v)
 		}
@@ -251,27 +264,28 @@
 	return views
 }
 
-// sendOrder checks the lease by the monotonic clock just before it sends.
+// sendOrder sends an order to its engine, unless the lease has expired. The lease is checked on the monotonic clock
+// just before the order is sent.
 func (n *Node) sendOrder(ctx context.Context, name string, order kernel.Order, endpoints []model.Endpoint) {
 	defer func() {
 		n.orderer.mu.Lock()
 		defer n.orderer.mu.Unlock()
 		if p := n.orderer.pools[name]; p != nil {
-			p.orders.OrderEnded(order)
+			p.planner.OrderEnded(order)
 		}
 	}()
 	for _, e := range endpoints {
 		if e.Name != order.Engine {
 			continue
 		}
-		watch := n.watchOf(name)
-		if !watch.MayOrder(time.Now()) {
-			n.metrics.Event("OrderHeldBack")
+		view := n.leaseView(name)
+		if !view.MayOrder(time.Now()) {
+			n.metrics.CountEvent("OrderHeldBack")
 			return
 		}
-		n.metrics.Event("OrderSent")
-		if err := n.orderer.client.Order(ctx, e.Address, order, watch.Lease.Number); err != nil {
-			n.metrics.Event("OrderFailed")
+		n.metrics.CountEvent("OrderSent")
+		if err := n.orderer.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
+			n.metrics.CountEvent("OrderFailed")
 		}
 	}
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -13,10 +13,10 @@
 	"basilstall.example/basilstall/quarantine"
 )
 
-var errNoMember = errors.New("node: no such member")
+var errUnknownMember = errors.New("node: no such member")
 
-// newQuarantine returns the node's part in the quarantine.
-func (n *Node) newQuarantine() *quarantine.Coordinator {
+// newQuarantineCoordinator returns the quarantine coordinator of this node.
+func (n *Node) newQuarantineCoordinator() *quarantine.Coordinator {
 	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
 		Call:  n.callMember,
@@ -27,22 +27,24 @@
 			}
 			return conn.Close()
 		},
-		Store: n.storeHeld,
+		Store: n.storeQuarantineChange,
 	}, time.Now, n.metrics, n.log)
 }
 
-// coordinatorPeers returns the members that may keep a pool's cases, this one among them.
+// coordinatorPeers returns the members that may coordinate the quarantine of a pool: the live ones, and this node even
+// while it is leaving.
 func (n *Node) coordinatorPeers() []kernel.Peer {
-	out := []kernel.Peer{{Name: n.member.Node}}
+	peers := []kernel.Peer{{Name: n.member.Node}}
 	members, _ := n.fleet.alive()
 	for _, m := range members {
 		if m.Node != n.member.Node {
-			out = append(out, kernel.Peer{Name: m.Node})
+			peers = append(peers, kernel.Peer{Name: m.Node})
 		}
 	}
-	return out
+	return peers
 }
 
+// callMember calls the live member on the named node and decodes its answer into reply.
 func (n *Node) callMember(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 	members, _ := n.fleet.alive()
 	for _, m := range members {
@@ -50,20 +52,22 @@
 			return n.peers.Call(ctx, m.Address, kind, message, reply)
 		}
 	}
-	return errNoMember
+	return errUnknownMember
 }
 
-// storeHeld writes a change into the table; heartbeats tell the others that there is something to read.
-func (n *Node) storeHeld(ctx context.Context, change kernel.QuarantineChange) error {
-	return n.noteNotice(n.store.ChangeHeld(ctx, change))
+// storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there
+// is a new version to read.
+func (n *Node) storeQuarantineChange(ctx context.Context, change kernel.QuarantineChange) error {
+	return n.recordNoticeWrite(n.store.ChangeHeld(ctx, change))
 }
 
-// brokeOff notes that an endpoint broke off while it worked on a request.
-func (n *Node) brokeOff(e model.Endpoint, req model.Request) {
+// recordDisconnect records that the connection to an endpoint broke while the endpoint may have worked on a request.
+func (n *Node) recordDisconnect(e model.Endpoint, req model.Request) {
 	n.quarantine.RecordDisconnect(e, req.Digest())
 }
 
-// mayCall tells whether a request may be sent to an endpoint.
-func (n *Node) mayCall(req model.Request) *model.Refusal {
+// checkQuarantine returns a refusal if a request is held back. It is called right before a request is sent to an
+// endpoint.
+func (n *Node) checkQuarantine(req model.Request) *model.Refusal {
 	return n.quarantine.Check(req.Digest())
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -11,15 +11,15 @@
 	"github.com/go-faster/errors"
 )
 
-// Client calls a node as an operator does.
+// Client calls the operators' API of a node.
 type Client struct {
-	// Base is the node's URL, http://HOST:PORT.
-	Base  string
-	Token string
-	HTTP  *http.Client
+	// BaseURL is the URL of the node, of the form http://HOST:PORT.
+	BaseURL string
+	Token   string
+	HTTP    *http.Client
 }
 
-// ResponseError is an answer other than 200.
+// ResponseError is a response with a status other than 200.
 type ResponseError struct {
 	Status int
 	Body   []byte
@@ -34,13 +34,14 @@
 	return http.StatusText(e.Status)
 }
 
-// Get reads a path into a value.
+// Get requests a path and decodes the response into a value.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	return c.do(ctx, http.MethodGet, path, nil, into)
 }
 
-// Set asks for a change of the document at a path. A result comes with an error status too.
-func (c *Client) Set(ctx context.Context, path string, change Change) (ChangeResult, error) {
+// SetDocument requests a change of the document at a path. If a response with an error status holds a ChangeResult,
+// SetDocument returns that without an error.
+func (c *Client) SetDocument(ctx context.Context, path string, change Change) (ChangeResult, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
 		return ChangeResult{}, errors.Wrap(err, "operator: unable to encode")
@@ -54,19 +55,19 @@
 	return result, err
 }
 
-// Check asks what is wrong with a document; nil if it is good.
-func (c *Client) Check(ctx context.Context, path string, document []byte) error {
+// CheckDocument checks a document without setting it. It returns nil if the document is valid at the path.
+func (c *Client) CheckDocument(ctx context.Context, path string, document []byte) error {
 	var problem Problem
 	return c.do(ctx, http.MethodPost, "/v1/check/"+path, document, &problem)
 }
 
-// HistoryPath returns the path of a document's history.
+// HistoryPath returns the URL path of the history of the document at a path.
 func HistoryPath(path string) string {
 	return "/v1/history?" + url.Values{"path": {path}}.Encode()
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "operator: unable to make a request")
 	}
--- a/peer/client.go
+++ b/peer/client.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	dialTimeout  = time.Second
-	helloTimeout = 2 * time.Second
-	// usualSilence is after which time without a byte a connection with calls in flight is held silent, where the
-	// client is not told another.
-	usualSilence = 1500 * time.Millisecond
+	dialTimeout         = time.Second
+	defaultHelloTimeout = 2 * time.Second
+	// defaultSilenceTimeout is the silence timeout of a client on which SetSilenceTimeout is not called.
+	defaultSilenceTimeout = 1500 * time.Millisecond
 )
 
-// ErrRefused is returned where the peer refused the token.
-var ErrRefused = errors.New("peer: the token was refused")
+// ErrTokenRefused is returned if the peer rejects the client's token.
+var ErrTokenRefused = errors.New("peer: the token was refused")
 
 type (
-	// Client calls peers. It opens a connection to a peer when one is needed and is safe for
+	// Client calls peers. It keeps one connection to each peer, which it opens on the first call. It is safe for
 	// concurrent use.
 	Client struct {
 		hello Hello
 		mu    sync.Mutex
 		conns map[string]*clientConn
-		// dialing keeps concurrent calls from opening several connections to one peer.
-		dialing map[string]*sync.Mutex
-		closed  bool
-		// silentAfter is after which time without a byte a connection with calls in flight is
-		// held silent; helloAfter bounds the first exchange on a new one.
-		silentAfter time.Duration
-		helloAfter  time.Duration
+		// dialLocks holds a lock for each address, so that concurrent calls do not open several connections to one
+		// peer.
+		dialLocks map[string]*sync.Mutex
+		closed    bool
+		// silenceTimeout is how long nothing may be received on a connection with calls in flight before it is
+		// closed. helloTimeout bounds the exchange of Hello and HelloReply on a new connection.
+		silenceTimeout time.Duration
+		helloTimeout   time.Duration
 	}
 
-	// CallError is the error of a call that got no reply.
+	// CallError is the error of a call that got no valid reply.
 	CallError struct {
-		// Verdict is NotRun only if nothing of the call was written.
+		// Verdict is NotRun only if no part of the call was written to the connection.
 		Verdict model.Verdict
 		Err     error
-		// Received is how many bytes came from the peer while the call waited, other calls' among them.
+		// Received is the number of bytes received on the connection during the call, including replies to other
+		// calls.
 		Received int64
 	}
 )
@@ -59,41 +60,40 @@
 	return e.Err
 }
 
-// NewClient returns a client that introduces itself as a node.
+// NewClient returns a client that identifies itself to peers with the name of its node and a token.
 func NewClient(node, token string) *Client {
 	return &Client{
-		hello:   Hello{Token: token, Node: node, Unpacks: true},
-		conns:   map[string]*clientConn{},
-		dialing: map[string]*sync.Mutex{},
+		hello:     Hello{Token: token, Node: node, Unpacks: true},
+		conns:     map[string]*clientConn{},
+		dialLocks: map[string]*sync.Mutex{},
 
-		silentAfter: usualSilence,
-		helloAfter:  helloTimeout,
+		silenceTimeout: defaultSilenceTimeout,
+		helloTimeout:   defaultHelloTimeout,
 	}
 }
 
-// SetSilence sets after which time without a byte a connection with calls in flight is held silent. It
-// is to be called before the first call.
-func (c *Client) SetSilence(after time.Duration) {
-	c.silentAfter = after
-	c.helloAfter = after
+// SetSilenceTimeout sets how long nothing may be received on a connection with calls in flight before it is closed. It
+// also bounds dialing and the first exchange on a new connection. It must be called before the first call.
+func (c *Client) SetSilenceTimeout(timeout time.Duration) {
+	c.silenceTimeout = timeout
+	c.helloTimeout = timeout
 }
 
-// Call sends a message to the peer at an address and decodes its reply. The error is a
-// *CallError.
+// Call sends a message to the peer at an address and decodes its reply into reply. The error is a *CallError.
 func (c *Client) Call(ctx context.Context, address string, kind Kind, message, reply any) error {
-	return c.callHearing(ctx, nil, address, kind, message, reply)
+	return c.callWithSilence(ctx, nil, address, kind, message, reply)
 }
 
-// CallUnlessSilent is Call for a reply that may be large: it ends where nothing comes from the peer for a
-// time, and with ctx.
-func (c *Client) CallUnlessSilent(ctx context.Context, after time.Duration, address string, kind Kind, message, reply any) error {
-	ctx, silence := clock.WithSilence(ctx, after, after)
+// CallUnlessSilent is like Call, for replies that may be large: the call fails if nothing is received from the peer for
+// timeout, or when ctx is done.
+func (c *Client) CallUnlessSilent(ctx context.Context, timeout time.Duration, address string, kind Kind, message, reply any) error {
+	ctx, silence := clock.WithIdleTimeout(ctx, timeout, timeout)
 	defer silence.Stop()
-	return c.callHearing(ctx, silence, address, kind, message, reply)
+	return c.callWithSilence(ctx, silence, address, kind, message, reply)
 }
 
-// callHearing carries a call out; silence, where there is one, hears what comes from the peer meanwhile.
-func (c *Client) callHearing(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
+// callWithSilence performs a call. If silence is not nil, it is reset whenever bytes are received on the connection.
+func (c *Client) callWithSilence(ctx context.Context, silence *clock.IdleTimeout, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	replyBody, err := frame.body()
+	replyBody, err := frame.decompressedBody()
 	if err != nil {
 		return &CallError{Verdict: model.MayHaveRun, Err: err}
 	}
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// Close closes all connections.
+// Close closes all connections. Calls in flight fail, as do later calls.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -128,11 +128,12 @@
 	}
 }
 
+// connection returns the connection to an address and opens it if necessary.
 func (c *Client) connection(ctx context.Context, address string) (*clientConn, error) {
 	lock := c.dialLock(address)
 	lock.Lock()
 	defer lock.Unlock()
-	if conn := c.open(address); conn != nil {
+	if conn := c.cachedConn(address); conn != nil {
 		return conn, nil
 	}
 	conn, err := c.dial(ctx, address)
@@ -152,15 +153,16 @@
 func (c *Client) dialLock(address string) *sync.Mutex {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lock := c.dialing[address]
+	lock := c.dialLocks[address]
 	if lock == nil {
 		lock = &sync.Mutex{}
-		c.dialing[address] = lock
+		c.dialLocks[address] = lock
 	}
 	return lock
 }
 
-func (c *Client) open(address string) *clientConn {
+// cachedConn returns the open connection to an address, or nil if there is none.
+func (c *Client) cachedConn(address string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn := c.conns[address]
@@ -176,14 +178,15 @@
 	}
 }
 
+// dial opens a connection and sends Hello on it.
 func (c *Client) dial(ctx context.Context, address string) (*clientConn, error) {
-	dialer := net.Dialer{Timeout: min(dialTimeout, c.silentAfter)}
+	dialer := net.Dialer{Timeout: min(dialTimeout, c.silenceTimeout)}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn := newClientConn(raw, c.silentAfter)
-	helloCtx, cancel := context.WithTimeout(ctx, c.helloAfter)
+	conn := newClientConn(raw, c.silenceTimeout)
+	helloCtx, cancel := context.WithTimeout(ctx, c.helloTimeout)
 	defer cancel()
 	body, err := EncodeBody(c.hello)
 	if err != nil {
@@ -202,7 +205,7 @@
 	}
 	if reply.Refused {
 		conn.close()
-		return nil, ErrRefused
+		return nil, ErrTokenRefused
 	}
 	return conn, nil
 }
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -13,7 +13,7 @@
 )
 
 // The failure domain of an endpoint may be evacuated after the endpoint was chosen for a request, while the connection
-// is being opened. The request goes to another endpoint, and the first one's health does not suffer.
+// is being opened. The request goes to another endpoint, and this does not count as a failure of the first one.
 func TestEvacuationBeforeSendMovesRequest(t *testing.T) {
 	b := newTestBed(t)
 	now := time.Now()
@@ -39,7 +39,7 @@
 	must.Nil(t, outcome.Refusal)
 	must.True(t, outcome.Complete)
 	must.SliceLen(t, 1, sent)
-	must.False(t, b.relay.Registry().Evacuations().Holds(sent[0]))
+	must.False(t, b.relay.Registry().Evacuations().Contains(sent[0]))
 	b.relay.ApplyEvacuationChange(kernel.EvacuationChange{Restored: b.relay.Registry().Evacuations().Domains()})
 	must.Nil(t, b.serve("/get/two").Refusal)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,11 @@
-// Package relay runs callers' requests: it has the pieces of their stages made, sends each request to an
-// endpoint and streams the answer back. It does the I/O for the decisions of package kernel; the
-// functions in Dependencies implement the wire formats.
+// Package relay runs callers' requests: it runs the stages of each request, sends the request to an endpoint and
+// streams the answer back. It does the I/O for the decisions of package kernel; the functions in Dependencies
+// implement the wire formats.
+//
+// The work of a stage is split into pieces, each of which a worker, an endpoint of the stage's pool, makes into a
+// result. For each pool one node is the batcher: all nodes send it their pieces, those of one stage of one request
+// as a group, and it batches the pieces of several groups into calls to the workers. A worker holds a result until
+// the result is freed or expires.
 package relay
 
 import (
@@ -60,7 +65,7 @@
 		remoteGroups *remoteGroups
 		// activeCalls holds the calls in flight, which are cancelled when their endpoint restarts.
 		activeCalls *callTracker
-		// refusedRequests holds the refused requests of the pools that this node coordinates.
+		// refusedRequests holds the refused requests of the pools for which this node is the refusedRequestsCoordinator.
 		refusedRequests *refusedRequests
 		// quarantine holds back requests that crash the endpoints that run them.
 		quarantine *quarantine.Coordinator
@@ -75,7 +80,7 @@
 		cancel      context.CancelFunc
 	}
 
-	// Node is a node that can batch pieces: another one or this one.
+	// Node is a node that can batch pieces: another one or this one. Each node stores its own as JSON in the store.
 	Node struct {
 		Name    string
 		Domain  string
@@ -101,7 +106,7 @@
 		peers:          peer.NewClient(options.Name, ""),
 		pools:          map[string]*pool{},
 	}
-	r.peers.SetSilence(peerSilenceTimeout)
+	r.peers.SetSilenceTimeout(peerSilenceTimeout)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.batchers = newBatcherSet(r)
 	r.remoteGroups = newRemoteGroups()
@@ -147,7 +152,7 @@
 	r.stopsAt.Store(&stopsAt)
 }
 
-// Leaving reports whether Leave was called: callers should open new connections to other nodes.
+// Leaving reports whether Leave was called. If so, callers should open new connections to other nodes.
 func (r *Relay) Leaving() bool {
 	return r.stopsAt.Load() != nil
 }
@@ -195,7 +200,7 @@
 	if view.Table == old.Table {
 		return
 	}
-	r.metrics.Event("RoutingChanged")
+	r.metrics.CountEvent("RoutingChanged")
 	r.log.Info().Uint64("Version", view.Table.Version()).Uint64("Before", old.Table.Version()).Msg("routing in force")
 	r.batchers.applyRouting(view.Table)
 	r.batchers.setEndpoints(r.Registry())
@@ -223,11 +228,11 @@
 	}
 	r.UpdateRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
 	for _, domain := range news.Evacuated {
-		r.metrics.Event("DomainEvacuated")
+		r.metrics.CountEvent("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
 	}
 	for _, domain := range news.Restored {
-		r.metrics.Event("DomainTakenBack")
+		r.metrics.CountEvent("DomainTakenBack")
 		r.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
 }
@@ -270,24 +275,24 @@
 	} else {
 		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stageTimes
+	outcome.Stages = job.stageTimings
 	f = job.forward
 	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimings) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
 	case outcome.Refusal != nil:
-		r.metrics.Refused(outcome.Refusal)
-		r.metrics.RefusedAfter(outcome.Refusal, r.now().Sub(f.ReceivedAt))
+		r.metrics.CountRefusal(outcome.Refusal)
+		r.metrics.ObserveRefusalTime(outcome.Refusal, r.now().Sub(f.ReceivedAt))
 		if outcome.Refusal.Verdict == model.NotRun && outcome.Refusal.RetryAfter > 0 {
 			r.recordRefused(job.forward, admission)
 		}
 	case !outcome.Complete:
-		r.metrics.Event("AnswerBrokenOff")
+		r.metrics.CountEvent("AnswerBrokenOff")
 	default:
 		r.quarantine.RecordAnswer(f.Digest)
-		r.metrics.Answered(admission.Route.Name, r.now().Sub(f.ReceivedAt))
+		r.metrics.ObserveAnswer(admission.Route.Name, r.now().Sub(f.ReceivedAt))
 	}
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
 		r.quarantine.CancelTrial(f.Digest)
@@ -298,8 +303,8 @@
 
 // refuseUnstarted refuses a request before any work on it has started.
 func (r *Relay) refuseUnstarted(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
-	r.metrics.Refused(refusal)
-	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
+	r.metrics.CountRefusal(refusal)
+	r.metrics.ObserveRefusalTime(refusal, r.now().Sub(f.ReceivedAt))
 	r.logOutcome(f, a, view, Outcome{Refusal: refusal})
 	return Outcome{Refusal: refusal}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -99,18 +99,18 @@
 	b.setRoutes(time.Minute, route)
 }
 
-func (b *testBed) setRoutes(objective time.Duration, more ...model.Route) {
+func (b *testBed) setRoutes(objective time.Duration, extra ...model.Route) {
 	b.routingVersion++
 	now := time.Now()
 	stages := []model.StageNode{{Pool: "workers", ResultBytes: 1000}}
 	b.relay.SetRouting(now, kernel.NewRouteTable(model.Routing{
 		Version: b.routingVersion,
-		Routes: append(more, []model.Route{
+		Routes: append(extra, []model.Route{
 			{Name: "get", Host: "h", Prefix: "/get/", Kind: model.Safe, Timeout: time.Minute, Objective: objective, MaxAttempts: 2, Split: []model.WeightedPool{{Pool: "plain"}}},
 			{Name: "gen", Host: "h", Prefix: "/gen/", Kind: model.Stream, Timeout: time.Minute, Objective: objective, MaxAttempts: 1, Split: []model.WeightedPool{{Pool: "engines"}}, Stages: stages},
 		}...),
 		Pools: map[string]model.Pool{"workers": {Name: "workers", ColdRate: 4, Pieces: &model.PieceTraits{
-			Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, Room: 18_000_000, Keep: time.Minute,
+			Slots: 1, MaxBatch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, Room: 18_000_000, ResultTTL: time.Minute,
 		}}},
 	}))
 }
@@ -208,7 +208,7 @@
 
 // A batcher may answer late because a call takes long. Only a silent batcher counts as lost. Guards against a second
 // node that batches for the same pool at the same time.
-func TestLateGroupDoesNotSuspectBatcher(t *testing.T) {
+func TestLateBatcherIsNotSuspected(t *testing.T) {
 	b := newTestBed(t)
 	batcher, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -11,8 +11,8 @@
 )
 
 // refusedRequests is a kernel.RefusedRequests that is safe for concurrent use. For each pool of stages, one node holds
-// it: the pool's batcher, which all nodes talk to anyway. It is soft state: if the batcher is lost, callers that retry
-// count as new ones.
+// it: the first by hash, which usually is the pool's batcher, so that all nodes talk to it anyway. It is soft state: if
+// the node is lost, callers that retry count as new ones.
 type refusedRequests struct {
 	mu       sync.Mutex
 	requests *kernel.RefusedRequests
@@ -47,13 +47,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
-	var reply peer.ReturnReply
-	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindReturn, peer.Return{Identity: identity}, &reply) != nil {
-		r.metrics.Event("ReturnUnknown")
+	var reply peer.CallerWaitReply
+	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindCallerWait, peer.CallerWait{Identity: identity}, &reply) != nil {
+		r.metrics.CountEvent("ReturnUnknown")
 		return 0
 	}
 	if reply.Waited > 0 {
-		r.metrics.Event("CallerReturned")
+		r.metrics.CountEvent("CallerReturned")
 	}
 	return reply.Waited
 }
@@ -75,27 +75,27 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
 		defer cancel()
-		var reply peer.ReturnReply
-		if r.peers.Call(ctx, address, peer.KindReturn, peer.Return{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
-			r.metrics.Event("ReturnNotNoted")
+		var reply peer.CallerWaitReply
+		if r.peers.Call(ctx, address, peer.KindCallerWait, peer.CallerWait{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
+			r.metrics.CountEvent("ReturnNotNoted")
 		}
 	}()
 }
 
-// refusedRequestsCoordinator returns the node that keeps the refused requests of a route.
+// refusedRequestsCoordinator returns the node that keeps the refused requests of routes with the given stages.
 func (r *Relay) refusedRequestsCoordinator(stages []model.StageNode) string {
 	return kernel.NodesByHash(stages[0].Pool, r.Reachable())[0]
 }
 
-// handleReturn handles a peer.Return: it records a refused request, or returns how long a caller has waited.
-func (r *Relay) handleReturn(_ context.Context, body []byte) (any, error) {
-	var message peer.Return
+// handleCallerWait handles a peer.CallerWait: it records a refused request, or returns how long a caller has waited.
+func (r *Relay) handleCallerWait(_ context.Context, body []byte) (any, error) {
+	var message peer.CallerWait
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
 	if message.Refused {
 		r.refusedRequests.add(r.now(), message.Identity, message.Waited)
-		return peer.ReturnReply{}, nil
+		return peer.CallerWaitReply{}, nil
 	}
-	return peer.ReturnReply{Waited: r.refusedRequests.takeWaited(r.now(), message.Identity)}, nil
+	return peer.CallerWaitReply{Waited: r.refusedRequests.takeWaited(r.now(), message.Identity)}, nil
 }
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -29,7 +29,7 @@
 // placeGroup returns the other node that is to batch a group, or an empty name if this one is. Two nodes that
 // batch for one pool would assign the same room twice and call busy workers, so a node that does not batch
 // redirects groups to the one that does, and begins to batch only if there is none.
-func (b *batcher) placeGroup(ctx context.Context, excluded []string) (elsewhere string) {
+func (b *batcher) placeGroup(ctx context.Context, excluded []string) (movedTo string) {
 	b.claimMu.Lock()
 	defer b.claimMu.Unlock()
 	if b.recordGroup() {
@@ -86,7 +86,7 @@
 
 // claimPool asks the possible batchers to hand the pool over. It returns the node that continues to batch, or an
 // empty name if this one batches from now on.
-func (b *batcher) claimPool(ctx context.Context, excluded []string) (elsewhere string) {
+func (b *batcher) claimPool(ctx context.Context, excluded []string) (movedTo string) {
 	r := b.relay
 	b.mu.Lock()
 	b.queue.TakeOver(r.now())
@@ -103,7 +103,7 @@
 	claim := b.claims
 	pollRoom := b.traits.Room >= minPolledRoom
 	b.mu.Unlock()
-	r.metrics.Event("BatcherTookOver")
+	r.metrics.CountEvent("BatcherTookOver")
 	r.log.Info().Str("Pool", b.queueName).Bool("Yielded", yielded).Msg("batching begins here")
 	if pollRoom {
 		go b.pollFreeRoom()
@@ -114,7 +114,8 @@
 	return ""
 }
 
-// takeOverRequest returns the message to the possible batchers of the pool.
+// takeOverRequest returns the message to the possible batchers of the pool. batches is true if this node already
+// batches.
 func (b *batcher) takeOverRequest(batches bool) peer.TakeOver {
 	r := b.relay
 	return peer.TakeOver{Pool: b.queueName, Node: r.options.Name, Capacity: r.options.Capacity, Batches: batches, Leaving: r.Leaving()}
@@ -167,7 +168,7 @@
 	for i, node := range nodes {
 		calls.Go(func() {
 			if r.peers.Call(ctx, r.addressOf(node), peer.KindTakeOver, request, &replies[i]) != nil {
-				r.metrics.Event("TakeOverUnanswered")
+				r.metrics.CountEvent("TakeOverUnanswered")
 			}
 		})
 	}
@@ -194,9 +195,9 @@
 	return nodes
 }
 
-// answerTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
+// handleTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
 // node that batches.
-func (b *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
+func (b *batcher) handleTakeOver(m peer.TakeOver) peer.TakeOverReply {
 	r := b.relay
 	b.mu.Lock()
 	active := b.active && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
@@ -204,9 +205,9 @@
 	if !active {
 		return peer.TakeOverReply{MovedTo: b.knownBatcher([]string{m.Node})}
 	}
-	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
-	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
-	switch kernel.AnswerClaim(b.queueName, own, other) {
+	own := kernel.BatcherCandidate{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
+	other := kernel.BatcherCandidate{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
+	switch kernel.DecideTakeOver(b.queueName, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
 	case kernel.SharePool:
@@ -226,11 +227,11 @@
 	moved := b.queue.HandOver()
 	b.mu.Unlock()
 	b.deliverOutcomes(moved)
-	r.metrics.Event("BatcherYielded")
+	r.metrics.CountEvent("BatcherYielded")
 	r.log.Info().Str("Pool", b.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
-func (r *Relay) answerTakeOver(_ context.Context, body []byte) (any, error) {
+func (r *Relay) handleTakeOver(_ context.Context, body []byte) (any, error) {
 	var m peer.TakeOver
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -239,5 +240,5 @@
 	if b == nil {
 		return peer.TakeOverReply{}, nil
 	}
-	return b.answerTakeOver(m), nil
+	return b.handleTakeOver(m), nil
 }
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -18,19 +18,19 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// logTail is how much of a log is shown where a process ended badly, in bytes.
-const logTail = 6000
+// logTailBytes is how much of the end of a log is printed if a process exits with an unexpected code.
+const logTailBytes = 6000
 
 // cmdStandin starts the stand-in: standin FILE.
 func cmdStandin(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	p, err := f.start("standin", "standin", "--config", ts.MkAbs(args[0]))
 	ts.Check(err)
-	f.platform = p.lines[0]
+	f.platform = p.addresses[0]
 	ts.Setenv("PLATFORM", f.platform)
 }
 
-// cmdNode starts nodes: node NAMES DOMAINS [FLAGS...], both lists with commas.
+// cmdNode starts nodes: node NAMES DOMAINS [FLAGS...]. Both lists are separated by commas; domains repeat as needed.
 func cmdNode(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	domains := strings.Split(args[1], ",")
@@ -43,24 +43,24 @@
 		flags = append(flags, "--callers-listen", callers, "--operators-listen", operators, "--peers-listen", peers)
 		p, err := f.start(name, append(flags, args[2:]...)...)
 		ts.Check(err)
-		ts.Setenv(name+"_CALLERS", p.lines[0])
-		ts.Setenv(name+"_OPERATORS", p.lines[1])
-		ts.Setenv(name+"_PEERS", p.lines[2])
+		ts.Setenv(name+"_CALLERS", p.addresses[0])
+		ts.Setenv(name+"_OPERATORS", p.addresses[1])
+		ts.Setenv(name+"_PEERS", p.addresses[2])
 	}
 }
 
-// listenAddresses returns where a node is to listen: on a host of its own at first, and at the same addresses when it is
-// started again, as on a replaced host.
+// listenAddresses returns the addresses on which a node listens: any ports on a host of its own at first, and the same
+// addresses when it is started again, as on a replaced host.
 func (f *fleet) listenAddresses(name string) (callers, operators, peers string) {
-	if old := f.procs[name]; old != nil {
-		return old.lines[0], old.lines[1], old.lines[2]
+	if old := f.processes[name]; old != nil {
+		return old.addresses[0], old.addresses[1], old.addresses[2]
 	}
-	anyPort := net.JoinHostPort(standin.NewHost(), "0")
+	anyPort := net.JoinHostPort(standin.NewLoopbackHost(), "0")
 	return anyPort, anyPort, anyPort
 }
 
-// cmdSettled waits until all nodes that run are ready and own the newest era's keys together,
-// and until that era has begun, so that what follows meets the whole fleet.
+// cmdSettled waits until all running nodes are ready and members of the newest era, and until that era has begun, so
+// that all nodes take part in what follows.
 func cmdSettled(ts *testscript.TestScript, _ bool, _ []string) {
 	f := fleetOf(ts)
 	ts.Check(waitFor(func() bool {
@@ -75,27 +75,27 @@
 	}))
 }
 
-// cmdSignal sends a signal: signal NAME TERM|KILL|STOP|CONT.
+// cmdSignal sends a signal to processes: signal NAMES TERM|KILL|STOP|CONT.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	for _, name := range strings.Split(args[0], ",") {
-		ts.Check(f.procs[name].cmd.Process.Signal(signals[args[1]]))
+		ts.Check(f.processes[name].cmd.Process.Signal(signals[args[1]]))
 	}
 }
 
-// cmdExited waits for a process to end: exited NAME [CODE].
+// cmdExited waits until a process has exited and checks its exit code: exited NAME [CODE].
 func cmdExited(ts *testscript.TestScript, _ bool, args []string) {
-	p := fleetOf(ts).procs[args[0]]
+	p := fleetOf(ts).processes[args[0]]
 	<-p.done
-	if len(args) > 1 && strconv.Itoa(p.code) != args[1] {
-		log, _ := os.ReadFile(p.log)
-		ts.Fatalf("%s exited with %d:\n%s", args[0], p.code, log[max(0, len(log)-logTail):])
+	if len(args) > 1 && strconv.Itoa(p.exitCode) != args[1] {
+		log, _ := os.ReadFile(p.logPath)
+		ts.Fatalf("%s exited with %d:\n%s", args[0], p.exitCode, log[max(0, len(log)-logTailBytes):])
 	}
 }
 
-// cmdOccupy takes the ports of a process that has ended, on 127.0.0.1, until the script ends: occupy NAME.
+// cmdOccupy listens on the ports of an exited process, on 127.0.0.1, until the script ends: occupy NAME.
 func cmdOccupy(ts *testscript.TestScript, _ bool, args []string) {
-	for _, address := range fleetOf(ts).procs[args[0]].lines {
+	for _, address := range fleetOf(ts).processes[args[0]].addresses {
 		_, port, err := net.SplitHostPort(address)
 		ts.Check(err)
 		listener, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", port))
@@ -107,7 +107,7 @@
 	}
 }
 
-// cmdFault switches a fault on: fault TARGET KIND [Delay=1s] [Factor=10] [Count=3] [Times=1].
+// cmdFault injects a fault: fault TARGET KIND [Delay=1s] [Factor=10] [Count=3] [Times=1].
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
 	fault := standin.Fault{Target: args[0], Kind: standin.FaultKind(args[1])}
 	var err error
@@ -123,34 +123,34 @@
 		case "Times":
 			fault.Times, err = strconv.Atoi(value)
 		default:
-			ts.Fatalf("unknown %s", arg)
+			ts.Fatalf("unknown argument %s", arg)
 		}
 		ts.Check(err)
 	}
-	err = fleetOf(ts).fault(fault)
+	err = fleetOf(ts).setFault(fault)
 	if fault.Target == "platform" {
-		// The platform's own answer is on a connection that has just gone silent.
+		// The response comes over a connection that this fault has just made silent.
 		return
 	}
 	ts.Check(err)
 }
 
-// cmdClear switches faults off: clear [TARGET].
+// cmdClear removes the faults of a target, or all faults: clear [TARGET].
 func cmdClear(ts *testscript.TestScript, _ bool, args []string) {
 	target := ""
 	if len(args) > 0 {
 		target = args[0]
 	}
-	ts.Check(fleetOf(ts).clear(target))
+	ts.Check(fleetOf(ts).clearFaults(target))
 }
 
 // cmdLoad starts a load: load NAME PIPELINE [count=N] [workers=N] [keys=v7|v4] [fan] [tries=N]
-// [tokens=N] [stream] [numbers] [pause=D] [via=NODES].
+// [tokens=N] [stream] [numbers] [pause=D] [via=NODES]. See loadPlan; via sends to the named nodes only.
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
-		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoAccount,
-		count: 100, workers: 8, tries: 1, tokens: 8,
+		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoCustomer,
+		count: 100, workers: 8, maxAttempts: 1, maxTokens: 8,
 	}
 	addresses := f.callers
 	var err error
@@ -162,37 +162,37 @@
 		case "workers":
 			plan.workers, err = strconv.Atoi(value)
 		case "tries":
-			plan.tries, err = strconv.Atoi(value)
+			plan.maxAttempts, err = strconv.Atoi(value)
 		case "tokens":
-			plan.tokens, err = strconv.Atoi(value)
+			plan.maxTokens, err = strconv.Atoi(value)
 		case "pause":
 			plan.pause, err = time.ParseDuration(value)
 		case "keys":
-			plan.keys = value
+			plan.keyForm = value
 		case "fan":
-			plan.fan = true
+			plan.fanOut = true
 		case "stream":
 			plan.stream = true
 		case "numbers":
-			plan.numbers = true
+			plan.numberAttempts = true
 		case "via":
 			addresses = f.callersOf(strings.Split(value, ","))
 		default:
-			ts.Fatalf("unknown %s", arg)
+			ts.Fatalf("unknown argument %s", arg)
 		}
 		ts.Check(err)
 	}
 	f.loads[args[0]] = startLoad(plan, addresses)
 }
 
-// cmdJoin waits until a load has ended.
+// cmdJoin waits until loads have ended: join NAME...
 func cmdJoin(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		<-fleetOf(ts).loads[name].done
 	}
 }
 
-// cmdReached waits until a load has sent some requests: reached NAME N.
+// cmdReached waits until a load has finished N requests: reached NAME N.
 func cmdReached(ts *testscript.TestScript, _ bool, args []string) {
 	l := fleetOf(ts).loads[args[0]]
 	n, err := strconv.Atoi(args[1])
@@ -200,18 +200,18 @@
 	ts.Check(waitFor(func() bool { return l.ended.Load() >= int64(n) }))
 }
 
-// cmdExpect checks a figure of a load: expect NAME FIGURE OPERATOR NUMBER.
+// cmdExpect waits until a load has ended and checks one of its statistics: expect NAME STATISTIC OPERATOR NUMBER.
 func cmdExpect(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	l := f.loads[args[0]]
 	<-l.done
-	got, err := f.figure(l, args[1])
+	got, err := f.statistic(l, args[1])
 	ts.Check(err)
 	want, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
-	ts.Logf("%s: %s is %g, wanted %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
+	ts.Logf("%s: %s is %g, want %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
 	if !compare(got, args[2], want) {
-		ts.Fatalf("%s: %s is %g, wanted %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
+		ts.Fatalf("%s: %s is %g, want %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
 	}
 }
 
@@ -228,16 +228,16 @@
 	}
 }
 
-// figures are what a load can be asked: whether a request counts.
-var figures = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
+// statistics holds the statistics of a load. Each function reports whether a request counts.
+var statistics = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
 	"doubles": func(l *load, o *outcome, journal standin.JournalSummary) bool {
 		return journal.Keys[l.plan.account+"/"+o.key] > 1
 	},
-	"untrue": notRunUntrue,
+	"untrue": ranDespiteNotRun,
 	"wrong": func(l *load, o *outcome, _ standin.JournalSummary) bool {
-		return o.gaps || wrongAnswer(l, o)
+		return o.streamGaps || hasWrongAnswer(l, o)
 	},
-	"cut":     func(_ *load, o *outcome, _ standin.JournalSummary) bool { return o.cut > 0 },
+	"cut":     func(_ *load, o *outcome, _ standin.JournalSummary) bool { return o.cutAttempts > 0 },
 	"missing": func(_ *load, o *outcome, _ standin.JournalSummary) bool { return !o.ran() },
 	"refused": func(_ *load, o *outcome, _ standin.JournalSummary) bool { return o.refused() },
 	"unknown": func(_ *load, o *outcome, _ standin.JournalSummary) bool {
@@ -245,41 +245,41 @@
 	},
 }
 
-// figure reads one figure of a load against the stand-in's journal: how many requests count,
-// or with the ending -share which part of them.
-func (f *fleet) figure(l *load, name string) (float64, error) {
+// statistic returns a statistic of a load, computed with the stand-in's journal: the number of requests that count, or
+// their share if the name ends in -share. A name reason-REASON counts requests that got this reason at least once.
+func (f *fleet) statistic(l *load, name string) (float64, error) {
 	journal, err := f.journal()
 	if err != nil {
 		return 0, err
 	}
-	name, share := strings.CutSuffix(name, "-share")
-	counts := figures[name]
+	name, asShare := strings.CutSuffix(name, "-share")
+	counts := statistics[name]
 	if reason, ok := strings.CutPrefix(name, "reason-"); ok {
 		counts = func(_ *load, o *outcome, _ standin.JournalSummary) bool {
 			return slices.Contains(o.reasons, model.Reason(reason))
 		}
 	}
 	if counts == nil {
-		return 0, fmt.Errorf("unknown figure %s", name)
+		return 0, fmt.Errorf("unknown statistic %s", name)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := 0.0
+	count := 0.0
 	for _, o := range l.outcomes {
 		if counts(l, o, journal) {
-			n++
+			count++
 		}
 	}
-	if share {
-		n /= float64(len(l.outcomes))
+	if asShare {
+		count /= float64(len(l.outcomes))
 	}
-	return n, nil
+	return count, nil
 }
 
-// notRunUntrue tells whether a request that was refused as NotRun was seen by an endpoint, or
-// a key whose last word was NotRun has run.
-func notRunUntrue(l *load, o *outcome, journal standin.JournalSummary) bool {
-	for _, id := range o.notRunID {
+// ranDespiteNotRun reports whether a request refused with the verdict NotRun reached an endpoint, or whether a key
+// whose last verdict was NotRun has run.
+func ranDespiteNotRun(l *load, o *outcome, journal standin.JournalSummary) bool {
+	for _, id := range o.notRunIDs {
 		if journal.Requests[id] > 0 {
 			return true
 		}
@@ -291,12 +291,12 @@
 	return last == model.NotRun && journal.Keys[l.plan.account+"/"+o.key] > 0
 }
 
-func wrongAnswer(l *load, o *outcome) bool {
+func hasWrongAnswer(l *load, o *outcome) bool {
 	pipeline, ok := bilbaoPipeline(l.plan.pipeline)
 	if !ok {
 		return true
 	}
-	want := standin.ExpectedOutput(pipeline, model.Input{Text: o.text}, l.plan.tokens)
+	want := standin.ExpectedOutput(pipeline, model.Input{Text: o.text}, l.plan.maxTokens)
 	for _, answer := range o.answers {
 		if answer != want {
 			return true
@@ -317,21 +317,21 @@
 	return counts
 }
 
-// cmdAwait waits until all nodes that run show something; a metric counts over all nodes.
+// cmdAwait waits until all running nodes report a state, or until the sum of a metric over them reaches a minimum.
 //
-//	await metric NAME AT-LEAST   await state MEMBER STATE
+//	await metric NAME MINIMUM    await state MEMBER STATE
 //	await leaving ENDPOINT       await revision N
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	if args[0] == "metric" {
-		least, err := strconv.ParseFloat(args[2], 64)
+		minimum, err := strconv.ParseFloat(args[2], 64)
 		ts.Check(err)
-		ts.Check(waitFor(func() bool { return f.metricSum(args[1]) >= least }))
+		ts.Check(waitFor(func() bool { return f.metricSum(args[1]) >= minimum }))
 		return
 	}
 	ts.Check(waitFor(func() bool {
 		for _, p := range f.nodes() {
-			if !f.shows(p, args) {
+			if !f.nodeShows(p, args) {
 				return false
 			}
 		}
@@ -339,7 +339,7 @@
 	}))
 }
 
-func (f *fleet) shows(p *process, args []string) bool {
+func (f *fleet) nodeShows(p *process, args []string) bool {
 	switch args[0] {
 	case "state":
 		if p.name == args[1] {
@@ -383,26 +383,26 @@
 	return sum
 }
 
-// cmdMark remembers how often endpoints have run: mark ENDPOINT...
+// cmdMark records how many runs endpoints have had, for the command quiet: mark ENDPOINT...
 func cmdMark(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
-		f.runs[endpoint] = f.runsOf(ts, endpoint)
+		f.markedRuns[endpoint] = f.runCount(ts, endpoint)
 	}
 }
 
-// cmdQuiet checks that endpoints got no work since mark: quiet ENDPOINT...
+// cmdQuiet checks that endpoints have had no runs since the command mark: quiet ENDPOINT...
 func cmdQuiet(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
-		got := f.runsOf(ts, endpoint)
-		if (got == f.runs[endpoint]) == neg {
-			ts.Fatalf("%s ran %d times, and %d times before", endpoint, got, f.runs[endpoint])
+		count := f.runCount(ts, endpoint)
+		if (count == f.markedRuns[endpoint]) == neg {
+			ts.Fatalf("%s has had %d runs, %d at mark", endpoint, count, f.markedRuns[endpoint])
 		}
 	}
 }
 
-func (f *fleet) runsOf(ts *testscript.TestScript, endpoint string) int {
+func (f *fleet) runCount(ts *testscript.TestScript, endpoint string) int {
 	var runs []standin.Run
 	ts.Check(f.platformGet("/journal/runs", &runs))
 	n := 0
@@ -414,16 +414,15 @@
 	return n
 }
 
-// cmdChange lets operators change one document at once, through different nodes, and checks
-// that each revision has one winner and that all nodes bring the last one in force:
-// change COUNT RACERS.
+// cmdChange makes operators change one document concurrently, through different nodes. It checks that exactly one of
+// them is applied as each revision and that each revision comes into force on all nodes: change COUNT RACERS.
 func cmdChange(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	racers, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	slowest, err := f.race(count, racers)
+	longest, err := f.raceChanges(count, racers)
 	ts.Check(err)
-	ts.Logf("%d changes by %d racing operators; slowest in force everywhere after %s", count, racers, slowest)
+	ts.Logf("%d changes by %d concurrent operators; longest time until in force on all nodes: %s", count, racers, longest)
 }
--- a/scenario/helpers_test.go
+++ b/scenario/helpers_test.go
@@ -21,14 +21,14 @@
 	return settings.Pipeline("bilbao", name)
 }
 
-// callersOf returns the addresses for callers of those of the named nodes that run.
+// callersOf returns a function that returns the caller addresses of those named nodes that are running.
 func (f *fleet) callersOf(names []string) func() []string {
 	return func() []string {
 		var out []string
 		for _, p := range f.nodes() {
 			for _, name := range names {
 				if p.name == name {
-					out = append(out, p.lines[0])
+					out = append(out, p.addresses[0])
 				}
 			}
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-func (f *fleet) clear(target string) error {
+func (f *fleet) clearFaults(target string) error {
 	req, err := http.NewRequest(http.MethodDelete, "http://"+f.platform+"/faults?target="+target, nil)
 	if err != nil {
 		return err
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -16,42 +16,45 @@
 )
 
 type (
-	// loadPlan says what a load sends.
+	// loadPlan configures a load.
 	loadPlan struct {
 		pipeline string
 		token    string
 		account  string
-		// count is how many requests (or keys) are sent, by how many workers.
+		// count is the number of requests, or of idempotency keys if requests have one. workers is the number of
+		// concurrent senders.
 		count   int
 		workers int
-		// keys is "" for none, "v7" for UUIDv7, "v4" for keys without a time.
-		keys string
-		// fan sends each key to all nodes at once instead of to one.
-		fan bool
-		// tries bounds the tries of one key; each goes to another node.
-		tries   int
-		tokens  int
-		stream  bool
-		numbers bool
-		pause   time.Duration
+		// keyForm is "" for no idempotency keys, "v7" for UUIDv7, "v4" for keys without a time.
+		keyForm string
+		// fanOut sends each request to all nodes in parallel before the attempts with one node each.
+		fanOut bool
+		// maxAttempts limits the attempts for one request. Each goes to another node.
+		maxAttempts int
+		maxTokens   int
+		stream      bool
+		// numberAttempts sends the number of the attempt with each request.
+		numberAttempts bool
+		// pause is how long a worker waits after each request.
+		pause time.Duration
 	}
 
-	// outcome is all that the callers learned of one request or key.
+	// outcome collects the results of all attempts of one request.
 	outcome struct {
-		text     string
-		key      string
-		ids      []string
-		notRunID []string
-		verdicts []model.Verdict
-		reasons  []model.Reason
-		answers  []string
-		// cut counts tries that ended without an answer or refusal.
-		cut int
-		// gaps is true if a stream had a gap or a repeat.
-		gaps bool
+		text      string
+		key       string
+		ids       []string
+		notRunIDs []string
+		verdicts  []model.Verdict
+		reasons   []model.Reason
+		answers   []string
+		// cutAttempts counts attempts that ended without an answer or refusal.
+		cutAttempts int
+		// streamGaps is true if the tokens of a stream had a gap or a repeat.
+		streamGaps bool
 	}
 
-	// load is a load that runs or ran.
+	// load is a load that is running or has ended. done is closed when it ends.
 	load struct {
 		plan     loadPlan
 		done     chan struct{}
@@ -62,8 +65,8 @@
 	}
 )
 
-// startLoad sends requests in the background; the addresses are asked for before each try, so
-// that a balancer's view of the nodes is followed.
+// startLoad sends requests in the background. It calls addresses before each attempt, so that changes by the balancer
+// take effect at once.
 func startLoad(plan loadPlan, addresses func() []string) *load {
 	l := &load{plan: plan, done: make(chan struct{})}
 	client := &http.Client{
@@ -77,7 +80,7 @@
 		go func() {
 			defer wg.Done()
 			for i := range work {
-				l.one(client, addresses, i)
+				l.sendOne(client, addresses, i)
 				time.Sleep(plan.pause)
 			}
 		}()
@@ -94,36 +97,36 @@
 	return l
 }
 
-func (l *load) one(client *http.Client, addresses func() []string, i int) {
+func (l *load) sendOne(client *http.Client, addresses func() []string, i int) {
 	o := &outcome{text: "load " + l.plan.pipeline + " " + uuid.NewString()}
-	switch l.plan.keys {
+	switch l.plan.keyForm {
 	case "v7":
 		o.key = uuid.Must(uuid.NewV7()).String()
 	case "v4":
 		o.key = uuid.NewString()
 	}
 	l.sent.Add(1)
-	if l.plan.fan {
+	if l.plan.fanOut {
 		var wg sync.WaitGroup
 		for _, address := range addresses() {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				l.try(client, address, o, 0)
+				l.attempt(client, address, o, 0)
 			}()
 		}
 		wg.Wait()
 	}
-	l.retry(client, addresses, o, i)
+	l.sendUntilRan(client, addresses, o, i)
 	l.ended.Add(1)
 	l.mu.Lock()
 	l.outcomes = append(l.outcomes, o)
 	l.mu.Unlock()
 }
 
-// retry tries until the request ran, each time through another node.
-func (l *load) retry(client *http.Client, addresses func() []string, o *outcome, i int) {
-	for attempt := range l.plan.tries {
+// sendUntilRan sends a request up to maxAttempts times until it has run, each time through another node.
+func (l *load) sendUntilRan(client *http.Client, addresses func() []string, o *outcome, i int) {
+	for attempt := range l.plan.maxAttempts {
 		if o.ran() {
 			return
 		}
@@ -132,37 +135,37 @@
 			return
 		}
 		address := nodes[(i+attempt)%len(nodes)]
-		number := 0
-		if l.plan.numbers {
-			number = attempt + 1
+		attemptNumber := 0
+		if l.plan.numberAttempts {
+			attemptNumber = attempt + 1
 		}
-		wait := l.try(client, address, o, number)
-		if !o.ran() && attempt+1 < l.plan.tries {
-			time.Sleep(wait + time.Duration(rand.IntN(20))*time.Millisecond)
+		retryAfter := l.attempt(client, address, o, attemptNumber)
+		if !o.ran() && attempt+1 < l.plan.maxAttempts {
+			time.Sleep(retryAfter + time.Duration(rand.IntN(20))*time.Millisecond)
 		}
 	}
 }
 
-// try sends the request once and returns when to come back.
-func (l *load) try(client *http.Client, address string, o *outcome, number int) time.Duration {
-	next := 0
-	gaps := false
+// attempt sends a request once and returns the delay before the next attempt.
+func (l *load) attempt(client *http.Client, address string, o *outcome, attemptNumber int) time.Duration {
+	nextIndex := 0
+	streamGaps := false
 	call := caller.Call{
-		Pipeline: l.plan.pipeline, Key: o.key, Attempt: number,
-		Body: caller.Body{Input: model.Input{Text: o.text, MaxTokens: l.plan.tokens}, Stream: l.plan.stream},
+		Pipeline: l.plan.pipeline, Key: o.key, Attempt: attemptNumber,
+		Body: caller.RequestBody{Input: model.Input{Text: o.text, MaxTokens: l.plan.maxTokens}, Stream: l.plan.stream},
 		OnToken: func(t caller.TokenBody) {
-			gaps = gaps || t.Index != next
-			next++
+			streamGaps = streamGaps || t.Index != nextIndex
+			nextIndex++
 		},
 	}
-	c := &caller.Client{Base: "http://" + address, Token: l.plan.token, HTTP: client}
+	c := &caller.Client{BaseURL: "http://" + address, Token: l.plan.token, HTTP: client}
 	result, err := c.Send(context.Background(), call)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o.gaps = o.gaps || gaps
+	o.streamGaps = o.streamGaps || streamGaps
 	switch {
 	case err != nil:
-		o.cut++
+		o.cutAttempts++
 		o.verdicts = append(o.verdicts, model.MayHaveRun)
 		o.reasons = append(o.reasons, "Cut")
 		return 100 * time.Millisecond
@@ -178,7 +181,7 @@
 		o.verdicts = append(o.verdicts, r.Verdict)
 		o.reasons = append(o.reasons, r.Reason)
 		if r.Verdict == model.NotRun {
-			o.notRunID = append(o.notRunID, r.Request)
+			o.notRunIDs = append(o.notRunIDs, r.Request)
 		}
 		return time.Duration(r.RetryAfterMilliseconds) * time.Millisecond
 	}
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -1,5 +1,5 @@
-// Package scenario_test runs scripted scenarios with real processes and sockets: a stand-in for
-// platform and endpoints, nodes, load, and the failures of the brief.
+// Package scenario_test runs scripted scenarios with real processes and sockets: nodes, a stand-in for the platform and
+// the endpoints, load, and injected faults.
 package scenario_test
 
 import (
@@ -54,8 +54,8 @@
 	})
 }
 
-// copyConfigs gives each script the stand-ins' configurations.
-func copyConfigs(to string) error {
+// copyConfigs copies the configurations of the stand-in into the folder of a script.
+func copyConfigs(dir string) error {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(to, filepath.Base(file)), data, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, filepath.Base(file)), data, 0o600); err != nil {
 			return err
 		}
 	}
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// journalMost bounds the journal; what comes later is counted only.
-const journalMost = 500_000
+// maxJournalRuns is the number of runs that the journal stores; later runs are only counted.
+const maxJournalRuns = 500_000
 
 type (
-	// Run is one call that an endpoint worked on.
+	// Run is a call that an endpoint began to process.
 	Run struct {
 		Endpoint  string
 		Stage     string
@@ -21,8 +21,8 @@
 		At        time.Time
 	}
 
-	// OrderRun is one order that an engine received.
-	OrderRun struct {
+	// OrderRecord is an order that an engine received.
+	OrderRecord struct {
 		Endpoint string
 		Kind     string
 		Adapter  string
@@ -31,69 +31,69 @@
 		At       time.Time
 	}
 
-	// Journal is what ran, for tests to check.
+	// Journal records runs and orders for checks in tests and replays. It is safe for concurrent use.
 	Journal struct {
-		mu     sync.Mutex
-		runs   []Run
-		orders []OrderRun
-		keys   map[string]int
-		calls  map[string]int
+		mu             sync.Mutex
+		runs           []Run
+		orders         []OrderRecord
+		runsByKey      map[string]int
+		callsByRequest map[string]int
 	}
 
-	// JournalSummary counts what ran.
+	// JournalSummary holds the numbers of runs by key and by request.
 	JournalSummary struct {
-		// Keys counts the runs of each key; those that ran twice are the doubles.
+		// Keys counts the runs of each idempotency key, as CUSTOMER/KEY. A count above 1 means duplicate runs.
 		Keys map[string]int
-		// Requests counts the calls of each request.
+		// Requests counts the runs of each request.
 		Requests map[string]int
 	}
 )
 
 func newJournal() *Journal {
-	return &Journal{keys: map[string]int{}, calls: map[string]int{}}
+	return &Journal{runsByKey: map[string]int{}, callsByRequest: map[string]int{}}
 }
 
-func (j *Journal) add(r Run) {
+func (j *Journal) addRun(r Run) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls[r.Request]++
+	j.callsByRequest[r.Request]++
 	if r.Key != "" {
-		j.keys[r.Customer+"/"+r.Key]++
+		j.runsByKey[r.Customer+"/"+r.Key]++
 	}
-	if len(j.runs) < journalMost {
+	if len(j.runs) < maxJournalRuns {
 		j.runs = append(j.runs, r)
 	}
 }
 
-func (j *Journal) addOrder(o OrderRun) {
+func (j *Journal) addOrder(o OrderRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.orders = append(j.orders, o)
 }
 
-// Runs returns the calls that endpoints worked on, in order.
+// Runs returns the recorded runs in order.
 func (j *Journal) Runs() []Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]Run(nil), j.runs...)
 }
 
-// Orders returns the orders that engines received, in order.
-func (j *Journal) Orders() []OrderRun {
+// Orders returns the received orders in order.
+func (j *Journal) Orders() []OrderRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]OrderRun(nil), j.orders...)
+	return append([]OrderRecord(nil), j.orders...)
 }
 
-// Summary counts the runs by key and by request.
+// Summary returns the numbers of runs, including those that are no longer stored.
 func (j *Journal) Summary() JournalSummary {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := JournalSummary{Keys: map[string]int{}, Requests: map[string]int{}}
-	for key, n := range j.keys {
+	for key, n := range j.runsByKey {
 		s.Keys[key] = n
 	}
-	for request, n := range j.calls {
+	for request, n := range j.callsByRequest {
 		s.Requests[request] = n
 	}
 	return s
