--- a/node/notices.go
+++ b/node/notices.go
@@ -20,8 +20,8 @@
 	row table.Notices
 	// version is the version of row; 0 before the first read.
 	version uint64
-	// latestKnown is the newest version that is known to be in the table.
-	latestKnown uint64
+	// newestVersion is the newest version that is known to be in the table.
+	newestVersion uint64
 	// wakeup has room for one request to read the row.
 	wakeup chan struct{}
 }
@@ -31,37 +31,37 @@
 }
 
 // requireVersion records that the table has a version of the row, and requests a read if the known one is older.
-func (h *notices) requireVersion(version uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.latestKnown = max(h.latestKnown, version)
-	if h.latestKnown <= h.version {
+func (s *notices) requireVersion(version uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.newestVersion = max(s.newestVersion, version)
+	if s.newestVersion <= s.version {
 		return
 	}
 	select {
-	case h.wakeup <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// knownVersion returns the version of the row as last read.
-func (h *notices) knownVersion() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.version
+// currentVersion returns the version of the row as last read.
+func (s *notices) currentVersion() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.version
 }
 
 // set stores the row as read, unless the same or a newer version is known, and returns the changes of held requests and
 // of rate caps; the latter are by incarnation of the endpoint.
-func (h *notices) set(row table.Notices, version uint64) (kernel.QuarantineChange, map[string]model.RateCap) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if version <= h.version {
+func (s *notices) set(row table.Notices, version uint64) (kernel.QuarantineChange, map[string]model.RateCap) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if version <= s.version {
 		return kernel.QuarantineChange{}, nil
 	}
-	held := table.DiffHeld(h.row.Held, row.Held)
-	caps := table.DiffRateCaps(h.row.RateCaps, row.RateCaps)
-	h.row, h.version = row, version
+	held := table.DiffHeld(s.row.Held, row.Held)
+	caps := table.DiffRateCaps(s.row.RateCaps, row.RateCaps)
+	s.row, s.version = row, version
 	return held, caps
 }
 
@@ -70,7 +70,7 @@
 func (n *Node) recordNoticeWrite(err error) error {
 	n.recordTableResult(err)
 	if err == nil {
-		n.notices.requireVersion(n.notices.knownVersion() + 1)
+		n.notices.requireVersion(n.notices.currentVersion() + 1)
 	}
 	return err
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -15,9 +15,9 @@
 
 var errUnknownMember = errors.New("node: no such member")
 
-// newQuarantineCoordinator returns the quarantine coordinator of this node.
-func (n *Node) newQuarantineCoordinator() *quarantine.Coordinator {
-	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
+// newQuarantineAgent returns the quarantine coordinator of this node.
+func (n *Node) newQuarantineAgent() *quarantine.Agent {
+	return quarantine.NewAgent(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
 		Call:  n.callMember,
 		Connect: func(ctx context.Context, address string) error {
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -55,9 +55,9 @@
 		Store func(ctx context.Context, change kernel.QuarantineChange) error
 	}
 
-	// Coordinator is a node's part of the quarantine: it reports crashes, decides for the pools that the node
-	// coordinates, and holds requests back. It is safe for concurrent use.
-	Coordinator struct {
+	// Agent is a node's part of the quarantine: it reports crashes, decides for the pools that the node coordinates,
+	// and holds requests back. It is safe for concurrent use.
+	Agent struct {
 		name    string
 		deps    Dependencies
 		now     func() time.Time
@@ -65,37 +65,37 @@
 		metrics *metric.Set
 		ctx     context.Context
 
-		mu sync.Mutex
-		q  *kernel.Quarantine
+		mu         sync.Mutex
+		quarantine *kernel.Quarantine
 		// crashChecks holds the endpoints whose connections broke recently, by incarnation.
 		crashChecks map[string]*crashCheck
 		// actingUntil holds, by pool, until when this node acts for a coordinator that does not answer.
 		actingUntil map[string]time.Time
 		// notifying is the number of notifications in progress.
-		notifying int
+		activeNotifications int
 	}
 )
 
-// NewCoordinator returns a coordinator without any recorded crashes. Its background work ends with ctx.
-func NewCoordinator(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Coordinator {
-	return &Coordinator{
+// NewAgent returns a coordinator without any recorded crashes. Its background work ends with ctx.
+func NewAgent(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Agent {
+	return &Agent{
 		name: name, deps: deps, now: now, log: log, metrics: metrics, ctx: ctx,
-		q: kernel.NewQuarantine(), crashChecks: map[string]*crashCheck{}, actingUntil: map[string]time.Time{},
+		quarantine: kernel.NewQuarantine(), crashChecks: map[string]*crashCheck{}, actingUntil: map[string]time.Time{},
 	}
 }
 
 // Admit decides whether a request may proceed. If trial is true, the request runs on trial, and CancelTrial must be
 // called if it is not sent after all.
-func (c *Coordinator) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
-	state, held, retryAfter := c.holdState(digest)
+func (a *Agent) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
+	state, held, retryAfter := a.holdState(digest)
 	switch state {
 	case kernel.NotHeld:
 		return false, nil
 	case kernel.TrialOnly:
-		permitted, trialRetryAfter := c.requestTrial(ctx, held)
+		permitted, trialRetryAfter := a.requestTrial(ctx, held)
 		if permitted {
-			c.metrics.CountEvent("QuarantineTrial")
-			c.log.Info().Str("Digest", string(digest)).Str("Pool", held.Pool).Msg("request that is held back runs on trial")
+			a.metrics.CountEvent("QuarantineTrial")
+			a.log.Info().Str("Digest", string(digest)).Str("Pool", held.Pool).Msg("request that is held back runs on trial")
 			return true, nil
 		}
 		return false, newRefusal(max(retryAfter, trialRetryAfter))
@@ -106,8 +106,8 @@
 
 // Check is called right before a request is sent, and returns a refusal if the request has been held back since it
 // was admitted.
-func (c *Coordinator) Check(digest model.Digest) *model.Refusal {
-	if state, _, retryAfter := c.holdState(digest); state != kernel.NotHeld {
+func (a *Agent) Check(digest model.Digest) *model.Refusal {
+	if state, _, retryAfter := a.holdState(digest); state != kernel.NotHeld {
 		return newRefusal(retryAfter)
 	}
 	return nil
@@ -117,128 +117,128 @@
 	return model.NewRefusal(model.NotRun, model.Quarantined, retryAfter, "endpoints ended that ran this request; it is held back")
 }
 
-func (c *Coordinator) holdState(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.q.Check(c.now(), digest)
+func (a *Agent) holdState(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.quarantine.Check(a.now(), digest)
 }
 
 // Len returns the number of requests that are held back.
-func (c *Coordinator) Len() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.q.Len()
+func (a *Agent) Len() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.quarantine.Len()
 }
 
 // CancelTrial informs the coordinator that a request permitted to run on trial was not sent.
-func (c *Coordinator) CancelTrial(digest model.Digest) {
-	_, held, _ := c.holdState(digest)
+func (a *Agent) CancelTrial(digest model.Digest) {
+	_, held, _ := a.holdState(digest)
 	if held.Digest == "" {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
+		ctx, cancel := context.WithTimeout(a.ctx, notifyTimeout)
 		defer cancel()
-		c.sendTrial(ctx, held.Pool, peer.Trial{Digest: digest, Unused: true})
+		a.sendTrial(ctx, held.Pool, peer.Trial{Digest: digest, Unused: true})
 	}()
 }
 
 // RecordAnswer records that an endpoint answered a request completely. If the request is suspected or held back, this
 // clears it, and its coordinators are informed.
-func (c *Coordinator) RecordAnswer(digest model.Digest) {
-	c.mu.Lock()
-	suspected, pool := c.q.RecordAnswer(c.now(), digest)
-	c.mu.Unlock()
+func (a *Agent) RecordAnswer(digest model.Digest) {
+	a.mu.Lock()
+	suspected, pool := a.quarantine.RecordAnswer(a.now(), digest)
+	a.mu.Unlock()
 	if suspected {
-		c.clearAndNotify(digest, pool)
+		a.clearAndNotify(digest, pool)
 	}
 }
 
 // ApplyChange applies a change of the held requests, as read from the store, received from another node or decided
 // here.
-func (c *Coordinator) ApplyChange(change kernel.QuarantineChange) {
+func (a *Agent) ApplyChange(change kernel.QuarantineChange) {
 	for _, h := range change.Hold {
-		c.mu.Lock()
-		state, before, _ := c.q.Check(c.now(), h.Digest)
-		applied := c.q.ApplyHold(c.now(), h)
-		c.mu.Unlock()
+		a.mu.Lock()
+		state, before, _ := a.quarantine.Check(a.now(), h.Digest)
+		applied := a.quarantine.ApplyHold(a.now(), h)
+		a.mu.Unlock()
 		if !applied {
-			c.clearAndNotify(h.Digest, h.Pool)
+			a.clearAndNotify(h.Digest, h.Pool)
 			continue
 		}
 		if state == kernel.NotHeld {
-			c.metrics.CountEvent("QuarantineLearned")
+			a.metrics.CountEvent("QuarantineLearned")
 		}
 		if before.Firm != h.Firm || len(before.Incarnations) != len(h.Incarnations) {
-			c.log.Info().Str("Digest", string(h.Digest)).Str("Pool", h.Pool).Bool("Firm", h.Firm).Strs("Ended", h.Incarnations).
+			a.log.Info().Str("Digest", string(h.Digest)).Str("Pool", h.Pool).Bool("Firm", h.Firm).Strs("Ended", h.Incarnations).
 				Msg("request held back")
 		}
 	}
 	for _, digest := range change.Lift {
-		c.mu.Lock()
-		before, _, _ := c.q.Check(c.now(), digest)
-		c.q.Clear(digest)
-		c.mu.Unlock()
+		a.mu.Lock()
+		before, _, _ := a.quarantine.Check(a.now(), digest)
+		a.quarantine.Clear(digest)
+		a.mu.Unlock()
 		if before != kernel.NotHeld {
-			c.metrics.CountEvent("QuarantineLifted")
-			c.log.Info().Str("Digest", string(digest)).Msg("request no longer held back")
+			a.metrics.CountEvent("QuarantineLifted")
+			a.log.Info().Str("Digest", string(digest)).Msg("request no longer held back")
 		}
 	}
 	// Once a request is cleared, the evaluation may find that another one is the cause.
-	c.scheduleEvaluation()
+	a.scheduleEvaluation()
 }
 
 // coordinators returns the nodes in the order in which they coordinate a pool. The first one decides.
-func (c *Coordinator) coordinators(pool string) []string {
-	return kernel.NodesByHash(pool, c.deps.Peers())
+func (a *Agent) coordinators(pool string) []string {
+	return kernel.NodesByHash(pool, a.deps.Peers())
 }
 
 // coordinates reports whether this node is the coordinator of a pool.
-func (c *Coordinator) coordinates(pool string) bool {
-	return c.coordinators(pool)[0] == c.name
+func (a *Agent) coordinates(pool string) bool {
+	return a.coordinators(pool)[0] == a.name
 }
 
 // scheduleEvaluation evaluates the suspects once all reports on the same crashes have arrived.
-func (c *Coordinator) scheduleEvaluation() {
+func (a *Agent) scheduleEvaluation() {
 	time.AfterFunc(kernel.EvaluationDelay+kernel.EvaluationDelay/10, func() {
-		if c.ctx.Err() != nil {
+		if a.ctx.Err() != nil {
 			return
 		}
-		c.mu.Lock()
+		a.mu.Lock()
 		// Hashing hundreds of nodes is costly, so it is done once for each pool.
 		decides := map[string]bool{}
 		coordinates := func(pool string) bool {
 			if _, known := decides[pool]; !known {
-				decides[pool] = c.coordinates(pool) || c.now().Before(c.actingUntil[pool])
+				decides[pool] = a.coordinates(pool) || a.now().Before(a.actingUntil[pool])
 			}
 			return decides[pool]
 		}
-		change := c.q.Evaluate(c.now(), coordinates)
-		c.mu.Unlock()
+		change := a.quarantine.Evaluate(a.now(), coordinates)
+		a.mu.Unlock()
 		if len(change.Hold)+len(change.Lift) == 0 {
 			return
 		}
-		c.ApplyChange(change)
-		c.persist(change)
+		a.ApplyChange(change)
+		a.persist(change)
 	})
 }
 
 // persist writes a change to the store in the background, and retries until this node or another one succeeds or
 // maxStoreAttempts is reached.
-func (c *Coordinator) persist(change kernel.QuarantineChange) {
+func (a *Agent) persist(change kernel.QuarantineChange) {
 	go func() {
 		for range maxStoreAttempts {
-			change = c.dropOutdated(change)
+			change = a.dropOutdated(change)
 			if len(change.Hold)+len(change.Lift) == 0 {
 				return
 			}
-			err := c.deps.Store(c.ctx, change)
-			if err == nil || c.persistViaPeers(change) {
+			err := a.deps.Store(a.ctx, change)
+			if err == nil || a.persistViaPeers(change) {
 				return
 			}
-			c.metrics.CountEvent("QuarantineStoreFailed")
-			c.log.Warn().Int("Held", len(change.Hold)).Int("Lifted", len(change.Lift)).Err(err).Msg("held requests not written")
-			if !clock.Sleep(c.ctx, storeRetryInterval) {
+			a.metrics.CountEvent("QuarantineStoreFailed")
+			a.log.Warn().Int("Held", len(change.Hold)).Int("Lifted", len(change.Lift)).Err(err).Msg("held requests not written")
+			if !clock.Sleep(a.ctx, storeRetryInterval) {
 				return
 			}
 		}
@@ -247,15 +247,15 @@
 
 // dropOutdated returns the part of a change that is still in force, so that a late write does not undo later
 // decisions.
-func (c *Coordinator) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
+func (a *Agent) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
 	var out kernel.QuarantineChange
 	for _, h := range change.Hold {
-		if state, _, _ := c.holdState(h.Digest); state != kernel.NotHeld {
+		if state, _, _ := a.holdState(h.Digest); state != kernel.NotHeld {
 			out.Hold = append(out.Hold, h)
 		}
 	}
 	for _, digest := range change.Lift {
-		if state, _, _ := c.holdState(digest); state == kernel.NotHeld {
+		if state, _, _ := a.holdState(digest); state == kernel.NotHeld {
 			out.Lift = append(out.Lift, digest)
 		}
 	}
@@ -264,17 +264,17 @@
 
 // persistViaPeers asks other nodes, chosen at random, to write a change to the store, and reports whether one did.
 // Each node that is asked applies the change at once, so that it spreads even if the store answers no node.
-func (c *Coordinator) persistViaPeers(change kernel.QuarantineChange) bool {
+func (a *Agent) persistViaPeers(change kernel.QuarantineChange) bool {
 	remaining := maxStoreDelegates
-	peers := c.deps.Peers()
+	peers := a.deps.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, p := range peers {
-		if p.Name == c.name || remaining == 0 {
+		if p.Name == a.name || remaining == 0 {
 			continue
 		}
 		remaining--
-		ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
-		err := c.deps.Call(ctx, p.Name, peer.KindStoreQuarantine, peer.StoreQuarantine{Change: change}, &peer.Empty{})
+		ctx, cancel := context.WithTimeout(a.ctx, notifyTimeout)
+		err := a.deps.Call(ctx, p.Name, peer.KindStoreQuarantine, peer.StoreQuarantine{Change: change}, &peer.Empty{})
 		cancel()
 		if err == nil {
 			return true
--- a/quarantine/coordinator_test.go
+++ b/quarantine/coordinator_test.go
@@ -60,19 +60,19 @@
 func TestRequestBesideEveryCrashIsServedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, fleetSize)
-		bad, good := model.NewDigest("bad"), model.NewDigest("good")
+		poison, other := model.NewDigest("poison"), model.NewDigest("other")
 		for range kernel.CrashThreshold {
-			f.send(bad, true, good)
+			f.send(poison, true, other)
 			time.Sleep(time.Second)
 		}
 		crashes := kernel.CrashThreshold
 		served := 0
 		for range 20 {
-			if f.send(bad, true).reached {
+			if f.send(poison, true).reached {
 				crashes++
 			}
 			time.Sleep(time.Second)
-			if f.send(good, false).reached {
+			if f.send(other, false).reached {
 				served++
 			}
 			time.Sleep(time.Second)
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		digest := model.NewDigest("poison")
-		node := f.coordinators["node-0"]
+		node := f.agents["node-0"]
 		f.mu.Lock()
 		f.partitioned["node-0"] = true
 		f.mu.Unlock()
@@ -163,7 +163,7 @@
 		f.partitioned["node-0"] = false
 		f.mu.Unlock()
 		time.Sleep(convergenceTime)
-		_, refusal = f.coordinators["node-1"].Admit(t.Context(), digest)
+		_, refusal = f.agents["node-1"].Admit(t.Context(), digest)
 		must.NotNil(t, refusal)
 	})
 }
@@ -183,8 +183,8 @@
 		}
 		time.Sleep(30 * time.Second)
 		held := 0
-		for _, c := range f.coordinators {
-			if c.Len() > 0 {
+		for _, a := range f.agents {
+			if a.Len() > 0 {
 				held++
 			}
 		}
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -45,8 +45,8 @@
 	proof string
 	// reachable is true if a process accepted a connection at the address.
 	reachable bool
-	// connectTried is closed when the attempt to connect has ended.
-	connectTried chan struct{}
+	// connectDone is closed when the attempt to connect has ended.
+	connectDone chan struct{}
 	// reportScheduled is true while a report on the unreported requests is due.
 	reportScheduled bool
 }
@@ -54,81 +54,81 @@
 // RecordDisconnect records that the connection to an endpoint broke while the endpoint worked on requests, and
 // starts to check whether its process has ended. A live endpoint that resets a connection is no evidence against
 // the requests.
-func (c *Coordinator) RecordDisconnect(e model.Endpoint, digests ...model.Digest) {
-	now := c.now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	check := c.crashChecks[e.Incarnation()]
+func (a *Agent) RecordDisconnect(e model.Endpoint, digests ...model.Digest) {
+	now := a.now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	check := a.crashChecks[e.Incarnation()]
 	if check != nil && check.proof != "" && now.Sub(check.brokeAt) > kernel.CrashDedupWindow {
 		// The endpoint was restarted under the same incarnation, as it does not report its start time, and has now
 		// broken the connection again.
 		check = nil
 	}
 	if check == nil {
-		if len(c.crashChecks) >= maxCrashChecks {
-			c.metrics.CountEvent("EndpointEndUnknown")
+		if len(a.crashChecks) >= maxCrashChecks {
+			a.metrics.CountEvent("EndpointEndUnknown")
 			return
 		}
-		check = &crashCheck{endpoint: e, brokeAt: now, connectTried: make(chan struct{})}
-		c.crashChecks[e.Incarnation()] = check
-		go c.checkCrash(check)
+		check = &crashCheck{endpoint: e, brokeAt: now, connectDone: make(chan struct{})}
+		a.crashChecks[e.Incarnation()] = check
+		go a.checkCrash(check)
 	}
 	if len(check.unreported)+len(digests) > maxReportedDigests {
-		c.metrics.CountEvent("CrashReportDropped")
+		a.metrics.CountEvent("CrashReportDropped")
 		return
 	}
 	check.unreported = append(check.unreported, digests...)
 	if check.proof != "" {
-		c.scheduleReport(check)
+		a.scheduleReport(check)
 	}
 }
 
 // HasCrashed reports whether an endpoint is known to have crashed after a connection to it broke. It waits for the
 // attempt to connect to the endpoint's address.
-func (c *Coordinator) HasCrashed(e model.Endpoint) bool {
-	c.mu.Lock()
-	check := c.crashChecks[e.Incarnation()]
-	c.mu.Unlock()
+func (a *Agent) HasCrashed(e model.Endpoint) bool {
+	a.mu.Lock()
+	check := a.crashChecks[e.Incarnation()]
+	a.mu.Unlock()
 	if check == nil {
 		return false
 	}
 	select {
-	case <-check.connectTried:
-	case <-c.ctx.Done():
+	case <-check.connectDone:
+	case <-a.ctx.Done():
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	return check.proof != ""
 }
 
 // checkCrash tries to connect to the endpoint to find out whether its process has ended, and removes the check after
 // listTimeout.
-func (c *Coordinator) checkCrash(check *crashCheck) {
-	ctx, cancel := context.WithTimeout(c.ctx, connectTimeout)
-	err := c.deps.Connect(ctx, check.endpoint.Address)
+func (a *Agent) checkCrash(check *crashCheck) {
+	ctx, cancel := context.WithTimeout(a.ctx, connectTimeout)
+	err := a.deps.Connect(ctx, check.endpoint.Address)
 	cancel()
-	c.mu.Lock()
-	close(check.connectTried)
+	a.mu.Lock()
+	close(check.connectDone)
 	check.reachable = err == nil
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		c.confirmCrash(check, proofRefused)
+		a.confirmCrash(check, proofRefused)
 	}
-	c.mu.Unlock()
-	clock.Sleep(c.ctx, listTimeout)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.crashChecks[check.endpoint.Incarnation()] == check {
-		delete(c.crashChecks, check.endpoint.Incarnation())
+	a.mu.Unlock()
+	clock.Sleep(a.ctx, listTimeout)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.crashChecks[check.endpoint.Incarnation()] == check {
+		delete(a.crashChecks, check.endpoint.Incarnation())
 	}
 }
 
 // ApplyEndpointList applies a new list of endpoints. It confirms the crash of endpoints that are unreachable and no
 // longer listed, and of those whose address belongs to another process.
-func (c *Coordinator) ApplyEndpointList(endpoints func(pool string) []model.Endpoint) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for incarnation, check := range c.crashChecks {
+func (a *Agent) ApplyEndpointList(endpoints func(pool string) []model.Endpoint) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for incarnation, check := range a.crashChecks {
 		if check.proof != "" {
 			continue
 		}
@@ -139,60 +139,60 @@
 		}
 		switch {
 		case replaced:
-			c.confirmCrash(check, proofReplaced)
+			a.confirmCrash(check, proofReplaced)
 		case !listed && !check.reachable:
-			c.confirmCrash(check, proofGone)
+			a.confirmCrash(check, proofGone)
 		}
 	}
 }
 
 // confirmCrash records that an endpoint's process has ended, and schedules the report on its requests. The caller
-// holds c.mu.
-func (c *Coordinator) confirmCrash(check *crashCheck, proof string) {
+// holds a.mu.
+func (a *Agent) confirmCrash(check *crashCheck, proof string) {
 	check.proof = proof
-	c.metrics.CountEvent("EndpointEnded")
-	c.scheduleReport(check)
+	a.metrics.CountEvent("EndpointEnded")
+	a.scheduleReport(check)
 }
 
 // scheduleReport reports the interrupted requests after reportDelay, so that those interrupted at about the same time
-// share a report. The caller holds c.mu.
-func (c *Coordinator) scheduleReport(check *crashCheck) {
+// share a report. The caller holds a.mu.
+func (a *Agent) scheduleReport(check *crashCheck) {
 	if check.reportScheduled {
 		return
 	}
 	check.reportScheduled = true
 	time.AfterFunc(reportDelay, func() {
-		c.mu.Lock()
+		a.mu.Lock()
 		digests := check.unreported
 		check.unreported, check.reportScheduled = nil, false
-		c.mu.Unlock()
+		a.mu.Unlock()
 		if len(digests) > 0 {
-			c.reportCrash(check, digests)
+			a.reportCrash(check, digests)
 		}
 	})
 }
 
 // reportCrash reports a crash to the pool's coordinators, and records it on this node as well: if no other node can
 // be reached, this one decides.
-func (c *Coordinator) reportCrash(check *crashCheck, digests []model.Digest) {
+func (a *Agent) reportCrash(check *crashCheck, digests []model.Digest) {
 	incarnation, pool := check.endpoint.Incarnation(), check.endpoint.Pool
 	var names []string
 	for _, digest := range digests[:min(len(digests), maxLoggedDigests)] {
 		names = append(names, string(digest))
 	}
-	c.log.Info().Str("Endpoint", incarnation).Str("Pool", pool).Str("Proof", check.proof).Int("Requests", len(digests)).
+	a.log.Info().Str("Endpoint", incarnation).Str("Pool", pool).Str("Proof", check.proof).Int("Requests", len(digests)).
 		Strs("Digests", names).Msg("endpoint ended under requests")
-	c.recordCrash(pool, kernel.Crash{Incarnation: incarnation, At: check.brokeAt}, digests)
-	c.notify(pool, peer.KindCrash, func(lost bool) any {
-		return peer.Crash{Pool: pool, Incarnation: incarnation, EndedAgo: c.now().Sub(check.brokeAt), Digests: digests, CoordinatorLost: lost}
+	a.recordCrash(pool, kernel.Crash{Incarnation: incarnation, At: check.brokeAt}, digests)
+	a.notify(pool, peer.KindCrash, func(coordinatorLost bool) any {
+		return peer.Crash{Pool: pool, Incarnation: incarnation, EndedAgo: a.now().Sub(check.brokeAt), Digests: digests, CoordinatorLost: coordinatorLost}
 	})
 }
 
-func (c *Coordinator) recordCrash(pool string, crash kernel.Crash, digests []model.Digest) {
-	c.mu.Lock()
+func (a *Agent) recordCrash(pool string, crash kernel.Crash, digests []model.Digest) {
+	a.mu.Lock()
 	for _, digest := range digests {
-		c.q.RecordCrash(c.now(), digest, pool, crash)
+		a.quarantine.RecordCrash(a.now(), digest, pool, crash)
 	}
-	c.mu.Unlock()
-	c.scheduleEvaluation()
+	a.mu.Unlock()
+	a.scheduleEvaluation()
 }
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -64,7 +64,7 @@
 // await waits until all limiters have learned that the endpoint states a cap, or that it states none.
 func (f *fleet) await(t *testing.T, stated bool) {
 	t.Helper()
-	all := func() bool {
+	allLearned := func() bool {
 		for _, l := range f.limiters {
 			if l.HasCap("engine") != stated {
 				return false
@@ -72,7 +72,7 @@
 		}
 		return true
 	}
-	for deadline := time.Now().Add(awaitTimeout); !all(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); !allLearned(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("not all limiters learned of the change in time")
 		}
