--- a/blame/blame.go
+++ b/blame/blame.go
@@ -1,5 +1,6 @@
-// Package blame analyzes the JSON logs of nodes. It reports, by time window and route, which requests were refused,
-// late or broken off, and which pool's wait or room was the cause.
+// Package blame analyzes the JSON logs of nodes. It reports, by time window and route, why requests were refused, late
+// or broken off. A pool may be the cause in two ways: pieces, the units of a stage's work, wait too long in its queue,
+// or its room, the memory of its endpoints for results, is nearly full (see kernel.BatchQueue).
 package blame
 
 import (
@@ -22,8 +23,9 @@
 type (
 	// Line is a log line on the end of a request. Durations are in milliseconds.
 	Line struct {
-		Time       time.Time
-		Route      string
+		Time  time.Time
+		Route string
+		// Outcome is "Answered", "Refused" or "BrokenOff"; empty in lines on anything else.
 		Outcome    string
 		Reason     string
 		Message    string
@@ -38,7 +40,8 @@
 		Pool     string
 		Estimate float64
 		Waited   float64
-		Fault    string
+		// Fault is why the pieces were not made; empty if they were.
+		Fault string
 	}
 
 	// Estimate is an estimate for which a request was refused: the wait at a pool, in milliseconds, and the share of
@@ -66,7 +69,8 @@
 		description string
 	}
 
-	// waitSamples holds the estimated and the actual waits of the same groups of pieces at a pool, in milliseconds.
+	// waitSamples holds the estimated and the actual waits of the same groups of pieces at a pool, in milliseconds. A
+	// group is the pieces of one stage of one request.
 	waitSamples struct {
 		estimated []float64
 		waited    []float64
@@ -143,7 +147,8 @@
 	}
 }
 
-// longestWait names the pool with the longest estimated wait, and tells whether its room was nearly full.
+// longestWait names the pool with the longest estimated wait. The room of that pool is given as the cause if more than
+// 0.9 of it was taken, otherwise the wait.
 func (l Line) longestWait() string {
 	w := slices.MaxFunc(l.Estimates, func(a, b Estimate) int { return int(a.Wait - b.Wait) })
 	if w.RoomTaken > 0.9 {
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -27,24 +27,25 @@
 	notifyInterval = time.Second
 	// maxNotifications bounds the notifications in progress. Further ones are dropped and counted.
 	maxNotifications = 256
-	// trialTimeout bounds the wait for the permit of a trial. Without an answer the request is refused.
+	// trialTimeout bounds the wait for the coordinator's permission of a trial. Without an answer the request is
+	// refused.
 	trialTimeout = 300 * time.Millisecond
 	// storeRetryInterval is the pause after a failed write to the store. maxStoreAttempts bounds the writes of a change.
 	storeRetryInterval = time.Second
 	maxStoreAttempts   = 30
 	// maxStoreDelegates bounds the other nodes that are asked to write if the store does not answer this one.
 	maxStoreDelegates = 3
-	// actingDuration is how long a node acts for a coordinator that does not answer. By then all nodes that need to know
-	// have noticed the loss.
+	// actingDuration is how long a node decides in place of a coordinator that does not answer. By then all nodes that
+	// report crashes have noticed the loss.
 	actingDuration = 10 * time.Second
 	// maxLoggedDigests bounds the digests in one log line.
 	maxLoggedDigests = 16
 )
 
 type (
-	// Dependencies are the functions through which a Coordinator reaches endpoints, other nodes and the store.
+	// Dependencies are the functions through which an Agent reaches endpoints, other nodes and the store.
 	Dependencies struct {
-		// Peers returns the nodes that answer, including this one.
+		// Peers returns the nodes that are believed to answer, including this one.
 		Peers func() []kernel.Peer
 		// Call calls the named node and decodes its answer into reply.
 		Call func(ctx context.Context, node string, kind peer.Kind, message, reply any) error
@@ -69,14 +70,14 @@
 		quarantine *kernel.Quarantine
 		// crashChecks holds the endpoints whose connections broke recently, by incarnation.
 		crashChecks map[string]*crashCheck
-		// actingUntil holds, by pool, until when this node acts for a coordinator that does not answer.
+		// actingUntil holds, by pool, until when this node decides in place of a coordinator that does not answer.
 		actingUntil map[string]time.Time
 		// notifying is the number of notifications in progress.
 		activeNotifications int
 	}
 )
 
-// NewAgent returns a coordinator without any recorded crashes. Its background work ends with ctx.
+// NewAgent returns the agent of the named node, without any recorded crashes. Its background work ends with ctx.
 func NewAgent(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Agent {
 	return &Agent{
 		name: name, deps: deps, now: now, log: log, metrics: metrics, ctx: ctx,
@@ -113,6 +114,7 @@
 	return nil
 }
 
+// newRefusal returns the refusal of a request that is held back.
 func newRefusal(retryAfter time.Duration) *model.Refusal {
 	return model.NewRefusal(model.NotRun, model.Quarantined, retryAfter, "endpoints ended that ran this request; it is held back")
 }
@@ -130,7 +132,8 @@
 	return a.quarantine.Len()
 }
 
-// CancelTrial informs the coordinator that a request permitted to run on trial was not sent.
+// CancelTrial informs the coordinator that a request permitted to run on trial was not sent, so that the trial does not
+// count.
 func (a *Agent) CancelTrial(digest model.Digest) {
 	_, held, _ := a.holdState(digest)
 	if held.Digest == "" {
@@ -155,7 +158,7 @@
 }
 
 // ApplyChange applies a change of the held requests, as read from the store, received from another node or decided
-// here.
+// here. A request that was answered after the first of its crashes is not held back but cleared.
 func (a *Agent) ApplyChange(change kernel.QuarantineChange) {
 	for _, h := range change.Hold {
 		a.mu.Lock()
@@ -188,7 +191,8 @@
 	a.scheduleEvaluation()
 }
 
-// coordinators returns the nodes in the order in which they coordinate a pool. The first one decides.
+// coordinators returns all nodes in the order in which they coordinate a pool. The first one decides. If it is lost,
+// the next one replaces it.
 func (a *Agent) coordinators(pool string) []string {
 	return kernel.NodesByHash(pool, a.deps.Peers())
 }
@@ -245,8 +249,7 @@
 	}()
 }
 
-// dropOutdated returns the part of a change that is still in force, so that a late write does not undo later
-// decisions.
+// dropOutdated returns the part of a change that is still in force, so that a late write does not undo later decisions.
 func (a *Agent) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
 	var out kernel.QuarantineChange
 	for _, h := range change.Hold {
--- a/quarantine/coordinator_test.go
+++ b/quarantine/coordinator_test.go
@@ -12,6 +12,10 @@
 	"basilstall.example/basilstall/model"
 )
 
+// A fleet of hundreds of nodes holds back a poison request, one that crashes each endpoint that runs it: at most
+// maxLateAttempts attempts reach an endpoint more than convergenceTime after the third crash. The requests that ran at the
+// crashed endpoints are served. The numbers of calls between nodes and of writes to the store grow with the number of
+// crashes and not with the size of the fleet.
 func TestLargeFleetHoldsBackPoisonRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -55,8 +59,8 @@
 	}
 }
 
-// A request may run beside the cause at every crash, for example a stream that is resumed on the same endpoints. It
-// is held back only until the two can be told apart.
+// A request may run at the same endpoint as a poison request at every crash, for example a stream that is resumed on
+// the same endpoints. It is held back only until trials show which of the two is the cause.
 func TestRequestBesideEveryCrashIsServedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, fleetSize)
@@ -82,7 +86,7 @@
 	})
 }
 
-// A request that runs many times over at any moment is involved in every crash, whatever the cause. It is cleared
+// A popular request, which many nodes send at any moment, is involved in every crash, whatever the cause. It is cleared
 // because some node has received a complete answer to it between the crashes.
 func TestRequestAnsweredByAnyNodeIsServed(t *testing.T) {
 	for _, unresponsive := range []bool{false, true} {
@@ -101,7 +105,7 @@
 						time.Sleep(popularInterval)
 					}
 				}
-				// Requests may be refused once, while the notices of the hold and of the answers are on their way.
+				// Requests may be refused once, until the hold and then the reports of the answers have reached all nodes.
 				must.LessEq(t, int((2*propagationDelay+failureDetectionTime)/popularInterval), refused)
 				must.True(t, f.send(popular, false).reached)
 				must.SliceEmpty(t, f.held)
@@ -125,7 +129,8 @@
 	})
 }
 
-// Decisions survive the restart of every node, and a new coordinator continues from them.
+// The requests that are held back remain so after a restart of every node, because the store holds them, and a new
+// coordinator continues from them.
 func TestRestartedNodesKnowHeldRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, fleetSize)
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -18,8 +18,8 @@
 	connectTimeout = 700 * time.Millisecond
 	// reportDelay is how long a report waits for other requests that the same crash interrupts, to send them together.
 	reportDelay = 20 * time.Millisecond
-	// listTimeout is how long a crash check is kept. If connecting does not settle whether the process has ended, the
-	// list of endpoints may show it: heartbeats must be missed before the entry lapses.
+	// listTimeout is how long a crash check is kept. If connecting does not show whether the process has ended, the
+	// list of endpoints may show it: the entry of an endpoint is removed once its heartbeats are missing for some time.
 	listTimeout = 8 * time.Second
 	// maxCrashChecks bounds the endpoints that are checked at a time, and maxReportedDigests the requests in a report on
 	// one of them.
@@ -39,7 +39,7 @@
 	endpoint model.Endpoint
 	// brokeAt is when the first connection to the endpoint broke.
 	brokeAt time.Time
-	// unreported are the interrupted requests that have not been reported yet.
+	// unreported are the requests that the end of the connections interrupted and that have not been reported yet.
 	unreported []model.Digest
 	// proof is empty until the crash is proven.
 	proof string
@@ -60,8 +60,8 @@
 	defer a.mu.Unlock()
 	check := a.crashChecks[e.Incarnation()]
 	if check != nil && check.proof != "" && now.Sub(check.brokeAt) > kernel.CrashDedupWindow {
-		// The endpoint was restarted under the same incarnation, as it does not report its start time, and has now
-		// broken the connection again.
+		// The endpoint has crashed, was restarted and has now broken a connection again. It does not report its start
+		// time, and therefore kept its incarnation.
 		check = nil
 	}
 	if check == nil {
@@ -188,6 +188,7 @@
 	})
 }
 
+// recordCrash records a crash during which an endpoint worked on the given requests, and schedules their evaluation.
 func (a *Agent) recordCrash(pool string, crash kernel.Crash, digests []model.Digest) {
 	a.mu.Lock()
 	for _, digest := range digests {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -23,16 +23,17 @@
 )
 
 const (
+	// fleetSize is the number of nodes of a large fleet.
 	fleetSize = 400
 	// concurrentRequests is the number of other requests that run at an endpoint, each sent by a random node.
 	concurrentRequests = 60
-	// propagationDelay is the time until all nodes learn of a write to the store.
+	// propagationDelay is the time from a write to the store until all nodes learn of it.
 	propagationDelay = 500 * time.Millisecond
 	// failureDetectionTime is the time after which a node that does not answer is considered lost.
 	failureDetectionTime = 600 * time.Millisecond
 	// convergenceTime is the time within which all nodes hold back a request after its third crash.
 	convergenceTime = 3 * time.Second
-	// maxLateAttempts bounds the attempts that reach an endpoint later than that.
+	// maxLateAttempts bounds the attempts that reach an endpoint more than convergenceTime after that crash.
 	maxLateAttempts = 3
 	// popularInterval is the interval at which a popular request is sent.
 	popularInterval = 100 * time.Millisecond
@@ -44,8 +45,8 @@
 var errUnreachable = errors.New("node unreachable")
 
 type (
-	// fleet simulates nodes whose coordinators call each other within the process, and the store that they write to. It
-	// runs on the clock of a synctest bubble. Endpoints exist only as names.
+	// fleet simulates nodes whose agents call each other within the process, and the store that they write to. It runs
+	// on the clock of a synctest bubble. Endpoints exist only as names.
 	fleet struct {
 		t      *testing.T
 		random *rand.Rand
@@ -66,12 +67,13 @@
 		// crashed holds the addresses at which no process listens.
 		crashed          map[string]bool
 		endpointsStarted int
-		calls            int
-		bytes            int
-		writes           int
+		// calls and bytes count the messages between nodes and their bytes; writes counts the writes to the store.
+		calls  int
+		bytes  int
+		writes int
 	}
 
-	// sendResult is the result of sending a request once.
+	// sendResult is the result of sending a request once: it reached an endpoint, or was refused as held back.
 	sendResult struct {
 		reached bool
 		refused bool
@@ -266,7 +268,7 @@
 		}
 		time.Sleep(interval)
 		for _, d := range concurrent {
-			must.False(f.t, f.send(d, false).refused, must.Sprint("requests that ran beside the cause must be served"))
+			must.False(f.t, f.send(d, false).refused, must.Sprint("requests that ran at the same endpoint as the poison request must be served"))
 		}
 	}
 	return stats
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -16,16 +16,18 @@
 type notification struct {
 	pool string
 	kind peer.Kind
-	// message returns the message. It is called for each attempt, because the message contains elapsed times. If lost
-	// is true, the message says that the coordinator does not answer.
-	message  func(coordinatorLost bool) any
+	// message returns the message. It is called for each attempt, because the message contains elapsed times. If
+	// coordinatorLost is true, the message says that the coordinator does not answer.
+	message func(coordinatorLost bool) any
+	// notified holds the nodes that have received the message, and this node.
 	notified map[string]bool
 	// unresponsive is the last coordinator that did not answer and whose successor was informed of this.
 	unresponsive string
 }
 
-// notify sends a message to the coordinators of a pool in the background. It looks them up again in each round,
-// because a node that has just started does not know the others yet, and one that is cut off cannot reach them.
+// notify sends a message to the first coordinatorsPerPool coordinators of a pool in the background. It looks them up
+// again in each round, because a node that has just started does not know the others yet, and a partitioned one cannot
+// reach them.
 func (a *Agent) notify(pool string, kind peer.Kind, message func(coordinatorLost bool) any) {
 	n := &notification{pool: pool, kind: kind, message: message, notified: map[string]bool{a.name: true}}
 	a.mu.Lock()
@@ -56,8 +58,8 @@
 }
 
 // notifyRound notifies, in parallel, the coordinators that have not been notified yet, and reports whether all have
-// been. If the first one does not answer, it informs the next one, which may not have noticed and would leave the
-// decision to the first.
+// been. If the first one does not answer, it informs the next one of this, which may not have noticed and would leave
+// the decision to the first.
 func (a *Agent) notifyRound(n *notification) bool {
 	coordinators := a.coordinators(n.pool)
 	coordinators = coordinators[:min(coordinatorsPerPool, len(coordinators))]
@@ -89,6 +91,7 @@
 	return allNotified
 }
 
+// call sends a message to a node and reports whether it answered.
 func (a *Agent) call(node string, kind peer.Kind, message any) bool {
 	ctx, cancel := context.WithTimeout(a.ctx, notifyTimeout)
 	defer cancel()
@@ -150,6 +153,7 @@
 	return reply
 }
 
+// applyTrial handles a trial message as the coordinator of the request's pool.
 func (a *Agent) applyTrial(request peer.Trial) peer.TrialReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -161,7 +165,7 @@
 	return peer.TrialReply{Permitted: permitted, RetryAfter: retryAfter}
 }
 
-// Handlers returns the handlers of the messages that other nodes send to the coordinator.
+// Handlers returns the handlers of the messages on the quarantine that other nodes send to this one.
 func (a *Agent) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
 		peer.KindCrash:           a.handleCrash,
@@ -200,6 +204,7 @@
 	return peer.Empty{}, nil
 }
 
+// handleStoreQuarantine applies a change and writes it to the store for a node that the store does not answer.
 func (a *Agent) handleStoreQuarantine(ctx context.Context, body []byte) (any, error) {
 	var m peer.StoreQuarantine
 	if err := peer.DecodeBody(body, &m); err != nil {
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -36,8 +36,8 @@
 		Announced func() []kernel.Peer
 		// Listed reports whether an incarnation of an endpoint is listed.
 		Listed func(incarnation string) bool
-		// Part returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
-		// size. It is nil if the whole cap may always be used.
+		// Fraction returns the fraction of an endpoint's cap, from 0 to 1, that requests may use. Calls for pieces (see
+		// kernel.BatchQueue) may use a fraction of the same size. It is nil if the whole cap may always be used.
 		Fraction func(incarnation string) float64
 		// Publish informs all nodes of the cap that an endpoint states, or that it states none.
 		Publish func(ctx context.Context, incarnation string, stated model.RateCap) error
@@ -67,12 +67,14 @@
 		nodesRefreshedAt time.Time
 	}
 
+	// endpointCap is what this node knows of the cap of one endpoint.
 	endpointCap struct {
+		// publisher holds the node's view of the cap and decides when it is published.
 		publisher kernel.CapPublisher
 		// rank is this node's rank for the endpoint, as of rankedAt.
 		rank     int
 		rankedAt time.Time
-		// permits tells which of the nodes that share the cap, as of sharersAt, may be asked for a permit.
+		// permits chooses whom to ask for a permit among the nodes that share the cap, as of sharersAt.
 		permits   kernel.PermitRequester
 		sharersAt time.Time
 		// issuer grants permits to other nodes.
@@ -119,8 +121,8 @@
 	return kernel.CapView{}
 }
 
-// FractionalView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
-// together may use a part of the same size.
+// FractionalView returns an endpoint's cap, reduced to the fraction that all nodes together may use for requests. They
+// may use a fraction of the same size for calls for pieces.
 func (l *Limiter) FractionalView(incarnation string) kernel.CapView {
 	return l.fractionalView(incarnation, l.View(incarnation))
 }
@@ -137,7 +139,7 @@
 	return l.View(incarnation).Cap.Stated
 }
 
-// Admits reports whether this node may send to an endpoint now, given when it last did.
+// Admits reports whether the endpoint's cap lets this node, which last sent to the endpoint at sentAt, send to it now.
 func (l *Limiter) Admits(now time.Time, e model.Endpoint, sentAt time.Time) bool {
 	view := l.FractionalView(e.Incarnation())
 	return !view.Cap.Stated || view.Due(now, sentAt, l.Rank(now, e.Incarnation()))
@@ -207,6 +209,7 @@
 	return before, c.publisher.View
 }
 
+// reportChange logs a changed cap and calls Changed. from is the source of the change: "endpoint", "nodes" or "list".
 func (l *Limiter) reportChange(incarnation, from string, before, after kernel.CapView) {
 	if before.Cap == after.Cap {
 		return
@@ -253,6 +256,7 @@
 	}
 }
 
+// refreshNodes updates the nodes that share the caps, at most once per nodesRefreshInterval.
 func (l *Limiter) refreshNodes(now time.Time) {
 	if now.Sub(l.nodesRefreshedAt) < nodesRefreshInterval {
 		return
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// await waits until all limiters have learned that the endpoint states a cap, or that it states none.
+// await waits until all limiters have learned that the endpoint states a cap (stated is true) or that it states none.
 func (f *fleet) await(t *testing.T, stated bool) {
 	t.Helper()
 	allLearned := func() bool {
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -23,8 +23,8 @@
 	return ok && !now.Before(at)
 }
 
-// permitRequestAt returns when another node can next be asked for a permit. It returns false if there is no node to
-// ask.
+// permitRequestAt returns when another node can next be asked for a permit. It returns false if there is no cap or no
+// node to ask.
 func (l *Limiter) permitRequestAt(now time.Time, incarnation string) (at time.Time, ok bool) {
 	if l.deps.RequestPermit == nil {
 		return time.Time{}, false
@@ -70,6 +70,7 @@
 	return false
 }
 
+// chooseSharer returns the node to ask for a permit, or false if none can be asked now.
 func (l *Limiter) chooseSharer(now time.Time, incarnation string) (sharer string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
