--- a/node/claims.go
+++ b/node/claims.go
@@ -18,7 +18,7 @@
 	maxClaimsReadInterval = 2 * time.Second
 	// minClaimsReadInterval is how long the outcome of a read is used before another caller may cause a read.
 	minClaimsReadInterval = 100 * time.Millisecond
-	// claimsReadsPerFirmHorizon is the least number of reads, without jitter, during the length of the firm horizon.
+	// claimsReadsPerFirmHorizon is the least number of reads, without jitter, during a time as long as the firm horizon.
 	claimsReadsPerFirmHorizon = 6
 	// stabilityTime is how long the set of live members must have been unchanged before an era starts.
 	stabilityTime = 1500 * time.Millisecond
@@ -26,8 +26,8 @@
 	claimsReadTimeout = time.Second
 )
 
-// claimsState holds the claims row as last read or written by this node, and the grants that extend it. It is safe for
-// concurrent use.
+// claimsState holds the claims row (see kernel.Claims) as last read or written by this node, and the grants that extend
+// it (see kernel.Grants). Key time is the time of issue of keys. It is safe for concurrent use.
 type claimsState struct {
 	mu  sync.Mutex
 	row kernel.Claims
@@ -65,7 +65,7 @@
 	return c.current().Number
 }
 
-// set stores a row that was read or written, unless a row with the same or a higher number is known.
+// set stores a row that was read or written at now, unless a row with the same or a higher number is known.
 func (c *claimsState) set(now time.Time, row kernel.Claims, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// maintainClaims reads the row periodically, writes it if kernel.Coordinator decides so, and removes expired keys,
-// until the node stops.
+// maintainClaims reads the row periodically, writes it if kernel.ClaimsCoordinator decides so, and removes expired
+// keys, until the node stops.
 func (n *Node) maintainClaims() {
 	for {
 		firm := n.Settings().Fleet.FirmHorizon
@@ -153,6 +153,7 @@
 	}
 }
 
+// writeClaims writes the row if a new era must start or the horizon must be extended.
 func (n *Node) writeClaims(now time.Time) {
 	coordinator := n.claimsCoordinator()
 	row, version := n.claims.snapshot()
--- a/node/cold.go
+++ b/node/cold.go
@@ -11,7 +11,9 @@
 // coldRetryAfter is the Retry-After time of a request that only cold endpoints could serve.
 const coldRetryAfter = 150 * time.Millisecond
 
-// coldRoleCache caches which cold endpoints this node may call. It is safe for concurrent use.
+// coldRoleCache caches which cold endpoints this node may call. An endpoint is cold for some time after it started: it
+// cannot take its full load then, and only a few nodes, its senders, call it (see kernel.ColdLimits). The cache is safe
+// for concurrent use.
 type coldRoleCache struct {
 	// startedAt is when the node started.
 	startedAt time.Time
@@ -26,7 +28,8 @@
 }
 
 // role returns this node's role for a cold endpoint. It calls decide if the last decision has expired. An expired role
-// is kept while the endpoint is listed, because the next one depends on it: a node that becomes a sender waits first.
+// is kept while the endpoint is listed, because the next one depends on it: a node that becomes a sender waits before
+// its first call.
 func (c *coldRoleCache) role(now time.Time, incarnation string, decide func() bool) kernel.ColdRole {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/drain.go
+++ b/node/drain.go
@@ -98,8 +98,9 @@
 	clock.Sleep(ctx, lateForwardDuration)
 }
 
-// transferKeys tries the live members in turn, and again until handoverTimeout has passed, and returns the one that
-// took over the keys. It returns the zero Member and true if no key can belong to this node.
+// transferKeys tries to transfer the keys to the live members in turn, until one takes them over or handoverTimeout has
+// passed. It returns that member, or false if there is none. If no key can belong to this node, it returns the zero
+// Member and true.
 func (n *Node) transferKeys(ctx context.Context, entries map[string]kernel.LedgerEntry, cutoff time.Time) (kernel.Member, bool) {
 	if !n.mayOwnKeys() {
 		return kernel.Member{}, true
@@ -152,7 +153,7 @@
 }
 
 // sendEntries sends ledger entries to a member, in messages of at most maxHandoverEntries entries, and reports whether
-// all of them were received. Without entries it sends one message, which carries the cutoff.
+// all of them were received. Without entries it sends one message, which carries the cutoff (see kernel.Ledger.Cutoff).
 func (n *Node) sendEntries(ctx context.Context, to kernel.Member, entries map[string]kernel.LedgerEntry, cutoff time.Time) bool {
 	batch := map[string]kernel.LedgerEntry{}
 	added := 0
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -21,7 +21,7 @@
 	announceInterval = 3 * time.Second
 )
 
-// fleet guards the membership against concurrent use.
+// fleet makes the membership, this node's view of the other nodes, safe for concurrent use.
 type fleet struct {
 	mu         sync.Mutex
 	membership *kernel.Membership
@@ -56,8 +56,8 @@
 	return true
 }
 
-// sendHeartbeats exchanges heartbeats with the neighbours until the node stops. Without neighbours it sends them to the
-// configured seeds.
+// sendHeartbeats exchanges heartbeats with the neighbours (see kernel.Membership.Neighbours) until the node stops.
+// Without neighbours it exchanges them with the configured seeds.
 func (n *Node) sendHeartbeats() {
 	n.runPeriodically(heartbeatInterval, func(ctx context.Context) {
 		n.fleet.mu.Lock()
--- a/node/grants.go
+++ b/node/grants.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// requestGrants asks all members of the newest era to grant that keys keep their owners for longer (see kernel.Grants).
-// This is only needed while the table is unavailable and the firm horizon can't be extended: nothing is requested while
-// this node may run keys issued more than half of the firm horizon ahead.
+// requestGrants asks all members of the newest era to grant that keys issued up to FirmHorizon from now keep their
+// owners (see kernel.Grants). This is only needed while the table is unavailable and the firm horizon can't be
+// extended: nothing is requested while this node may run keys issued more than half of FirmHorizon ahead.
 func (n *Node) requestGrants(now time.Time) {
 	row := n.claims.current()
 	firm := n.claimsCoordinator().FirmHorizon
@@ -54,6 +54,7 @@
 	wg.Wait()
 }
 
+// requestGrant requests a grant from one member and records it.
 func (n *Node) requestGrant(m kernel.Member, message peer.Grant) {
 	ctx, cancel := context.WithTimeout(n.ctx, grantTimeout)
 	defer cancel()
@@ -98,8 +99,9 @@
 	return peer.GrantReply{Granted: granted, Until: until}, nil
 }
 
-// handleSeal answers a node outside the newest era that is about to write the next one. A member that has not read the
-// row yet does not seal, because it does not know up to what key time it has granted in that row's newest era.
+// handleSeal answers a node that is about to write the next era and is no member of the newest one. Sealing means that
+// this member grants nothing more until it knows a newer row. A member that has not read the row yet does not seal,
+// because it does not know up to what key time it has granted in that row's newest era.
 func (n *Node) handleSeal(_ context.Context, body []byte) (any, error) {
 	var message peer.Seal
 	if err := peer.DecodeBody(body, &message); err != nil {
@@ -111,8 +113,9 @@
 	return peer.SealReply{Sealed: true, From: n.claims.seal(message.Number)}, nil
 }
 
-// sealEra returns the earliest key time at which a new era may start: what this node has granted, if it is a member of
-// the newest era; else what a member of that era reports and seals; else the horizon of the row.
+// sealEra returns the earliest key time at which a new era may start: the end of what this node has granted, if it is a
+// member of the newest era; else the end of what a member of that era has granted, which it seals; else the horizon of
+// the row.
 func (n *Node) sealEra(row kernel.Claims) time.Time {
 	for _, m := range row.NewestEra().Members {
 		if m.ID() == n.member.ID() {
--- a/node/keys.go
+++ b/node/keys.go
@@ -27,7 +27,8 @@
 		ledger *kernel.Ledger
 		// runs holds the running requests by key ID.
 		runs map[string]*keyedRun
-		// writers holds, by the ID of a durable key, the writer ID under which this process inserts the key.
+		// writers holds, by the ID of a durable key, the writer ID with which this process inserts the key: it tells
+		// in the row of the table which process inserted it.
 		writers map[string]string
 		// handoverDone is set while the keys are handed over, and closed at the end. New requests wait for it.
 		handoverDone chan struct{}
@@ -233,6 +234,7 @@
 		"the key's time of issue is ahead of the time that this fleet may serve now")
 }
 
+// owns reports whether a key belongs to this node according to the claims row as last read.
 func (n *Node) owns(key kernel.Key) bool {
 	owner, ok := n.claims.current().OwnerOf(key)
 	return ok && owner.ID() == n.member.ID()
@@ -289,8 +291,8 @@
 	n.keys.finish(req.key, r, answer, refusal, p.nonIdempotentSent)
 }
 
-// finish records the outcome of a run and ends the waits for it. Sent tells whether the non-idempotent call may have
-// reached the service.
+// finish records the outcome of a run and ends the waits for it. sent tells whether the service may have received the
+// non-idempotent call.
 func (k *keyLedger) finish(key kernel.Key, run *keyedRun, answer model.Answer, refusal *model.Refusal, sent bool) {
 	k.mu.Lock()
 	if refusal == nil {
--- a/node/node.go
+++ b/node/node.go
@@ -48,20 +48,20 @@
 	rateLimiter    *rateLimiter
 	fleet          *fleet
 	claims         *claimsState
-	// keys decides on requests with keys that this node owns. durableKeys remembers the durable keys whose rows in the
-	// table name this process as the writer.
+	// keys decides on requests with keys that this node owns. durableKeys does so for durable keys, whose rows in the
+	// table decide which process runs the request.
 	keys            *keyLedger
 	durableKeys     *keyLedger
 	committer       *committer
 	orderController *orderController
-	// quarantine holds back requests that crash the endpoints that process them. rateCaps limits the calls to endpoints
-	// that state a rate cap. notices follows the table's row that publishes both to all nodes.
+	// quarantine holds back requests that crash the endpoints that run them. rateCaps limits the calls to endpoints that
+	// state a rate cap. notices follows the table's row that publishes both to all nodes.
 	quarantine *quarantine.Agent
 	rateCaps   *ratecap.Limiter
 	notices    *notices
 	// coldRoles caches which cold endpoints this node may call.
 	coldRoles *coldRoleCache
-	// runningAtHandover lists the keys whose requests were still running when this node handed its keys over.
+	// runningAtHandover lists the IDs of the keys whose requests were still running when this node handed its keys over.
 	runningAtHandover []string
 
 	settingsMu sync.Mutex
--- a/node/notices.go
+++ b/node/notices.go
@@ -30,7 +30,8 @@
 	return &notices{wakeup: make(chan struct{}, 1)}
 }
 
-// requireVersion records that the table has a version of the row, and requests a read if the known one is older.
+// requireVersion records that the table has at least this version of the row, and requests a read if the one last read
+// is older.
 func (s *notices) requireVersion(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/orders.go
+++ b/node/orders.go
@@ -18,8 +18,8 @@
 
 type (
 	// orderController sends orders to the engines of the pools whose leases this node holds, and reports the demand for
-	// adapters of other pools to the holders of their leases. A pool without demand causes no lease and no reads of
-	// the table.
+	// adapters of other pools to the holders of their leases. An order tells an engine to load or evict an adapter. A
+	// pool without demand causes no lease and no reads of the table.
 	orderController struct {
 		mu sync.Mutex
 		// pools holds the pools with demand, by name.
@@ -29,6 +29,7 @@
 
 	// poolOrders is the state of one pool with demand for adapters.
 	poolOrders struct {
+		// lease is what this node knows of the lease of the pool. Its holder alone sends orders to the pool's engines.
 		lease kernel.LeaseView
 		// planner collects the demand that is reported to this node, and plans orders while this node holds the lease.
 		planner *kernel.OrderPlanner
@@ -43,8 +44,8 @@
 	return &orderController{pools: map[string]*poolOrders{}, client: engine.NewClient()}
 }
 
-// addUnsentDemand records the demand of a request for an adapter of a pool. It keeps the earliest deadline among the requests
-// that wait for the adapter.
+// addUnsentDemand records the demand of a request for an adapter of a pool, to be sent to the lease holder. It keeps the
+// earliest deadline among the requests that wait for the adapter.
 func (o *orderController) addUnsentDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -197,7 +198,7 @@
 	}
 }
 
-// addPlannerDemands adds the demand of this or another node to the planner of a pool.
+// addPlannerDemands adds the demand that this or another node reports to the planner of a pool.
 func (n *Node) addPlannerDemands(name string, demands []kernel.Demand) {
 	now := time.Now()
 	n.orderController.mu.Lock()
@@ -240,7 +241,7 @@
 	}
 }
 
-// engineViews asks all endpoints for their states at once. Endpoints that do not answer are left out.
+// engineViews asks all endpoints concurrently for their states. Endpoints that do not answer are left out.
 func (n *Node) engineViews(ctx context.Context, endpoints []model.Endpoint) []kernel.EngineView {
 	reported := make([]kernel.EngineView, len(endpoints))
 	var wg sync.WaitGroup
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -15,7 +15,7 @@
 
 var errUnknownMember = errors.New("node: no such member")
 
-// newQuarantineAgent returns the quarantine coordinator of this node.
+// newQuarantineAgent returns this node's part of the quarantine.
 func (n *Node) newQuarantineAgent() *quarantine.Agent {
 	return quarantine.NewAgent(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
@@ -55,8 +55,8 @@
 	return errUnknownMember
 }
 
-// storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there
-// is a new version to read.
+// storeQuarantineChange writes a change of the held requests to the notices row of the table. Heartbeats inform the
+// other nodes that there is a new version to read.
 func (n *Node) storeQuarantineChange(ctx context.Context, change kernel.QuarantineChange) error {
 	return n.recordNoticeWrite(n.store.ChangeHeld(ctx, change))
 }
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -24,8 +24,8 @@
 	awaitTimeout = 20 * time.Second
 	// poisonText marks the requests that crash each endpoint that starts to run them.
 	poisonText = "poison"
-	// crashesUntilHeld is the number of endpoints that a request may crash before it is held back. maxCrashesPerAttempt
-	// is how many more an attempt may crash that is in progress at that time.
+	// crashesUntilHeld is the number of endpoints that a request may crash before it is held back; see
+	// kernel.CrashThreshold. maxCrashesPerAttempt is how many more an attempt may crash that is in progress at that time.
 	crashesUntilHeld     = 3
 	maxCrashesPerAttempt = 3
 	// restartTime is how long the process of a crashed endpoint takes to restart: far longer than a node takes to detect
@@ -33,7 +33,7 @@
 	restartTime = 3 * time.Second
 )
 
-// fleet is a set of nodes with the project's own interface, and a stand-in for the platform and its endpoints.
+// fleet is a set of nodes, and a stand-in for the platform's list, table and endpoints that they use.
 type fleet struct {
 	t        *testing.T
 	platform *standin.Standin
@@ -119,6 +119,7 @@
 	return result.Refusal.Reason
 }
 
+// crashCount returns how many endpoints of a pool have crashed.
 func (f *fleet) crashCount(pool string) int {
 	return f.platform.Usage().Pools[pool].Crashes
 }
@@ -134,6 +135,7 @@
 	})
 }
 
+// allNodesLearnedHold reports whether each node has learned that a request is held back.
 func (f *fleet) allNodesLearnedHold() bool {
 	for _, n := range f.nodes {
 		if n.EventCount("QuarantineLearned") == 0 {
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// capWindow is the length of the windows in which the calls to an endpoint are counted.
+	// capWindow is the length of the windows in which the calls to an endpoint are counted. In each of them, 1.5 times
+	// the calls of the stated rate and 5 more are allowed.
 	capWindow = 4 * time.Second
 	// rankSettleTime is longer than the 8 s that nodes wait before they rely on a membership change; see
 	// kernel.SettledNodes.
@@ -169,7 +170,7 @@
 }
 
 // Each node serves requests for a pool whose endpoints all state rate caps, also if it does not share one of the caps.
-// If only the nodes that share a cap could use it, 12 of 400 nodes would serve a pool of three such endpoints.
+// Four nodes share each cap: if only they could use it, 12 of 400 nodes would serve a pool of three such endpoints.
 func TestEveryNodeServesWhenAllEndpointsHaveRateCaps(t *testing.T) {
 	t.Parallel()
 	const perSecond = 2.0
--- a/node/rates.go
+++ b/node/rates.go
@@ -42,7 +42,7 @@
 
 	// customerRate is the state of one customer's rate on this node.
 	customerRate struct {
-		// bucket is this node's part of the rate. It is zero if the node holds none.
+		// bucket is the token bucket of this node's part of the rate. It is zero if the node holds none.
 		bucket kernel.RateBucket
 		// holders are the nodes that hold parts of the rate, as of holdersAt.
 		holders   []string
@@ -131,9 +131,9 @@
 }
 
 // admitRate counts a request against its customer's rate, at this node if it holds a part of the rate, otherwise at
-// other nodes that do. If none of them answers, as in the seconds after they were lost, the request is refused:
-// otherwise each node would serve one request beyond the rate. A node that is partitioned for longer serves an equal
-// part of the rate.
+// other nodes that do (see kernel.RateHolders). If none of them answers, as in the seconds after they were lost, the
+// request is refused: otherwise each node would serve one request beyond the rate. A node that is partitioned for longer
+// serves an equal part of the rate.
 func (n *Node) admitRate(ctx context.Context, now time.Time, req model.Request) *model.Refusal {
 	customer, _ := n.Settings().Customer(req.Team, req.Customer)
 	rate := customer.RequestsPerSecond
--- a/node/runner.go
+++ b/node/runner.go
@@ -99,7 +99,7 @@
 }
 
 // admit refuses a request that exceeds its customer's rate or cannot finish before its deadline. With the baseline
-// policies, it only refuses a request whose deadline has passed.
+// policies (config.Options.Plain), it only refuses a request whose deadline has passed.
 func (n *Node) admit(ctx context.Context, now time.Time, req model.Request, pipeline model.Pipeline) *model.Refusal {
 	if !now.Before(req.Deadline) {
 		return model.NewRefusal(model.NotRun, model.DeadlinePassed, 0, "the deadline has passed")
--- a/node/serve.go
+++ b/node/serve.go
@@ -14,6 +14,7 @@
 	"basilstall.example/basilstall/peer"
 )
 
+// callerServerDependencies returns what the server for callers needs of the node.
 func (n *Node) callerServerDependencies() caller.Dependencies {
 	return caller.Dependencies{
 		Authenticate: func(token string) (kernel.Caller, bool) { return n.Settings().Caller(token) },
@@ -27,6 +28,7 @@
 	}
 }
 
+// operatorServerDependencies returns what the server for operators needs of the node.
 func (n *Node) operatorServerDependencies() operator.Dependencies {
 	return operator.Dependencies{
 		Settings:          n.Settings,
@@ -63,6 +65,7 @@
 	return answer, refusal
 }
 
+// serveNonIdempotent serves a request of a pipeline with a non-idempotent stage, which runs at most once for its key.
 func (n *Node) serveNonIdempotent(ctx context.Context, req model.Request, pipeline model.Pipeline, began time.Time) (model.Answer, *model.Refusal) {
 	key, err := kernel.ParseKey(req.Account(), req.Key)
 	if err != nil {
@@ -146,8 +149,8 @@
 	}
 }
 
-// Explain returns the record of a request, from the node that ran it if that can be reached. It returns false if no
-// record was found.
+// Explain returns the record of a request, from the node that ran it if that can be reached. If this node has no
+// record, it asks the node that is named in the request ID. It returns false if no record was found.
 func (n *Node) Explain(ctx context.Context, id string) (model.Record, bool) {
 	record, ok := n.records.get(id)
 	target := record.Forwarded
--- a/node/settings.go
+++ b/node/settings.go
@@ -77,8 +77,8 @@
 	n.applySettings(reply.Snapshot)
 }
 
-// handleSettings sends a peer all settings documents, not only the changed ones: they are few and small, and a missed
-// one would cost more.
+// handleSettings sends a peer all settings documents, not only those changed after the peer's revision: they are few
+// and small, and a missed one would cost more.
 func (n *Node) handleSettings(context.Context, []byte) (any, error) {
 	s := n.Settings()
 	snapshot := model.Snapshot{Revision: s.Revision}
--- a/quarantine/coordinator_test.go
+++ b/quarantine/coordinator_test.go
@@ -13,9 +13,9 @@
 )
 
 // A fleet of hundreds of nodes holds back a poison request, one that crashes each endpoint that runs it: at most
-// maxLateAttempts attempts reach an endpoint more than convergenceTime after the third crash. The requests that ran at the
-// crashed endpoints are served. The numbers of calls between nodes and of writes to the store grow with the number of
-// crashes and not with the size of the fleet.
+// maxLateAttempts attempts reach an endpoint more than convergenceTime after the third crash. The requests that ran at
+// the crashed endpoints are served. The numbers of calls between nodes and of writes to the store grow with the number
+// of crashes and not with the size of the fleet.
 func TestLargeFleetHoldsBackPoisonRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
