--- a/node/claims.go
+++ b/node/claims.go
@@ -103,10 +103,10 @@
 	defer c.readMu.Unlock()
 	c.mu.Lock()
 	fresh := time.Since(c.lastAttempt) < minClaimsReadInterval
-	known, failed := c.row, c.readErr
+	known, readErr := c.row, c.readErr
 	c.mu.Unlock()
 	if fresh {
-		return failed
+		return readErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimsReadTimeout)
 	defer cancel()
--- a/node/drain.go
+++ b/node/drain.go
@@ -91,7 +91,7 @@
 	close(handoverDone)
 	if !ok {
 		n.metrics.CountEvent("HandoverFailed")
-		n.log.Warn().Msg("handover of keys failed; the keys of this node stay unavailable up to the horizon")
+		n.log.Warn().Msg("handover of keys failed; keys of this node that are issued before the horizon stay unavailable")
 		return
 	}
 	n.log.Info().Str("Heir", successor.Node).Int("Keys", len(entries)).Msg("keys handed over")
--- a/node/orders.go
+++ b/node/orders.go
@@ -44,8 +44,8 @@
 	return &orderController{pools: map[string]*poolOrders{}, client: engine.NewClient()}
 }
 
-// addUnsentDemand records the demand of a request for an adapter of a pool, to be sent to the lease holder. It keeps the
-// earliest deadline among the requests that wait for the adapter.
+// addUnsentDemand records the demand of a request for an adapter of a pool, to be sent to the lease holder. It keeps
+// the earliest deadline among the requests that wait for the adapter.
 func (o *orderController) addUnsentDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,60 +96,60 @@
 // stops.
 func (n *Node) maintainAdapters() {
 	n.runPeriodically(orderInterval, func(ctx context.Context) {
-		for _, name := range n.orderController.activePools(time.Now()) {
-			n.maintainPool(ctx, name)
+		for _, pool := range n.orderController.activePools(time.Now()) {
+			n.maintainPool(ctx, pool)
 		}
 	})
 }
 
 // maintainPool maintains the lease of a pool, reports the demand of this node's requests, and sends orders if this node
 // holds the lease.
-func (n *Node) maintainPool(ctx context.Context, name string) {
+func (n *Node) maintainPool(ctx context.Context, pool string) {
 	if n.draining.Load() {
 		return
 	}
-	n.readLease(ctx, name)
-	n.renewOrAcquireLease(ctx, name)
-	n.sendDemands(ctx, name)
-	n.planOrders(ctx, name)
+	n.readLease(ctx, pool)
+	n.renewOrAcquireLease(ctx, pool)
+	n.sendDemands(ctx, pool)
+	n.planOrders(ctx, pool)
 }
 
-func (n *Node) leaseView(name string) kernel.LeaseView {
+func (n *Node) leaseView(pool string) kernel.LeaseView {
 	n.orderController.mu.Lock()
 	defer n.orderController.mu.Unlock()
-	if p := n.orderController.pools[name]; p != nil {
+	if p := n.orderController.pools[pool]; p != nil {
 		return p.lease
 	}
 	return kernel.LeaseView{}
 }
 
-func (n *Node) setLeaseView(name string, view kernel.LeaseView) {
+func (n *Node) setLeaseView(pool string, view kernel.LeaseView) {
 	n.orderController.mu.Lock()
 	defer n.orderController.mu.Unlock()
-	if p := n.orderController.pools[name]; p != nil {
+	if p := n.orderController.pools[pool]; p != nil {
 		p.lease = view
 	}
 }
 
 // readLease reads the lease row of a pool, unless this node holds the lease.
-func (n *Node) readLease(ctx context.Context, name string) {
-	view := n.leaseView(name)
+func (n *Node) readLease(ctx context.Context, pool string) {
+	view := n.leaseView(pool)
 	if view.MayOrder(time.Now()) {
 		return
 	}
-	lease, version, err := n.store.Lease(ctx, name)
+	lease, version, err := n.store.Lease(ctx, pool)
 	n.recordTableResult(err)
 	if err == nil {
-		n.setLeaseView(name, view.WithRead(time.Now(), lease, version))
+		n.setLeaseView(pool, view.WithRead(time.Now(), lease, version))
 	}
 }
 
 // renewOrAcquireLease renews the lease of a pool if this node holds it, or acquires it if it has expired and this node
 // is a candidate.
-func (n *Node) renewOrAcquireLease(ctx context.Context, name string) {
+func (n *Node) renewOrAcquireLease(ctx context.Context, pool string) {
 	alive, _ := n.fleet.alive()
-	rank, candidate := kernel.LeaseRank(name, n.member, alive)
-	view := n.leaseView(name)
+	rank, candidate := kernel.LeaseRank(pool, n.member, alive)
+	view := n.leaseView(pool)
 	now := time.Now()
 	next := kernel.Lease{Holder: n.member, Number: view.Lease.Number, Writer: uuid.NewString()}
 	switch {
@@ -160,23 +160,23 @@
 		return
 	}
 	sent := time.Now()
-	version, err := n.store.CompareAndSwapLease(ctx, name, view.Version, next)
+	version, err := n.store.CompareAndSwapLease(ctx, pool, view.Version, next)
 	n.recordTableResult(err)
 	if err != nil {
 		return
 	}
-	n.setLeaseView(name, view.WithWrite(time.Now(), sent, next, version))
+	n.setLeaseView(pool, view.WithWrite(time.Now(), sent, next, version))
 	if next.Number != view.Lease.Number {
 		n.metrics.CountEvent("LeaseTaken")
-		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease acquired")
+		n.log.Info().Str("Pool", pool).Uint64("Fencing", next.Number).Msg("lease acquired")
 	}
 }
 
 // sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the
 // call fails, this demand is not sent again.
-func (n *Node) sendDemands(ctx context.Context, name string) {
+func (n *Node) sendDemands(ctx context.Context, pool string) {
 	n.orderController.mu.Lock()
-	p := n.orderController.pools[name]
+	p := n.orderController.pools[pool]
 	if p == nil || len(p.unsentDemands) == 0 || p.lease.Lease.Number == 0 {
 		n.orderController.mu.Unlock()
 		return
@@ -189,21 +189,21 @@
 	holder := p.lease.Lease.Holder
 	n.orderController.mu.Unlock()
 	if holder.ID() == n.member.ID() {
-		n.addPlannerDemands(name, demands)
+		n.addPlannerDemands(pool, demands)
 		return
 	}
 	var reply peer.Empty
-	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: demands}, &reply); err != nil {
+	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: pool, Wanted: demands}, &reply); err != nil {
 		n.metrics.CountEvent("DemandFailed")
 	}
 }
 
 // addPlannerDemands adds the demand that this or another node reports to the planner of a pool.
-func (n *Node) addPlannerDemands(name string, demands []kernel.Demand) {
+func (n *Node) addPlannerDemands(pool string, demands []kernel.Demand) {
 	now := time.Now()
 	n.orderController.mu.Lock()
 	defer n.orderController.mu.Unlock()
-	p := n.orderController.pool(name, n.Settings().Fleet.WeightLoadEvery)
+	p := n.orderController.pool(pool, n.Settings().Fleet.WeightLoadEvery)
 	p.lastDemandAt = now
 	for _, d := range demands {
 		p.planner.AddDemand(now, d)
@@ -221,14 +221,14 @@
 
 // planOrders compares the demand with what the engines report, and sends the resulting orders if this node holds the
 // lease.
-func (n *Node) planOrders(ctx context.Context, name string) {
-	if !n.leaseView(name).MayOrder(time.Now()) {
+func (n *Node) planOrders(ctx context.Context, pool string) {
+	if !n.leaseView(pool).MayOrder(time.Now()) {
 		return
 	}
-	endpoints := n.dispatcher.Endpoints(name)
+	endpoints := n.dispatcher.Endpoints(pool)
 	views := n.engineViews(ctx, endpoints)
 	n.orderController.mu.Lock()
-	p := n.orderController.pools[name]
+	p := n.orderController.pools[pool]
 	if p == nil {
 		n.orderController.mu.Unlock()
 		return
@@ -237,7 +237,7 @@
 	orders := p.planner.Plan(time.Now(), views)
 	n.orderController.mu.Unlock()
 	for _, order := range orders {
-		go n.sendOrder(ctx, name, order, endpoints)
+		go n.sendOrder(ctx, pool, order, endpoints)
 	}
 }
 
@@ -267,11 +267,11 @@
 
 // sendOrder sends an order to its engine, unless the lease has expired. The lease is checked on the monotonic clock
 // just before the order is sent.
-func (n *Node) sendOrder(ctx context.Context, name string, order kernel.Order, endpoints []model.Endpoint) {
+func (n *Node) sendOrder(ctx context.Context, pool string, order kernel.Order, endpoints []model.Endpoint) {
 	defer func() {
 		n.orderController.mu.Lock()
 		defer n.orderController.mu.Unlock()
-		if p := n.orderController.pools[name]; p != nil {
+		if p := n.orderController.pools[pool]; p != nil {
 			p.planner.OrderEnded(order)
 		}
 	}()
@@ -279,7 +279,7 @@
 		if e.Name != order.Engine {
 			continue
 		}
-		view := n.leaseView(name)
+		view := n.leaseView(pool)
 		if !view.MayOrder(time.Now()) {
 			n.metrics.CountEvent("OrderHeldBack")
 			return
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -13,7 +13,7 @@
 	"basilstall.example/basilstall/quarantine"
 )
 
-var errUnknownMember = errors.New("node: no such member")
+var errMemberUnavailable = errors.New("node: member unknown or not alive")
 
 // newQuarantineAgent returns this node's part of the quarantine.
 func (n *Node) newQuarantineAgent() *quarantine.Agent {
@@ -44,7 +44,8 @@
 	return peers
 }
 
-// callMember calls the live member on the named node and decodes its answer into reply.
+// callMember calls the live member on the named node and decodes its answer into reply. It returns errMemberUnavailable
+// if no live member is known there.
 func (n *Node) callMember(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 	members, _ := n.fleet.alive()
 	for _, m := range members {
@@ -52,7 +53,7 @@
 			return n.peers.Call(ctx, m.Address, kind, message, reply)
 		}
 	}
-	return errUnknownMember
+	return errMemberUnavailable
 }
 
 // storeQuarantineChange writes a change of the held requests to the notices row of the table. Heartbeats inform the
--- a/node/rates.go
+++ b/node/rates.go
@@ -132,8 +132,8 @@
 
 // admitRate counts a request against its customer's rate, at this node if it holds a part of the rate, otherwise at
 // other nodes that do (see kernel.RateHolders). If none of them answers, as in the seconds after they were lost, the
-// request is refused: otherwise each node would serve one request beyond the rate. A node that is partitioned for longer
-// serves an equal part of the rate.
+// request is refused: otherwise each node would serve one request beyond the rate. A node that is partitioned for
+// longer serves an equal part of the rate.
 func (n *Node) admitRate(ctx context.Context, now time.Time, req model.Request) *model.Refusal {
 	customer, _ := n.Settings().Customer(req.Team, req.Customer)
 	rate := customer.RequestsPerSecond
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -176,12 +176,12 @@
 // be reached, this one decides.
 func (a *Agent) reportCrash(check *crashCheck, digests []model.Digest) {
 	incarnation, pool := check.endpoint.Incarnation(), check.endpoint.Pool
-	var names []string
+	var logged []string
 	for _, digest := range digests[:min(len(digests), maxLoggedDigests)] {
-		names = append(names, string(digest))
+		logged = append(logged, string(digest))
 	}
 	a.log.Info().Str("Endpoint", incarnation).Str("Pool", pool).Str("Proof", check.proof).Int("Requests", len(digests)).
-		Strs("Digests", names).Msg("endpoint ended under requests")
+		Strs("Digests", logged).Msg("endpoint ended under requests")
 	a.recordCrash(pool, kernel.Crash{Incarnation: incarnation, At: check.brokeAt}, digests)
 	a.notify(pool, peer.KindCrash, func(coordinatorLost bool) any {
 		return peer.Crash{Pool: pool, Incarnation: incarnation, EndedAgo: a.now().Sub(check.brokeAt), Digests: digests, CoordinatorLost: coordinatorLost}
