--- a/node/node.go
+++ b/node/node.go
@@ -33,7 +33,8 @@
 
 // Node is one process of the fleet: it accepts callers' requests and calls endpoints to serve them.
 type Node struct {
-	options        config.Options
+	options config.Options
+	// member identifies this process among the members of the fleet.
 	member         kernel.Member
 	log            zerolog.Logger
 	metrics        *metric.Set
@@ -64,6 +65,7 @@
 	// runningAtHandover lists the IDs of the keys whose requests were still running when this node handed its keys over.
 	runningAtHandover []string
 
+	// settingsMu is held while new settings are applied.
 	settingsMu sync.Mutex
 	settings   atomic.Pointer[kernel.Settings]
 	// endpointsKnown is true once the platform's list has contained an endpoint.
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -202,7 +202,8 @@
 	return a.coordinators(pool)[0] == a.name
 }
 
-// scheduleEvaluation evaluates the suspects once all reports on the same crashes have arrived.
+// scheduleEvaluation evaluates the suspects once all reports on the same crashes have arrived. It waits a tenth longer
+// than kernel.EvaluationDelay, as suspects are not evaluated while a report on their pool is more recent than that.
 func (a *Agent) scheduleEvaluation() {
 	time.AfterFunc(kernel.EvaluationDelay+kernel.EvaluationDelay/10, func() {
 		if a.ctx.Err() != nil {
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -97,6 +97,7 @@
 		f.limiters[1].RecordAnswer(time.Now(), e, model.RateCap{})
 		f.await(t, false)
 		must.Nil(t, f.limiters[0].AdmitPool(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() }))
+		// At most one write by each of the 3 nodes for each of the 2 changes.
 		must.LessEq(t, 6, f.writes)
 	}
 }
