--- a/relay/relay.go
+++ b/relay/relay.go
@@ -270,10 +270,10 @@
 	} else {
 		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stageTimes
+	outcome.Stages = job.stageTimings
 	f = job.forward
 	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimings) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
