--- a/node/orders.go
+++ b/node/orders.go
@@ -18,8 +18,8 @@
 
 type (
 	// orderController sends orders to the engines of the pools whose leases this node holds, and reports the demand for
-	// adapters of other pools to the holders of their leases. A pool without demand causes no lease and no reads of
-	// the table.
+	// adapters of other pools to the holders of their leases. An order tells an engine to load or evict an adapter. A
+	// pool without demand causes no lease and no reads of the table.
 	orderController struct {
 		mu sync.Mutex
 		// pools holds the pools with demand, by name.
@@ -29,6 +29,7 @@
 
 	// poolOrders is the state of one pool with demand for adapters.
 	poolOrders struct {
+		// lease is what this node knows of the lease of the pool. Its holder alone sends orders to the pool's engines.
 		lease kernel.LeaseView
 		// planner collects the demand that is reported to this node, and plans orders while this node holds the lease.
 		planner *kernel.OrderPlanner
@@ -43,9 +44,9 @@
 	return &orderController{pools: map[string]*poolOrders{}, client: engine.NewClient()}
 }
 
-// addDemand records the demand of a request for an adapter of a pool. It keeps the earliest deadline among the requests
-// that wait for the adapter.
-func (o *orderController) addDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
+// addUnsentDemand records the demand of a request for an adapter of a pool, to be sent to the lease holder. It keeps
+// the earliest deadline among the requests that wait for the adapter.
+func (o *orderController) addUnsentDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	p := o.pool(pool, loadInterval)
@@ -88,67 +89,67 @@
 	if waiting {
 		demand.Deadline = deadline
 	}
-	n.orderer.addDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
+	n.orderController.addUnsentDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
 }
 
 // maintainAdapters maintains the leases of the pools with demand and sends orders to their engines, until the node
 // stops.
 func (n *Node) maintainAdapters() {
 	n.runPeriodically(orderInterval, func(ctx context.Context) {
-		for _, name := range n.orderer.activePools(time.Now()) {
-			n.maintainPool(ctx, name)
+		for _, pool := range n.orderController.activePools(time.Now()) {
+			n.maintainPool(ctx, pool)
 		}
 	})
 }
 
 // maintainPool maintains the lease of a pool, reports the demand of this node's requests, and sends orders if this node
 // holds the lease.
-func (n *Node) maintainPool(ctx context.Context, name string) {
+func (n *Node) maintainPool(ctx context.Context, pool string) {
 	if n.draining.Load() {
 		return
 	}
-	n.readLease(ctx, name)
-	n.renewOrAcquireLease(ctx, name)
-	n.sendDemands(ctx, name)
-	n.planOrders(ctx, name)
+	n.readLease(ctx, pool)
+	n.renewOrAcquireLease(ctx, pool)
+	n.sendDemands(ctx, pool)
+	n.planOrders(ctx, pool)
 }
 
-func (n *Node) leaseView(name string) kernel.LeaseView {
-	n.orderer.mu.Lock()
-	defer n.orderer.mu.Unlock()
-	if p := n.orderer.pools[name]; p != nil {
+func (n *Node) leaseView(pool string) kernel.LeaseView {
+	n.orderController.mu.Lock()
+	defer n.orderController.mu.Unlock()
+	if p := n.orderController.pools[pool]; p != nil {
 		return p.lease
 	}
 	return kernel.LeaseView{}
 }
 
-func (n *Node) setLeaseView(name string, view kernel.LeaseView) {
-	n.orderer.mu.Lock()
-	defer n.orderer.mu.Unlock()
-	if p := n.orderer.pools[name]; p != nil {
+func (n *Node) setLeaseView(pool string, view kernel.LeaseView) {
+	n.orderController.mu.Lock()
+	defer n.orderController.mu.Unlock()
+	if p := n.orderController.pools[pool]; p != nil {
 		p.lease = view
 	}
 }
 
 // readLease reads the lease row of a pool, unless this node holds the lease.
-func (n *Node) readLease(ctx context.Context, name string) {
-	view := n.leaseView(name)
+func (n *Node) readLease(ctx context.Context, pool string) {
+	view := n.leaseView(pool)
 	if view.MayOrder(time.Now()) {
 		return
 	}
-	lease, version, err := n.store.Lease(ctx, name)
+	lease, version, err := n.store.Lease(ctx, pool)
 	n.recordTableResult(err)
 	if err == nil {
-		n.setLeaseView(name, view.WithRead(time.Now(), lease, version))
+		n.setLeaseView(pool, view.WithRead(time.Now(), lease, version))
 	}
 }
 
 // renewOrAcquireLease renews the lease of a pool if this node holds it, or acquires it if it has expired and this node
 // is a candidate.
-func (n *Node) renewOrAcquireLease(ctx context.Context, name string) {
+func (n *Node) renewOrAcquireLease(ctx context.Context, pool string) {
 	alive, _ := n.fleet.alive()
-	rank, candidate := kernel.LeaseRank(name, n.member, alive)
-	view := n.leaseView(name)
+	rank, candidate := kernel.LeaseRank(pool, n.member, alive)
+	view := n.leaseView(pool)
 	now := time.Now()
 	next := kernel.Lease{Holder: n.member, Number: view.Lease.Number, Writer: uuid.NewString()}
 	switch {
@@ -159,25 +160,25 @@
 		return
 	}
 	sent := time.Now()
-	version, err := n.store.CompareAndSwapLease(ctx, name, view.Version, next)
+	version, err := n.store.CompareAndSwapLease(ctx, pool, view.Version, next)
 	n.recordTableResult(err)
 	if err != nil {
 		return
 	}
-	n.setLeaseView(name, view.WithWrite(time.Now(), sent, next, version))
+	n.setLeaseView(pool, view.WithWrite(time.Now(), sent, next, version))
 	if next.Number != view.Lease.Number {
 		n.metrics.CountEvent("LeaseTaken")
-		n.log.Info().Str("Pool", name).Uint64("Fencing", next.Number).Msg("lease acquired")
+		n.log.Info().Str("Pool", pool).Uint64("Fencing", next.Number).Msg("lease acquired")
 	}
 }
 
 // sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the
 // call fails, this demand is not sent again.
-func (n *Node) sendDemands(ctx context.Context, name string) {
-	n.orderer.mu.Lock()
-	p := n.orderer.pools[name]
+func (n *Node) sendDemands(ctx context.Context, pool string) {
+	n.orderController.mu.Lock()
+	p := n.orderController.pools[pool]
 	if p == nil || len(p.unsentDemands) == 0 || p.lease.Lease.Number == 0 {
-		n.orderer.mu.Unlock()
+		n.orderController.mu.Unlock()
 		return
 	}
 	demands := make([]kernel.Demand, 0, len(p.unsentDemands))
@@ -186,23 +187,23 @@
 	}
 	clear(p.unsentDemands)
 	holder := p.lease.Lease.Holder
-	n.orderer.mu.Unlock()
+	n.orderController.mu.Unlock()
 	if holder.ID() == n.member.ID() {
-		n.addDemands(name, demands)
+		n.addPlannerDemands(pool, demands)
 		return
 	}
 	var reply peer.Empty
-	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: name, Wanted: demands}, &reply); err != nil {
+	if err := n.peers.Call(ctx, holder.Address, peer.KindDemand, peer.Demand{Pool: pool, Wanted: demands}, &reply); err != nil {
 		n.metrics.CountEvent("DemandFailed")
 	}
 }
 
-// addDemands adds the demand of this or another node to the planner of a pool.
-func (n *Node) addDemands(name string, demands []kernel.Demand) {
+// addPlannerDemands adds the demand that this or another node reports to the planner of a pool.
+func (n *Node) addPlannerDemands(pool string, demands []kernel.Demand) {
 	now := time.Now()
-	n.orderer.mu.Lock()
-	defer n.orderer.mu.Unlock()
-	p := n.orderer.pool(name, n.Settings().Fleet.WeightLoadEvery)
+	n.orderController.mu.Lock()
+	defer n.orderController.mu.Unlock()
+	p := n.orderController.pool(pool, n.Settings().Fleet.WeightLoadEvery)
 	p.lastDemandAt = now
 	for _, d := range demands {
 		p.planner.AddDemand(now, d)
@@ -214,33 +215,33 @@
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
-	n.addDemands(message.Pool, message.Wanted)
+	n.addPlannerDemands(message.Pool, message.Wanted)
 	return peer.Empty{}, nil
 }
 
 // planOrders compares the demand with what the engines report, and sends the resulting orders if this node holds the
 // lease.
-func (n *Node) planOrders(ctx context.Context, name string) {
-	if !n.leaseView(name).MayOrder(time.Now()) {
+func (n *Node) planOrders(ctx context.Context, pool string) {
+	if !n.leaseView(pool).MayOrder(time.Now()) {
 		return
 	}
-	endpoints := n.dispatcher.Endpoints(name)
+	endpoints := n.dispatcher.Endpoints(pool)
 	views := n.engineViews(ctx, endpoints)
-	n.orderer.mu.Lock()
-	p := n.orderer.pools[name]
+	n.orderController.mu.Lock()
+	p := n.orderController.pools[pool]
 	if p == nil {
-		n.orderer.mu.Unlock()
+		n.orderController.mu.Unlock()
 		return
 	}
 	p.planner.LoadInterval = n.Settings().Fleet.WeightLoadEvery
 	orders := p.planner.Plan(time.Now(), views)
-	n.orderer.mu.Unlock()
+	n.orderController.mu.Unlock()
 	for _, order := range orders {
-		go n.sendOrder(ctx, name, order, endpoints)
+		go n.sendOrder(ctx, pool, order, endpoints)
 	}
 }
 
-// engineViews asks all endpoints for their states at once. Endpoints that do not answer are left out.
+// engineViews asks all endpoints concurrently for their states. Endpoints that do not answer are left out.
 func (n *Node) engineViews(ctx context.Context, endpoints []model.Endpoint) []kernel.EngineView {
 	reported := make([]kernel.EngineView, len(endpoints))
 	var wg sync.WaitGroup
@@ -248,7 +249,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			state, err := n.orderer.client.State(ctx, e.Address)
+			state, err := n.orderController.client.State(ctx, e.Address)
 			if err == nil {
 				reported[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
 			}
@@ -266,11 +267,11 @@
 
 // sendOrder sends an order to its engine, unless the lease has expired. The lease is checked on the monotonic clock
 // just before the order is sent.
-func (n *Node) sendOrder(ctx context.Context, name string, order kernel.Order, endpoints []model.Endpoint) {
+func (n *Node) sendOrder(ctx context.Context, pool string, order kernel.Order, endpoints []model.Endpoint) {
 	defer func() {
-		n.orderer.mu.Lock()
-		defer n.orderer.mu.Unlock()
-		if p := n.orderer.pools[name]; p != nil {
+		n.orderController.mu.Lock()
+		defer n.orderController.mu.Unlock()
+		if p := n.orderController.pools[pool]; p != nil {
 			p.planner.OrderEnded(order)
 		}
 	}()
@@ -278,13 +279,13 @@
 		if e.Name != order.Engine {
 			continue
 		}
-		view := n.leaseView(name)
+		view := n.leaseView(pool)
 		if !view.MayOrder(time.Now()) {
 			n.metrics.CountEvent("OrderHeldBack")
 			return
 		}
 		n.metrics.CountEvent("OrderSent")
-		if err := n.orderer.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
+		if err := n.orderController.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
 			n.metrics.CountEvent("OrderFailed")
 		}
 	}
