--- a/caller/client.go
+++ b/caller/client.go
@@ -20,9 +20,9 @@
 	// Client sends requests as a caller does.
 	Client struct {
 		// Base is the node's URL, http://HOST:PORT.
-		Base  string
-		Token string
-		HTTP  *http.Client
+		BaseURL string
+		Token   string
+		HTTP    *http.Client
 	}
 
 	// Call is one request to send.
@@ -31,7 +31,7 @@
 		Key      string
 		// Attempt is sent if it is above zero.
 		Attempt int
-		Body    Body
+		Body    RequestBody
 		// OnToken gets the tokens of a stream; it may be nil.
 		OnToken func(TokenBody)
 	}
@@ -44,8 +44,8 @@
 	}
 )
 
-// ErrCut is returned for a stream that ended without its final event.
-var ErrCut = errors.New("caller: the stream was cut")
+// ErrStreamTruncated is returned for a stream that ended without its final event.
+var ErrStreamTruncated = errors.New("caller: the stream was cut")
 
 // Send sends a request and returns its answer or refusal. An error means that neither came.
 func (c *Client) Send(ctx context.Context, call Call) (Result, error) {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return Result{}, errors.Wrap(err, "caller: unable to encode")
 	}
-	target := c.Base + "/v1/pipelines/" + url.PathEscape(call.Pipeline) + "/requests"
+	target := c.BaseURL + "/v1/pipelines/" + url.PathEscape(call.Pipeline) + "/requests"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(data))
 	if err != nil {
 		return Result{}, errors.Wrap(err, "caller: unable to make a request")
@@ -84,14 +84,14 @@
 	decoder := json.NewDecoder(res.Body)
 	if res.StatusCode == http.StatusOK {
 		result.Answer = &AnswerBody{}
-		return result, wrapDecode(decoder.Decode(result.Answer))
+		return result, wrapDecodeError(decoder.Decode(result.Answer))
 	}
 	result.Refusal = &RefusalBody{}
-	return result, wrapDecode(decoder.Decode(result.Refusal))
+	return result, wrapDecodeError(decoder.Decode(result.Refusal))
 }
 
-// wrapDecode wraps an error; errors.Wrap would make one out of nil.
-func wrapDecode(err error) error {
+// wrapDecodeError wraps an error; errors.Wrap would make one out of nil.
+func wrapDecodeError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -115,16 +115,16 @@
 		case "event":
 			event = value
 		case "data":
-			result, done, err := takeEvent(event, []byte(value), onToken)
+			result, done, err := handleEvent(event, []byte(value), onToken)
 			if done || err != nil {
 				return result, err
 			}
 		}
 	}
-	return Result{}, ErrCut
+	return Result{}, ErrStreamTruncated
 }
 
-func takeEvent(event string, data []byte, onToken func(TokenBody)) (result Result, done bool, err error) {
+func handleEvent(event string, data []byte, onToken func(TokenBody)) (result Result, done bool, err error) {
 	result.Status = http.StatusOK
 	switch event {
 	case EventToken:
@@ -145,5 +145,5 @@
 	default:
 		return result, false, errors.Errorf("caller: unknown event %q", event)
 	}
-	return result, true, wrapDecode(err)
+	return result, true, wrapDecodeError(err)
 }
--- a/caller/message.go
+++ b/caller/message.go
@@ -28,7 +28,7 @@
 
 type (
 	// Body is what a caller sends.
-	Body struct {
+	RequestBody struct {
 		model.Input
 		// Timeout is a duration such as "1.5s"; Deadline is a time in RFC 3339. The nearer
 		// one holds, and the pipeline's deadline caps both.
@@ -76,18 +76,18 @@
 	}
 )
 
-var errTrailing = errors.New("the body holds more than one JSON value")
+var errTrailingData = errors.New("the body holds more than one JSON value")
 
 // DecodeBody parses a request's body strictly. The error is a sentence for the caller.
-func DecodeBody(data []byte) (Body, error) {
-	var body Body
+func DecodeBody(data []byte) (RequestBody, error) {
+	var body RequestBody
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&body); err != nil {
 		return body, errors.Wrap(err, "the body is not the JSON expected")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return body, errTrailing
+		return body, errTrailingData
 	}
 	if body.Text == "" {
 		return body, errors.New("Text is missing or empty")
@@ -99,7 +99,7 @@
 }
 
 // DeadlineAt returns the request's deadline. The error is a sentence for the caller.
-func (b Body) DeadlineAt(now time.Time, most time.Duration) (time.Time, error) {
+func (b RequestBody) DeadlineAt(now time.Time, most time.Duration) (time.Time, error) {
 	deadline := now.Add(most)
 	if b.Timeout != "" {
 		d, err := time.ParseDuration(b.Timeout)
--- a/caller/refusal.go
+++ b/caller/refusal.go
@@ -11,7 +11,7 @@
 )
 
 // statuses maps reasons to HTTP status codes.
-var statuses = map[model.Reason]int{
+var statusByReason = map[model.Reason]int{
 	model.BadRequest:       http.StatusBadRequest,
 	model.Unauthorized:     http.StatusUnauthorized,
 	model.UnknownPipeline:  http.StatusNotFound,
@@ -38,8 +38,8 @@
 }
 
 // refuse writes a refusal at once, with when to come back.
-func (s *Server) refuse(c echo.Context, id string, r *model.Refusal) error {
-	s.seams.Refused(r)
+func (s *Server) writeRefusal(c echo.Context, id string, r *model.Refusal) error {
+	s.deps.CountRefusal(r)
 	h := c.Response().Header()
 	h.Set(HeaderVerdict, string(r.Verdict))
 	if r.RetryAfter > 0 {
@@ -47,7 +47,7 @@
 		h.Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 		h.Set(HeaderRetryAfter, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
 	}
-	status, known := statuses[r.Reason]
+	status, known := statusByReason[r.Reason]
 	if !known {
 		status = http.StatusInternalServerError
 	}
--- a/caller/requests.go
+++ b/caller/requests.go
@@ -15,7 +15,7 @@
 )
 
 // parsed is a request that passed all checks.
-type parsed struct {
+type parsedRequest struct {
 	request  model.Request
 	pipeline model.Pipeline
 	stream   bool
@@ -23,43 +23,43 @@
 
 // postRequest parses, validates, calls and answers.
 func (s *Server) postRequest(c echo.Context) error {
-	id := s.seams.NewID()
+	id := s.deps.NewID()
 	c.Response().Header().Set(HeaderRequest, id)
 	p, refusal := s.parse(c, id)
 	if refusal != nil {
-		return s.refuse(c, id, refusal)
+		return s.writeRefusal(c, id, refusal)
 	}
 	if p.stream {
-		return s.answerStream(c, p)
+		return s.serveStream(c, p)
 	}
-	answer, refusal := s.seams.Serve(c.Request().Context(), p.request, p.pipeline, nil)
+	answer, refusal := s.deps.Serve(c.Request().Context(), p.request, p.pipeline, nil)
 	if refusal != nil {
-		return s.refuse(c, id, refusal)
+		return s.writeRefusal(c, id, refusal)
 	}
 	c.Response().Header().Set(HeaderVerdict, string(answer.Verdict))
 	return c.JSON(http.StatusOK, newAnswerBody(id, answer))
 }
 
-func (s *Server) parse(c echo.Context, id string) (parsed, *model.Refusal) {
-	caller, ok := s.seams.Caller(bearerToken(c.Request()))
+func (s *Server) parse(c echo.Context, id string) (parsedRequest, *model.Refusal) {
+	caller, ok := s.deps.Authenticate(bearerToken(c.Request()))
 	if !ok {
-		return parsed{}, s.beforeKey(c, model.Unauthorized, "the token in Authorization: Bearer is not known")
+		return parsedRequest{}, s.refusalBeforeKey(c, model.Unauthorized, "the token in Authorization: Bearer is not known")
 	}
-	pipeline, ok := s.seams.Pipeline(caller.Team, c.Param("Pipeline"))
+	pipeline, ok := s.deps.Pipeline(caller.Team, c.Param("Pipeline"))
 	if !ok {
-		return parsed{}, s.beforeKey(c, model.UnknownPipeline, "team "+caller.Team+" has no pipeline "+c.Param("Pipeline"))
+		return parsedRequest{}, s.refusalBeforeKey(c, model.UnknownPipeline, "team "+caller.Team+" has no pipeline "+c.Param("Pipeline"))
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, MaxBodyBytes))
 	if err != nil {
-		return parsed{}, badRequest("the body cannot be read or is longer than " + strconv.Itoa(MaxBodyBytes) + " bytes")
+		return parsedRequest{}, badRequest("the body cannot be read or is longer than " + strconv.Itoa(MaxBodyBytes) + " bytes")
 	}
 	body, err := DecodeBody(data)
 	if err != nil {
-		return parsed{}, badRequest(err.Error())
+		return parsedRequest{}, badRequest(err.Error())
 	}
 	deadline, err := body.DeadlineAt(time.Now(), pipeline.Deadline)
 	if err != nil {
-		return parsed{}, badRequest(err.Error())
+		return parsedRequest{}, badRequest(err.Error())
 	}
 	request := model.Request{
 		ID:       id,
@@ -70,10 +70,10 @@
 		Input:    body.Input,
 	}
 	if err := readKey(c.Request(), pipeline, &request); err != nil {
-		return parsed{}, badRequest(err.Error())
+		return parsedRequest{}, badRequest(err.Error())
 	}
 	stream := body.Stream || strings.Contains(c.Request().Header.Get("Accept"), "text/event-stream")
-	return parsed{request: request, pipeline: pipeline, stream: stream}, nil
+	return parsedRequest{request: request, pipeline: pipeline, stream: stream}, nil
 }
 
 // readKey reads the idempotency key, which a pipeline with a non-idempotent stage demands.
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// beforeKey refuses a request before its key was looked at. If it has one, another attempt
+// refusalBeforeKey refuses a request before its key was looked at. If it has one, another attempt
 // may have run under settings that this node does not have.
-func (s *Server) beforeKey(c echo.Context, reason model.Reason, detail string) *model.Refusal {
+func (s *Server) refusalBeforeKey(c echo.Context, reason model.Reason, detail string) *model.Refusal {
 	verdict := model.NotRun
 	if c.Request().Header.Get(HeaderKey) != "" {
 		verdict = model.MayHaveRun
--- a/caller/requests_test.go
+++ b/caller/requests_test.go
@@ -27,8 +27,8 @@
 			{Name: "t", Kind: model.Call, Pool: "p", Operation: "o", NonIdempotent: true},
 		}},
 	}
-	s, err := caller.NewServer("127.0.0.1:0", caller.Seams{
-		Caller: func(token string) (kernel.Caller, bool) {
+	s, err := caller.NewServer("127.0.0.1:0", caller.Dependencies{
+		Authenticate: func(token string) (kernel.Caller, bool) {
 			return kernel.Caller{Team: "bilbao", Customer: model.Customer{Name: "bar"}}, token == "right-token"
 		},
 		Pipeline: func(_, name string) (model.Pipeline, bool) {
@@ -49,11 +49,11 @@
 			}
 			return model.Answer{ID: req.ID, Verdict: model.Ran, Output: "ab", Tokens: 2}, nil
 		},
-		NewID:    func() string { return "node.1" },
-		Draining: func() bool { return false },
-		Ready:    func() (bool, string) { return true, "" },
-		Count:    func(string) {},
-		Refused:  func(*model.Refusal) {},
+		NewID:        func() string { return "node.1" },
+		Draining:     func() bool { return false },
+		Ready:        func() (bool, string) { return true, "" },
+		CountEvent:   func(string) {},
+		CountRefusal: func(*model.Refusal) {},
 	})
 	must.NoError(t, err)
 	t.Cleanup(s.Close)
@@ -76,7 +76,7 @@
 	return res, string(data)
 }
 
-func TestBadInputIsRefusedWithASentenceAndNothingRuns(t *testing.T) {
+func TestInvalidRequestIsRefusedWithDetailAndNotRun(t *testing.T) {
 	s, served := newServer(t)
 	good := `{"Text":"x"}`
 	cases := []struct {
@@ -121,13 +121,13 @@
 	must.EqOp(t, int64(0), served.Load())
 }
 
-func TestARefusalBeforeTheKeyWasLookedAtClaimsNothingAboutIt(t *testing.T) {
+func TestRefusalBeforeKeyCheckIsMayHaveRun(t *testing.T) {
 	s, _ := newServer(t)
 	_, body := post(t, s, "nope", `{"Text":"x"}`, map[string]string{"Idempotency-Key": "k"})
 	must.StrContains(t, body, `"Verdict":"MayHaveRun"`)
 }
 
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	s, _ := newServer(t)
 	res, body := post(t, s, "ask", `{"Text":"refuse"}`, nil)
 	must.EqOp(t, http.StatusServiceUnavailable, res.StatusCode)
@@ -136,7 +136,7 @@
 	must.StrContains(t, body, `"RetryAfterMilliseconds":1500`)
 }
 
-func TestAStreamHasNumberedEventsAndAnExplicitEnd(t *testing.T) {
+func TestStreamEventsAreNumberedAndEndWithResult(t *testing.T) {
 	s, _ := newServer(t)
 	_, body := post(t, s, "ask", `{"Text":"x","Stream":true}`, nil)
 	must.StrHasPrefix(t, "id: 0\nevent: Token\ndata: {\"Index\":0,\"Text\":\"a\"}\n\nid: 1\nevent: Token\n", body)
--- a/caller/server.go
+++ b/caller/server.go
@@ -15,15 +15,15 @@
 
 const (
 	// RequestsPath takes requests to a pipeline.
-	RequestsPath  = "/v1/pipelines/:Pipeline/requests"
-	headerTimeout = 10 * time.Second
+	RequestsPath      = "/v1/pipelines/:Pipeline/requests"
+	readHeaderTimeout = 10 * time.Second
 )
 
 type (
 	// Seams are what the server needs of its node.
-	Seams struct {
+	Dependencies struct {
 		// Caller returns whom a token stands for.
-		Caller func(token string) (kernel.Caller, bool)
+		Authenticate func(token string) (kernel.Caller, bool)
 		// Pipeline returns a team's pipeline.
 		Pipeline func(team, name string) (model.Pipeline, bool)
 		// Serve runs a request to its answer or refusal.
@@ -35,34 +35,34 @@
 		// Ready tells whether the balancer should send requests here, and why not.
 		Ready func() (bool, string)
 		// Count counts an event by name.
-		Count func(event string)
+		CountEvent func(event string)
 		// Refused counts a refusal.
-		Refused func(*model.Refusal)
+		CountRefusal func(*model.Refusal)
 	}
 
 	// Server is the listener for callers.
 	Server struct {
-		seams    Seams
+		deps     Dependencies
 		listener net.Listener
 		server   *http.Server
 	}
 )
 
 // NewServer listens on an address, HOST:PORT, and serves.
-func NewServer(address string, seams Seams) (*Server, error) {
+func NewServer(address string, seams Dependencies) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "caller: unable to listen")
 	}
-	s := &Server{seams: seams, listener: listener}
+	s := &Server{deps: seams, listener: listener}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
-	e.Use(s.endConnections)
+	e.Use(s.closeWhenDraining)
 	e.POST(RequestsPath, s.postRequest)
 	e.GET("/healthz", s.getHealth)
 	e.GET("/readyz", s.getReady)
-	s.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout}
+	s.server = &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
@@ -82,11 +82,11 @@
 	_ = s.server.Close()
 }
 
-// endConnections lets a draining node's kept connections wind down, so that the shutdown
+// closeWhenDraining lets a draining node's kept connections wind down, so that the shutdown
 // finds no idle one on which a request may just be arriving.
-func (s *Server) endConnections(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) closeWhenDraining(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		if s.seams.Draining() {
+		if s.deps.Draining() {
 			c.Response().Header().Set("Connection", "close")
 		}
 		return next(c)
@@ -98,7 +98,7 @@
 }
 
 func (s *Server) getReady(c echo.Context) error {
-	ready, why := s.seams.Ready()
+	ready, why := s.deps.Ready()
 	if !ready {
 		return c.String(http.StatusServiceUnavailable, why+"\n")
 	}
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -21,11 +21,11 @@
 // that a request that is refused before any token gets a plain refusal.
 type eventWriter struct {
 	response *echo.Response
-	number   int
+	nextID   int
 }
 
 func (w *eventWriter) write(event string, data any) {
-	if w.number == 0 {
+	if w.nextID == 0 {
 		w.response.Header().Set("Content-Type", "text/event-stream")
 		w.response.Header().Set("Cache-Control", "no-store")
 		w.response.WriteHeader(http.StatusOK)
@@ -34,22 +34,22 @@
 	if err != nil {
 		return
 	}
-	_, _ = fmt.Fprintf(w.response, "id: %d\nevent: %s\ndata: %s\n\n", w.number, event, body)
+	_, _ = fmt.Fprintf(w.response, "id: %d\nevent: %s\ndata: %s\n\n", w.nextID, event, body)
 	w.response.Flush()
-	w.number++
+	w.nextID++
 }
 
-func (s *Server) answerStream(c echo.Context, p parsed) error {
+func (s *Server) serveStream(c echo.Context, p parsedRequest) error {
 	w := &eventWriter{response: c.Response()}
 	emit := func(t model.Token) {
 		w.write(EventToken, TokenBody(t))
 	}
-	answer, refusal := s.seams.Serve(c.Request().Context(), p.request, p.pipeline, emit)
-	if refusal != nil && w.number == 0 {
-		return s.refuse(c, p.request.ID, refusal)
+	answer, refusal := s.deps.Serve(c.Request().Context(), p.request, p.pipeline, emit)
+	if refusal != nil && w.nextID == 0 {
+		return s.writeRefusal(c, p.request.ID, refusal)
 	}
 	if refusal != nil {
-		s.seams.Refused(refusal)
+		s.deps.CountRefusal(refusal)
 		w.write(EventRefusal, newRefusalBody(p.request.ID, refusal))
 		return nil
 	}
--- a/cli/blame.go
+++ b/cli/blame.go
@@ -11,12 +11,12 @@
 	"basilstall.example/basilstall/blame"
 )
 
-// blameWindow is the usual length of the windows that a report counts by.
-const blameWindow = 2 * time.Second
+// defaultBlameWindow is the usual length of the windows that a report counts by.
+const defaultBlameWindow = 2 * time.Second
 
-func (sh *shell) blameCommand() *ff.Command {
+func (sh *program) blameCommand() *ff.Command {
 	fs := ff.NewFlagSet("blame")
-	window := fs.DurationLong("window", blameWindow, "how long the windows are that requests are counted by")
+	window := fs.DurationLong("window", defaultBlameWindow, "how long the windows are that requests are counted by")
 	return &ff.Command{
 		Name:      "blame",
 		Usage:     "basilstall blame [FLAGS] LOG...",
@@ -29,7 +29,7 @@
 	}
 }
 
-func (sh *shell) blame(window time.Duration, files []string) error {
+func (sh *program) blame(window time.Duration, files []string) error {
 	if len(files) == 0 || window <= 0 {
 		return usageError("blame needs the names of log files, and a window above zero")
 	}
--- a/cli/check.go
+++ b/cli/check.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/platform"
 )
 
-func (sh *shell) checkCommand() *ff.Command {
+func (sh *program) checkCommand() *ff.Command {
 	fs := ff.NewFlagSet("check")
 	settings := fs.StringLong("settings", "", "settings file of the users' platform")
 	routing := fs.StringLong("routing", "", "file with the routing as operators write it into the platform's store")
@@ -36,23 +36,23 @@
 	}
 }
 
-func (sh *shell) checkSettings(name string) error {
+func (sh *program) checkSettings(name string) error {
 	s, err := platform.ReadSettings(name)
 	if err != nil {
-		return exitWith(ExitUsage, inFile(name, err))
+		return exitWith(ExitUsage, withFileName(name, err))
 	}
-	fmt.Fprintf(sh.stdout, "%s: node %s in %s, store at %s, keys trusted for %s\n", name, s.Name, s.FailureDomain, s.Store, s.KeyTrust)
+	fmt.Fprintf(sh.stdout, "%s: node %s in %s, store at %s, keys trusted for %s\n", name, s.Name, s.FailureDomain, s.StoreAddress, s.MaxRoutingAge)
 	return nil
 }
 
-func (sh *shell) checkRouting(name string) error {
+func (sh *program) checkRouting(name string) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
 	r, err := platform.DecodeRouting(text)
 	if err != nil {
-		return exitWith(ExitUsage, inFile(name, err))
+		return exitWith(ExitUsage, withFileName(name, err))
 	}
 	fmt.Fprintf(sh.stdout, "%s: version %d, %d routes, %d pools, %d customers\n", name, r.Version, len(r.Routes), len(r.Pools), len(r.Customers))
 	return nil
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -51,30 +51,30 @@
 }
 
 // shell is what all commands share.
-type shell struct {
+type program struct {
 	stdout io.Writer
 	stderr io.Writer
-	// nodeFile is the node's settings file, which ff reads; other commands read theirs.
-	nodeFile *string
+	// nodeConfigFile is the node's settings file, which ff reads; other commands read theirs.
+	nodeConfigFile *string
 	// signals gets SIGTERM and SIGINT.
 	signals chan os.Signal
 }
 
 // Main runs the command line and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
-	sh := &shell{stdout: stdout, stderr: stderr, signals: make(chan os.Signal, 2)}
+	sh := &program{stdout: stdout, stderr: stderr, signals: make(chan os.Signal, 2)}
 	signal.Notify(sh.signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(sh.signals)
 	root := sh.root()
 	err := root.ParseAndRun(context.Background(), args,
 		ff.WithEnvVarPrefix(config.EnvPrefix),
 		ff.WithConfigFileFlag("config"),
-		ff.WithConfigFileParser(sh.parseNodeFile),
+		ff.WithConfigFileParser(sh.parseNodeConfig),
 	)
 	return sh.exitCode(root, err)
 }
 
-func (sh *shell) root() *ff.Command {
+func (sh *program) root() *ff.Command {
 	return &ff.Command{
 		Name:      "basilstall",
 		Usage:     "basilstall COMMAND [FLAGS]",
@@ -101,15 +101,15 @@
 	}
 }
 
-// parseNodeFile is called for each command's --config; only that of serve is for ff to read.
-func (sh *shell) parseNodeFile(r io.Reader, set func(name, value string) error) error {
-	if *sh.nodeFile == "" {
+// parseNodeConfig is called for each command's --config; only that of serve is for ff to read.
+func (sh *program) parseNodeConfig(r io.Reader, set func(name, value string) error) error {
+	if *sh.nodeConfigFile == "" {
 		return nil
 	}
-	return config.ParseFile(*sh.nodeFile, r, set)
+	return config.ParseFile(*sh.nodeConfigFile, r, set)
 }
 
-func (sh *shell) exitCode(root *ff.Command, err error) int {
+func (sh *program) exitCode(root *ff.Command, err error) int {
 	var exit *exitError
 	var document *yamldoc.Error
 	switch {
@@ -135,7 +135,7 @@
 }
 
 // logger returns the log of a process that runs on: one line of JSON a change of state.
-func (sh *shell) logger(level string) zerolog.Logger {
+func (sh *program) logger(level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
 		parsed = zerolog.InfoLevel
@@ -144,7 +144,7 @@
 	return zerolog.New(sh.stderr).Level(parsed).With().Timestamp().Logger()
 }
 
-func (sh *shell) printJSON(value any) error {
+func (sh *program) printJSON(value any) error {
 	encoder := json.NewEncoder(sh.stdout)
 	encoder.SetEscapeHTML(false)
 	return encoder.Encode(value)
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -18,9 +18,9 @@
 	"basilstall.example/basilstall/standin"
 )
 
-const demoWait = 10 * time.Second
+const demoTimeout = 10 * time.Second
 
-func (sh *shell) demoCommand() *ff.Command {
+func (sh *program) demoCommand() *ff.Command {
 	fs := ff.NewFlagSet("demo")
 	return &ff.Command{
 		Name:      "demo",
@@ -36,7 +36,7 @@
 	}
 }
 
-func (sh *shell) demo(ctx context.Context) error {
+func (sh *program) demo(ctx context.Context) error {
 	c := sample.Bilbao()
 	platform, err := standin.NewStandin(c)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	defer platform.Close()
 	fmt.Fprintf(sh.stdout, "stand-in: platform on %s, %d endpoints\n", platform.Address(), len(platform.Endpoints()))
-	nodes, err := sh.demoNodes(platform.Address())
+	nodes, err := sh.startDemoNodes(platform.Address())
 	for _, n := range nodes {
 		defer n.Close()
 	}
@@ -54,10 +54,10 @@
 	if err := awaitReady(ctx, nodes); err != nil {
 		return err
 	}
-	return sh.demoRequests(ctx, nodes, platform)
+	return sh.sendDemoRequests(ctx, nodes, platform)
 }
 
-func (sh *shell) demoNodes(platform string) ([]*node.Node, error) {
+func (sh *program) startDemoNodes(platform string) ([]*node.Node, error) {
 	var nodes []*node.Node
 	for i, domain := range sample.BilbaoDomains {
 		options := config.NewOptions()
@@ -79,7 +79,7 @@
 
 // awaitReady waits until all nodes are ready and own keys together.
 func awaitReady(ctx context.Context, nodes []*node.Node) error {
-	ctx, cancel := context.WithTimeout(ctx, demoWait)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	for {
 		ready := 0
@@ -100,35 +100,35 @@
 	}
 }
 
-func (sh *shell) demoRequests(ctx context.Context, nodes []*node.Node, platform *standin.Standin) error {
+func (sh *program) sendDemoRequests(ctx context.Context, nodes []*node.Node, platform *standin.Standin) error {
 	client := func(i int) *caller.Client {
 		return &caller.Client{
-			Base:  "http://" + nodes[i].CallersAddress(),
-			Token: sample.BilbaoToken,
-			HTTP:  &http.Client{Timeout: demoWait},
+			BaseURL: "http://" + nodes[i].CallersAddress(),
+			Token:   sample.BilbaoToken,
+			HTTP:    &http.Client{Timeout: demoTimeout},
 		}
 	}
 	renewal := caller.Call{
 		Pipeline: "renewal",
-		Body:     caller.Body{Input: model.Input{Text: "renew the agreement of Bar Arriaga", MaxTokens: 12}, Stream: true},
+		Body:     caller.RequestBody{Input: model.Input{Text: "renew the agreement of Bar Arriaga", MaxTokens: 12}, Stream: true},
 		OnToken:  func(t caller.TokenBody) { fmt.Fprint(sh.stdout, t.Text) },
 	}
 	fmt.Fprintln(sh.stdout, "\nencode, retrieve, rerank, generate under one deadline, streamed:")
-	if err := sh.demoSend(ctx, client(0), renewal); err != nil {
+	if err := sh.sendDemoRequest(ctx, client(0), renewal); err != nil {
 		return err
 	}
 	key, err := uuid.NewV7()
 	if err != nil {
 		return err
 	}
-	ticket := caller.Call{Pipeline: "collection-ticket", Key: key.String(), Body: caller.Body{Input: model.Input{Text: "collect at Bar Arriaga"}}}
+	ticket := caller.Call{Pipeline: "collection-ticket", Key: key.String(), Body: caller.RequestBody{Input: model.Input{Text: "collect at Bar Arriaga"}}}
 	for i := range nodes {
 		fmt.Fprintf(sh.stdout, "\ncollection ticket with one key, through node %d:\n", i+1)
-		if err := sh.demoSend(ctx, client(i), ticket); err != nil {
+		if err := sh.sendDemoRequest(ctx, client(i), ticket); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(sh.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoAccount+"/"+key.String()])
+	fmt.Fprintf(sh.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoCustomer+"/"+key.String()])
 	late := renewal
 	late.Body.Timeout = "1ms"
 	late.Body.Stream = false
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (sh *shell) demoSend(ctx context.Context, client *caller.Client, call caller.Call) error {
+func (sh *program) sendDemoRequest(ctx context.Context, client *caller.Client, call caller.Call) error {
 	result, err := client.Send(ctx, call)
 	if err != nil {
 		return err
--- a/cli/edge.go
+++ b/cli/edge.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// logBuffer is how many lines wait for the log's reader; further ones are dropped and counted.
-	logBuffer = 4096
-	logPoll   = 100 * time.Millisecond
+	// logBufferLines is how many lines wait for the log's reader; further ones are dropped and counted.
+	logBufferLines  = 4096
+	logPollInterval = 100 * time.Millisecond
 )
 
-func (sh *shell) edgeCommand() *ff.Command {
+func (sh *program) edgeCommand() *ff.Command {
 	fs := ff.NewFlagSet("edge")
 	settings := fs.StringLong("settings", "", "the platform's settings file; "+platform.SettingsVariable+" names it otherwise")
 	return &ff.Command{
@@ -42,11 +42,11 @@
 	}
 }
 
-func (sh *shell) edge(path string) error {
+func (sh *program) edge(path string) error {
 	signal.Notify(sh.signals, syscall.SIGHUP)
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	zerolog.DurationFieldUnit = time.Millisecond
-	writer := diode.NewWriter(sh.stdout, logBuffer, logPoll, func(missed int) {
+	writer := diode.NewWriter(sh.stdout, logBufferLines, logPollInterval, func(missed int) {
 		// The line is written by the diode's own goroutine, in place of those it lost.
 		_, _ = sh.stderr.Write([]byte(`{"level":"warn","Lost":` + strconv.Itoa(missed) + `,"message":"log lines dropped"}` + "\n"))
 	})
--- a/cli/endpoints.go
+++ b/cli/endpoints.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/dispatch"
 )
 
-func (sh *shell) endpointsCommand() *ff.Command {
+func (sh *program) endpointsCommand() *ff.Command {
 	fs := ff.NewFlagSet("endpoints")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -9,7 +9,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-func (sh *shell) explainCommand() *ff.Command {
+func (sh *program) explainCommand() *ff.Command {
 	fs := ff.NewFlagSet("explain")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -35,7 +35,7 @@
 	}
 }
 
-func (sh *shell) printRecord(r model.Record) {
+func (sh *program) printRecord(r model.Record) {
 	fmt.Fprintf(sh.stdout, "request %s of %s/%s to %s on node %s\n", r.Request, r.Team, r.Customer, r.Pipeline, r.Node)
 	fmt.Fprintf(sh.stdout, "began %s, took %s, %s %s %s\n", r.Began.Format("15:04:05.000"), r.Elapsed, r.Verdict, r.Reason, r.Detail)
 	if r.Key != "" {
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -10,10 +10,10 @@
 	"basilstall.example/basilstall/replay"
 )
 
-// measuredLoads are the multiples of a trace's load that are measured.
-var measuredLoads = []float64{0.5, 1, 1.5, 3}
+// defaultLoads are the multiples of a trace's load that are measured.
+var defaultLoads = []float64{0.5, 1, 1.5, 3}
 
-func (sh *shell) measureCommand() *ff.Command {
+func (sh *program) measureCommand() *ff.Command {
 	fs := ff.NewFlagSet("measure")
 	only := fs.StringListLong("load", "a multiple of the trace's load, repeatable; 0.5, 1, 1.5 and 3 if not given")
 	return &ff.Command{
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			replay.PrintMeasurementsHead(sh.stdout)
+			replay.PrintMeasurementsHeader(sh.stdout)
 			for _, file := range files {
 				trace, err := replay.ReadTrace(file)
 				if err != nil {
@@ -47,7 +47,7 @@
 
 func parseLoads(texts []string) ([]float64, error) {
 	if len(texts) == 0 {
-		return measuredLoads, nil
+		return defaultLoads, nil
 	}
 	var loads []float64
 	for _, text := range texts {
@@ -60,7 +60,7 @@
 	return loads, nil
 }
 
-func (sh *shell) measure(ctx context.Context, trace replay.Trace, loads []float64, conditions []replay.Condition) error {
+func (sh *program) measure(ctx context.Context, trace replay.Trace, loads []float64, conditions []replay.Condition) error {
 	for _, condition := range conditions {
 		for _, load := range loads {
 			m, err := replay.Measure(ctx, trace, load, condition)
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -27,7 +27,7 @@
 }
 
 func (f operatorFlags) client() *operator.Client {
-	return &operator.Client{Base: "http://" + *f.node, Token: *f.token, HTTP: &http.Client{Timeout: 30 * time.Second}}
+	return &operator.Client{BaseURL: "http://" + *f.node, Token: *f.token, HTTP: &http.Client{Timeout: 30 * time.Second}}
 }
 
 // get reads a path, and tells an answer from no answer by the exit code.
--- a/cli/replay.go
+++ b/cli/replay.go
@@ -21,7 +21,7 @@
 	asJSON    *bool
 }
 
-func (sh *shell) replayCommand() *ff.Command {
+func (sh *program) replayCommand() *ff.Command {
 	fs := ff.NewFlagSet("replay")
 	flags := replayFlags{
 		trace:     fs.StringLong("trace", "", "the recorded trace, JSON lines"),
@@ -44,7 +44,7 @@
 	}
 }
 
-func (sh *shell) replay(ctx context.Context, flags replayFlags) error {
+func (sh *program) replay(ctx context.Context, flags replayFlags) error {
 	trace, err := replay.ReadTrace(*flags.trace)
 	if err != nil {
 		return exitWith(ExitUsage, err)
@@ -55,16 +55,16 @@
 			return exitWith(ExitUsage, err)
 		}
 	}
-	condition, ok := replay.ConditionNamed(*flags.condition)
+	condition, ok := replay.ConditionByName(*flags.condition)
 	if !ok {
 		return usageError("unknown condition %q", *flags.condition)
 	}
-	setup, err := replay.NewSetup(ctx, trace.Head, *flags.plain, sh.logger("fatal"))
+	setup, err := replay.NewSetup(ctx, trace.Header, *flags.plain, sh.logger("fatal"))
 	if err != nil {
 		return exitWith(ExitFailed, err)
 	}
 	defer setup.Close()
-	condition.Begin(setup)
+	condition.Apply(setup)
 	run := replay.NewReplay(trace.WithLoad(*flags.load), setup)
 	run.Durable = *flags.durable
 	report := run.Run(ctx)
@@ -79,7 +79,7 @@
 	return sh.printMissed(wanted.Missed(report))
 }
 
-func (sh *shell) printMissed(missed []string) error {
+func (sh *program) printMissed(missed []string) error {
 	if len(missed) == 0 {
 		return nil
 	}
--- a/cli/request.go
+++ b/cli/request.go
@@ -14,7 +14,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-func (sh *shell) requestCommand() *ff.Command {
+func (sh *program) requestCommand() *ff.Command {
 	fs := ff.NewFlagSet("request")
 	node := fs.StringLong("node", "127.0.0.1:7001", "address of a node's listener for callers")
 	token := fs.StringLong("token", "", "the caller's token")
@@ -38,7 +38,7 @@
 				return usageError("--pipeline and --text are needed")
 			}
 			call := caller.Call{Pipeline: *pipeline, Key: *key, Attempt: *attempt}
-			call.Body = caller.Body{
+			call.Body = caller.RequestBody{
 				Input:  model.Input{Text: *text, Prefix: *prefix, MaxTokens: *tokens},
 				Stream: *stream,
 			}
@@ -55,7 +55,7 @@
 			if *stream && !*asJSON {
 				call.OnToken = func(t caller.TokenBody) { fmt.Fprint(sh.stdout, t.Text) }
 			}
-			client := &caller.Client{Base: "http://" + *node, Token: *token, HTTP: &http.Client{Timeout: time.Minute}}
+			client := &caller.Client{BaseURL: "http://" + *node, Token: *token, HTTP: &http.Client{Timeout: time.Minute}}
 			result, err := client.Send(ctx, call)
 			if err != nil {
 				return exitWith(ExitUnreachable, err)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (sh *shell) printResult(result caller.Result, call caller.Call, asJSON bool) error {
+func (sh *program) printResult(result caller.Result, call caller.Call, asJSON bool) error {
 	if asJSON {
 		if result.Answer != nil {
 			return sh.printJSON(result.Answer)
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -12,11 +12,11 @@
 	"basilstall.example/basilstall/node"
 )
 
-func (sh *shell) serveCommand() *ff.Command {
+func (sh *program) serveCommand() *ff.Command {
 	fs := ff.NewFlagSet("serve")
 	options := config.NewOptions()
-	options.Register(fs)
-	sh.nodeFile = fs.StringLong("config", "", "YAML file with the node's settings")
+	options.RegisterFlags(fs)
+	sh.nodeConfigFile = fs.StringLong("config", "", "YAML file with the node's settings")
 	addresses := fs.StringLong("addresses-file", "", "file that gets the addresses once the node listens")
 	return &ff.Command{
 		Name:      "serve",
@@ -25,22 +25,22 @@
 		LongHelp:  "SIGTERM drains the node: requests in flight are finished. A second SIGTERM ends it at once.",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			if err := options.Check(); err != nil {
-				return exitWith(ExitUsage, inFile(*sh.nodeFile, err))
+			if err := options.Validate(); err != nil {
+				return exitWith(ExitUsage, withFileName(*sh.nodeConfigFile, err))
 			}
 			return sh.serve(ctx, *options, *addresses)
 		},
 	}
 }
 
-func (sh *shell) serve(ctx context.Context, options config.Options, addresses string) error {
+func (sh *program) serve(ctx context.Context, options config.Options, addresses string) error {
 	n, err := node.NewNode(options, sh.logger(options.LogLevel))
 	if err != nil {
 		return exitWith(ExitFailed, err)
 	}
 	if addresses != "" {
 		text := fmt.Sprintf("%s\n%s\n%s\n", n.CallersAddress(), n.OperatorsAddress(), n.PeersAddress())
-		if err := writeWhole(addresses, text); err != nil {
+		if err := writeFileAtomic(addresses, text); err != nil {
 			n.Close()
 			return exitWith(ExitFailed, err)
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// writeWhole writes a file so that whoever waits for it never reads a part.
-func writeWhole(name, text string) error {
+// writeFileAtomic writes a file so that whoever waits for it never reads a part.
+func writeFileAtomic(name, text string) error {
 	part := name + ".part"
 	if err := os.WriteFile(part, []byte(text), 0o600); err != nil {
 		return errors.Wrap(err, "cli: unable to write")
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func inFile(file string, err error) error {
+func withFileName(file string, err error) error {
 	if file == "" {
 		return err
 	}
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -15,7 +15,7 @@
 	"basilstall.example/basilstall/table"
 )
 
-func (sh *shell) settingsCommand() *ff.Command {
+func (sh *program) settingsCommand() *ff.Command {
 	return &ff.Command{
 		Name:      "settings",
 		Usage:     "basilstall settings get|set|check|history [FLAGS] [PATH]",
@@ -32,7 +32,7 @@
 	}
 }
 
-func (sh *shell) settingsGet() *ff.Command {
+func (sh *program) settingsGet() *ff.Command {
 	fs := ff.NewFlagSet("get")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -57,7 +57,7 @@
 	}
 }
 
-func (sh *shell) listSettings(ctx context.Context, flags operatorFlags) error {
+func (sh *program) listSettings(ctx context.Context, flags operatorFlags) error {
 	var snapshot model.Snapshot
 	if err := flags.get(ctx, "/v1/settings", &snapshot); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (sh *shell) settingsSet() *ff.Command {
+func (sh *program) settingsSet() *ff.Command {
 	fs := ff.NewFlagSet("set")
 	flags := newOperatorFlags(fs)
 	base := fs.Uint64Long("base", 0, "revision that the change was made from; 0 for a new document")
@@ -85,7 +85,7 @@
 		LongHelp:  "Exits 0 if the change was applied, 1 if it was not (another change came first, or the document is bad), 3 if that is unknown: then ask again with the operation number that was printed.",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
-			path, text, err := pathAndFile(args)
+			path, text, err := readPathAndFile(args)
 			if err != nil {
 				return err
 			}
@@ -93,7 +93,7 @@
 			if change.Operation == "" {
 				change.Operation = uuid.NewString()
 			}
-			result, err := flags.client().Set(ctx, path, change)
+			result, err := flags.client().SetDocument(ctx, path, change)
 			var response *operator.ResponseError
 			if err != nil && !errors.As(err, &response) {
 				// The node may have written the change before the answer was lost.
@@ -106,7 +106,7 @@
 	}
 }
 
-func (sh *shell) printChange(result operator.ChangeResult, wanted string, asJSON bool) error {
+func (sh *program) printChange(result operator.ChangeResult, wanted string, asJSON bool) error {
 	if asJSON {
 		_ = sh.printJSON(result)
 	}
@@ -121,13 +121,13 @@
 	}
 	if result.Current != nil && !asJSON {
 		fmt.Fprintf(sh.stdout, "%s now has revision %d by %s:\n", result.Current.Path, result.Current.Revision, result.Current.Author)
-		fmt.Fprint(sh.stdout, difference(wanted, result.Current.YAML))
+		fmt.Fprint(sh.stdout, diffLines(wanted, result.Current.YAML))
 	}
 	return exitWith(ExitFailed, errors.Errorf("NotApplied: %s", result.Detail))
 }
 
 // difference shows the lines that only one of two documents has.
-func difference(wanted, current string) string {
+func diffLines(wanted, current string) string {
 	var b strings.Builder
 	only := func(sign, text, other string) {
 		has := map[string]bool{}
@@ -145,7 +145,7 @@
 	return b.String()
 }
 
-func (sh *shell) settingsCheck() *ff.Command {
+func (sh *program) settingsCheck() *ff.Command {
 	fs := ff.NewFlagSet("check")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -154,11 +154,11 @@
 		ShortHelp: "tell what is wrong with a document, without setting it",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
-			path, text, err := pathAndFile(args)
+			path, text, err := readPathAndFile(args)
 			if err != nil {
 				return err
 			}
-			if err := flags.client().Check(ctx, path, []byte(text)); err != nil {
+			if err := flags.client().CheckDocument(ctx, path, []byte(text)); err != nil {
 				return operatorError(err)
 			}
 			fmt.Fprintln(sh.stdout, "good")
@@ -167,7 +167,7 @@
 	}
 }
 
-func (sh *shell) settingsHistory() *ff.Command {
+func (sh *program) settingsHistory() *ff.Command {
 	fs := ff.NewFlagSet("history")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -195,7 +195,7 @@
 	}
 }
 
-func pathAndFile(args []string) (path, text string, err error) {
+func readPathAndFile(args []string) (path, text string, err error) {
 	if len(args) != 2 {
 		return "", "", usageError("PATH and FILE are needed")
 	}
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -8,7 +8,7 @@
 	"basilstall.example/basilstall/standin"
 )
 
-func (sh *shell) standinCommand() *ff.Command {
+func (sh *program) standinCommand() *ff.Command {
 	fs := ff.NewFlagSet("standin")
 	file := fs.StringLong("config", "", "YAML file that says what to stand in for")
 	addresses := fs.StringLong("addresses-file", "", "file that gets the platform's address")
@@ -31,7 +31,7 @@
 			}
 			defer s.Close()
 			if *addresses != "" {
-				if err := writeWhole(*addresses, s.Address()+"\n"); err != nil {
+				if err := writeFileAtomic(*addresses, s.Address()+"\n"); err != nil {
 					return exitWith(ExitFailed, err)
 				}
 			}
--- a/cli/status.go
+++ b/cli/status.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/operator"
 )
 
-func (sh *shell) statusCommand() *ff.Command {
+func (sh *program) statusCommand() *ff.Command {
 	fs := ff.NewFlagSet("status")
 	flags := newOperatorFlags(fs)
 	return &ff.Command{
@@ -37,7 +37,7 @@
 	}
 }
 
-func (sh *shell) printStatus(s operator.Status) {
+func (sh *program) printStatus(s operator.Status) {
 	fmt.Fprintf(sh.stdout, "node %s in %s, ready %t, table answers %t\n", s.Node, s.FailureDomain, s.Ready, s.TableAnswers)
 	fmt.Fprintf(sh.stdout, "settings revision %d, in flight %d, keys remembered %d\n", s.Revision, s.InFlight, s.Keys)
 	fmt.Fprintf(sh.stdout, "era %d of %s, horizon %s\n", s.Era, strings.Join(s.EraMembers, " "), s.Horizon.Format("15:04:05.000"))
--- a/cli/version.go
+++ b/cli/version.go
@@ -17,7 +17,7 @@
 	Go       string
 }
 
-func (sh *shell) versionCommand() *ff.Command {
+func (sh *program) versionCommand() *ff.Command {
 	fs := ff.NewFlagSet("version")
 	asJSON := fs.BoolLong("json", "print JSON")
 	return &ff.Command{
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// untilStep is how often SleepUntil looks at the time: by so much it may be late after a suspension.
-const untilStep = 100 * time.Millisecond
+// sleepPollInterval is how often SleepUntil looks at the time: by so much it may be late after a suspension.
+const sleepPollInterval = 100 * time.Millisecond
 
 // SleepUntil waits until a time on a clock that counts the time in which the host was suspended, and reports
 // whether ctx still stands. Timers do not count it.
@@ -29,7 +29,7 @@
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
-		if !Sleep(ctx, min(left, untilStep)) {
+		if !Sleep(ctx, min(left, sleepPollInterval)) {
 			return false
 		}
 	}
--- a/clock/silence_test.go
+++ b/clock/silence_test.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	first = 2 * time.Second
-	after = time.Second
+	initialTimeout = 2 * time.Second
+	idleTimeout    = time.Second
 )
 
-func TestACallGoesOnForAsLongAsSomethingComes(t *testing.T) {
+func TestCallContinuesWhileDataArrives(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		pauses []time.Duration
 		want   error
 	}{
-		{"nothing in the first time", []time.Duration{first + 1}, clock.ErrSilent},
-		{"long, but never silent", []time.Duration{first - 1, after - 1, after - 1, after - 1, after - 1, after - 1}, nil},
-		{"silent in the middle", []time.Duration{0, after - 1, after + 1, 0}, clock.ErrSilent},
+		{"nothing in the first time", []time.Duration{initialTimeout + 1}, clock.ErrIdleTimeout},
+		{"long, but never silent", []time.Duration{initialTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1, idleTimeout - 1}, nil},
+		{"silent in the middle", []time.Duration{0, idleTimeout - 1, idleTimeout + 1, 0}, clock.ErrIdleTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, silence := clock.WithSilence(context.Background(), first, after)
+				ctx, silence := clock.WithIdleTimeout(context.Background(), initialTimeout, idleTimeout)
 				defer silence.Stop()
 				in, out := io.Pipe()
 				defer in.Close()
@@ -52,9 +52,9 @@
 
 // A body that came in one chunk was read with ever larger buffers, each filled before it was returned: over
 // a slow link, what had come was noticed only after the time for silence.
-func TestAReaderThatFillsItsBufferIsHeardInBetween(t *testing.T) {
+func TestReaderThatFillsLargeBufferResetsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, silence := clock.WithSilence(context.Background(), first, after)
+		ctx, silence := clock.WithIdleTimeout(context.Background(), initialTimeout, idleTimeout)
 		defer silence.Stop()
 		const rate = 64 << 10
 		left := 20 * rate
--- a/config/config.go
+++ b/config/config.go
@@ -83,7 +83,7 @@
 }
 
 // Register adds a flag for each option.
-func (o *Options) Register(fs *ff.FlagSet) {
+func (o *Options) RegisterFlags(fs *ff.FlagSet) {
 	fs.StringVar(&o.Name, 0, "name", o.Name, "node name, unique among the entry hosts")
 	fs.StringVar(&o.FailureDomain, 0, "failure-domain", o.FailureDomain, "failure domain of the host")
 	fs.StringVar(&o.Platform, 0, "platform", o.Platform, "address of the platform's table and list")
@@ -123,8 +123,8 @@
 		{"peers-listen", f.PeersListen},
 		{"operators-token", f.OperatorsToken},
 		{"peers-token", f.PeersToken},
-		{"drain-delay", durationText(f.DrainDelay)},
-		{"drain-limit", durationText(f.DrainLimit)},
+		{"drain-delay", formatDuration(f.DrainDelay)},
+		{"drain-limit", formatDuration(f.DrainLimit)},
 		{"log-level", f.LogLevel},
 	}
 	if f.Plain {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func durationText(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
@@ -152,7 +152,7 @@
 }
 
 // Check returns the first thing that is wrong with the options.
-func (o *Options) Check() error {
+func (o *Options) Validate() error {
 	required := [][2]string{
 		{"Name", o.Name},
 		{"FailureDomain", o.FailureDomain},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -19,7 +19,7 @@
 	return got, err
 }
 
-func TestTheFileIsCheckedStrictly(t *testing.T) {
+func TestFileIsDecodedStrictly(t *testing.T) {
 	cases := []struct {
 		name string
 		text string
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestGivenValuesAreHandedOn(t *testing.T) {
+func TestOnlyGivenValuesAreSet(t *testing.T) {
 	got, err := parse("Name: a\nDrainDelay: 3s\nPeerSeeds: [127.0.0.1:1, 127.0.0.1:2]\n")
 	must.NoError(t, err)
 	must.EqOp(t, "a", got["name"])
@@ -48,14 +48,14 @@
 	must.MapNotContainsKey(t, got, "platform")
 }
 
-func TestWhatIsMissingIsNamed(t *testing.T) {
+func TestValidateNamesInvalidOption(t *testing.T) {
 	o := config.NewOptions()
-	must.ErrorContains(t, o.Check(), "Name is missing")
+	must.ErrorContains(t, o.Validate(), "Name is missing")
 	o.Name, o.FailureDomain, o.Platform, o.OperatorsToken, o.PeersToken = "a", "d", "127.0.0.1:1", "t", "t"
-	must.NoError(t, o.Check())
+	must.NoError(t, o.Validate())
 	must.EqOp(t, 2*time.Second, o.DrainDelay)
 	o.PeersListen = "nowhere"
-	must.ErrorContains(t, o.Check(), "PeersListen")
+	must.ErrorContains(t, o.Validate(), "PeersListen")
 	o.Name = "a.b"
-	must.ErrorContains(t, o.Check(), "dot")
+	must.ErrorContains(t, o.Validate(), "dot")
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -75,7 +75,7 @@
 	// Result is the result of a stage.
 	Result struct {
 		// Carry is the output carried over to the next stage.
-		Carry  model.Carry
+		Carry  model.StageOutput
 		Timing model.StageTiming
 	}
 
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -49,7 +49,9 @@
 		Work: kernel.StageContext{Request: model.Request{ID: "r", Deadline: time.Now().Add(time.Minute)}, Stage: model.Stage{Name: "s", Pool: "p"}},
 		Plugin: kernel.Plugin{
 			Prepare: func(kernel.StageContext) model.StageCall { return model.StageCall{} },
-			Accept:  func(kernel.StageContext, model.StageReply) (model.Carry, error) { return model.Carry{}, nil },
+			ParseReply: func(kernel.StageContext, model.StageReply) (model.StageOutput, error) {
+				return model.StageOutput{}, nil
+			},
 		},
 	})
 	return err
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -68,7 +68,7 @@
 		return a.newRefusal(model.StageFailed, fault)
 	}
 	if a.carry.Tokens > 0 {
-		a.dispatcher.metrics.Retried(model.RetryResume, a.pool.name)
+		a.dispatcher.metrics.CountRetry(model.RetryResume, a.pool.name)
 	}
 	// A reused connection without progress may itself be at fault: the endpoint may get one more call, on a new
 	// connection.
@@ -128,7 +128,7 @@
 			return a.checkTokenCount(event)
 		}
 		if event.Index < a.carry.Tokens {
-			a.dispatcher.metrics.Event("TokenRepeated")
+			a.dispatcher.metrics.CountEvent("TokenRepeated")
 			return nil
 		}
 		if event.Index > a.carry.Tokens {
@@ -168,7 +168,7 @@
 	if fault.Kind == endpoint.Silent && fault.Reused {
 		a.mayHaveRun = true
 		a.pool.recordFailure(now, e, false)
-		a.dispatcher.metrics.Event("ConnectionsRetired")
+		a.dispatcher.metrics.CountEvent("ConnectionsRetired")
 		return
 	}
 	a.recordFault(now, e, fault)
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -89,7 +89,7 @@
 	if err := json.Unmarshal(body, &reply); err != nil {
 		return reply, &Fault{Kind: Status, Verdict: model.MayHaveRun, Err: errors.Wrap(err, "decode reply")}
 	}
-	if !reply.Answers(call) {
+	if !reply.Matches(call) {
 		c.Retire(target.Address)
 		return reply, &Fault{Kind: Mismatch, Verdict: model.MayHaveRun, Err: errors.Errorf("reply to %s/%s/%d", reply.Request, reply.Stage, reply.Attempt)}
 	}
@@ -122,7 +122,7 @@
 			return c.newFault(ctx, target, trace, err)
 		}
 		watch.reset()
-		if !event.Answers(call) {
+		if !event.Matches(call) {
 			c.Retire(target.Address)
 			return &Fault{Kind: Mismatch, Verdict: model.MayHaveRun, Err: errors.Errorf("event of %s/%s/%d", event.Request, event.Stage, event.Attempt)}
 		}
--- a/engine/client.go
+++ b/engine/client.go
@@ -21,8 +21,8 @@
 	stateTimeout = time.Second
 )
 
-// ErrOldFencing is returned where an engine refused an old fencing number.
-var ErrOldFencing = errors.New("engine: the fencing number is old")
+// ErrStaleFencing is returned where an engine refused an old fencing number.
+var ErrStaleFencing = errors.New("engine: the fencing number is old")
 
 type (
 	// OrderMessage is an order as engines take it.
@@ -96,7 +96,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusConflict {
-		return ErrOldFencing
+		return ErrStaleFencing
 	}
 	if res.StatusCode != http.StatusOK {
 		return errors.Errorf("engine: unable to order: %s", res.Status)
--- a/follow/log.go
+++ b/follow/log.go
@@ -37,7 +37,7 @@
 
 // recordAnswer counts an answer in the metrics. It logs a large one with its source and the time spent in each phase.
 func (f *Follower) recordAnswer(s answerStats) {
-	f.metrics.FeedTaken(sourceKind(s.source), s.size, s.elapsed)
+	f.metrics.ObserveFeed(sourceKind(s.source), s.size, s.elapsed)
 	if s.size < largeAnswerBytes {
 		return
 	}
@@ -50,7 +50,7 @@
 // each time.
 func (f *Follower) recordFailure(source, table string, err error) {
 	received, transfer := partialTransfer(err)
-	f.metrics.FeedGivenUp(sourceKind(source), received)
+	f.metrics.CountAbandonedFeed(sourceKind(source), received)
 	now := clock.Now().UnixNano()
 	lastLogged := f.failureLoggedAt.Load()
 	if received == 0 || now-lastLogged < int64(failureLogInterval) || !f.failureLoggedAt.CompareAndSwap(lastLogged, now) {
--- a/follow/nodes.go
+++ b/follow/nodes.go
@@ -96,7 +96,7 @@
 		if err == nil {
 			return
 		}
-		n.metrics.Event("AnnounceFailed")
+		n.metrics.CountEvent("AnnounceFailed")
 		clock.Sleep(ctx, jittered(pause))
 		pause = min(2*pause, maxInitialRetryPause)
 	}
--- a/follow/pack.go
+++ b/follow/pack.go
@@ -71,7 +71,7 @@
 	if cached, ok := p.packed[key]; ok && cached.version == row.Version {
 		return cached.data, nil
 	}
-	data, err := peer.Pack([]byte(row.Value))
+	data, err := peer.Compress([]byte(row.Value))
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 			continue
 		}
 		size += int64(len(data))
-		value, err := peer.Unpack(data)
+		value, err := peer.Decompress(data)
 		if err != nil {
 			return size, err
 		}
--- a/follow/read.go
+++ b/follow/read.go
@@ -100,7 +100,7 @@
 	// The changes may contain a row many times, the whole table contains it once: if the changes are too large for an
 	// answer, the whole table is read.
 	if errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrTooLong) {
-		f.metrics.Event(fullReadEvent(err))
+		f.metrics.CountEvent(fullReadEvent(err))
 		f.log.Info().Str("Table", t.Name).Uint64("After", after).Err(err).Msg("reading the whole table")
 		if answer, err = f.store.ReadAll(ctx, t.Name); err == nil {
 			f.applyAnswer(t, startedAt, answer, true)
@@ -142,7 +142,7 @@
 		return
 	}
 	if err != nil {
-		f.metrics.Event("StoreFailed")
+		f.metrics.CountEvent("StoreFailed")
 		f.recordFailure(fromStore, t.Name, err)
 	}
 	wasDown := t.down.Swap(err != nil)
--- a/follow/source.go
+++ b/follow/source.go
@@ -74,7 +74,7 @@
 	answer.Failed = err != nil && !answer.TimedOut
 	f.callTimeout = kernel.CallTimeout(f.callTimeout, f.options.MaxAge, maxPeerTimeout, !answer.TimedOut)
 	if answer.Failed {
-		f.metrics.Event("ReaderFailed")
+		f.metrics.CountEvent("ReaderFailed")
 		f.relay.Suspect(source, err)
 	}
 	f.selectorMu.Lock()
@@ -91,7 +91,7 @@
 	if !probe {
 		return
 	}
-	f.metrics.Event("StoreTried")
+	f.metrics.CountEvent("StoreTried")
 	err := f.fetch(ctx, f.tables[0])
 	f.selectorMu.Lock()
 	f.selector.RecordProbe(err == nil)
--- a/kernel/admit.go
+++ b/kernel/admit.go
@@ -24,7 +24,7 @@
 	// Authenticated is true if the request was admitted by its API key.
 	Authenticated bool
 	// Homes are the regions in which the request may be served.
-	Homes AllowedRegions
+	Regions AllowedRegions
 	// Version is that of the routing table.
 	Version uint64
 	// Rank orders requests by priority, the customer's first, then the route's; 0 is served first.
@@ -53,9 +53,9 @@
 	if !f.Deadline.IsZero() && f.Deadline.Before(a.Deadline) {
 		a.Deadline = f.Deadline
 	}
-	a.Homes = AllowedRegionsFor(route, model.KeyHolder{})
+	a.Regions = AllowedRegionsFor(route, model.KeyHolder{})
 	if !route.Public && view.Table.HasCustomers() {
-		holder, known := view.Table.Holder(f.Key)
+		holder, known := view.Table.CustomerByKey(f.Key)
 		if !known {
 			return Admission{}, model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key is not known")
 		}
@@ -64,7 +64,7 @@
 		}
 		a.Customer = holder.Name
 		a.Authenticated = true
-		a.Homes = AllowedRegionsFor(route, holder)
+		a.Regions = AllowedRegionsFor(route, holder)
 		if holder.Priority >= 0 {
 			a.Rank += holder.Priority * ranksPerCustomerPriority
 		}
@@ -75,16 +75,16 @@
 	return a, nil
 }
 
-// StillAdmitted decides again, right before a request is first sent: since it was admitted, the process may have
+// RecheckAdmission decides again, right before a request is first sent: since it was admitted, the process may have
 // been suspended or the API key revoked.
-func StillAdmitted(now time.Time, view RoutingView, maxAge time.Duration, f model.Forward, a Admission) *model.Refusal {
+func RecheckAdmission(now time.Time, view RoutingView, maxAge time.Duration, f model.Forward, a Admission) *model.Refusal {
 	if !now.Before(a.Deadline) {
 		return model.NewRefusal(model.NotRun, model.DeadlinePassed, 0, "the deadline has passed")
 	}
 	if !a.Authenticated {
 		return nil
 	}
-	holder, known := view.Table.Holder(f.Key)
+	holder, known := view.Table.CustomerByKey(f.Key)
 	if !known || holder.Name != a.Customer {
 		return model.NewRefusal(model.NotRun, model.Unauthorized, 0, "the API key was taken away meanwhile")
 	}
--- a/kernel/batch.go
+++ b/kernel/batch.go
@@ -189,17 +189,17 @@
 
 // Add adds a group to the queue. It returns false and when to retry if the group cannot be made in time.
 func (q *BatchQueue) Add(now time.Time, group PieceGroup) (accepted bool, retryAfter time.Duration) {
-	if len(q.workers) > 0 && q.activeWorkers() == 0 {
+	if len(q.workers) > 0 && q.countActiveWorkers() == 0 {
 		return false, ClampRetryAfter(evacuatedRetry)
 	}
 	wait := q.EstimateWait(now, group)
 	finish := now.Add(wait + q.callTime(len(group.Pieces)))
 	late := finish.After(group.Due) && q.backlog() > maxLateBacklog
 	if late || finish.After(group.Until) {
-		return false, ClampRetryAfter(max(wait, q.callTime(q.traits.Batch)))
+		return false, ClampRetryAfter(max(wait, q.callTime(q.traits.MaxBatch)))
 	}
-	if group.AskedAt.IsZero() {
-		group.AskedAt = now
+	if group.FirstSentAt.IsZero() {
+		group.FirstSentAt = now
 	}
 	q.groups[group.ID] = &waitingGroup{
 		PieceGroup:   group,
--- a/kernel/batch_property_test.go
+++ b/kernel/batch_property_test.go
@@ -90,7 +90,7 @@
 // expire advances the time until all workers have dropped their results.
 func (m *batchMachine) expire(t *rapid.T) {
 	m.recordEnded(t, m.queue.Expire(m.now))
-	m.now = m.now.Add(2 * batchTraits.Keep)
+	m.now = m.now.Add(2 * batchTraits.ResultTTL)
 	m.recordEnded(t, m.queue.Expire(m.now))
 	m.heldBytes = map[string]int64{}
 }
--- a/kernel/batch_test.go
+++ b/kernel/batch_test.go
@@ -12,8 +12,8 @@
 )
 
 var batchTraits = model.PieceTraits{
-	Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 21 * time.Millisecond,
-	Room: 18_000_000, Keep: 4 * time.Second,
+	Slots: 1, MaxBatch: 8, CallTime: 200 * time.Millisecond, PieceTime: 21 * time.Millisecond,
+	Room: 18_000_000, ResultTTL: 4 * time.Second,
 }
 
 func workerEndpoints(n int) []model.Endpoint {
@@ -105,8 +105,8 @@
 	q.Add(now, newPieceGroup(2, 4, 2_000_000, now.Add(9*time.Second)))
 	_, ok := q.Next(now)
 	must.False(t, ok)
-	q.Expire(now.Add(batchTraits.Keep + time.Second))
-	_, ok = q.Next(now.Add(batchTraits.Keep + time.Second))
+	q.Expire(now.Add(batchTraits.ResultTTL + time.Second))
+	_, ok = q.Next(now.Add(batchTraits.ResultTTL + time.Second))
 	must.True(t, ok)
 }
 
@@ -132,7 +132,7 @@
 // the one with the higher priority, whichever was added first.
 func TestUrgentGroupsGoFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
+	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.MaxBatch)*batchTraits.PieceTime
 	for _, tc := range []struct {
 		name  string
 		due   time.Duration
@@ -289,7 +289,7 @@
 // MB a request. At two thirds of the capacity, groups that may wait for the next call in their domain are rarely
 // made in another one, and wait no longer than two full calls.
 func TestLocalityWaitKeepsPiecesInDomain(t *testing.T) {
-	traits := model.PieceTraits{Slots: 1, Batch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, Keep: 4 * time.Second}
+	traits := model.PieceTraits{Slots: 1, MaxBatch: 40, CallTime: 240 * time.Millisecond, PieceTime: 5100 * time.Microsecond, ResultTTL: 4 * time.Second}
 	fullCallTime := 444 * time.Millisecond
 	run := func(policy kernel.Policy) (groups, moved int, longest time.Duration) {
 		start := time.Unix(1000, 0)
@@ -344,7 +344,7 @@
 	first := model.Endpoint{Name: "m", Pool: "p", State: model.Live, Started: time.Unix(900, 0)}
 	restarted := first
 	restarted.Started = time.Unix(999, 0)
-	q := kernel.NewBatchQueue(model.PieceTraits{Slots: 1, Batch: 4, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond, Room: 1000, Keep: 4 * time.Second})
+	q := kernel.NewBatchQueue(model.PieceTraits{Slots: 1, MaxBatch: 4, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond, Room: 1000, ResultTTL: 4 * time.Second})
 	q.SetEndpoints([]model.Endpoint{first})
 	must.True(t, addGroup(q, now, 1, 2, 400))
 	batch, ok := q.Next(now)
--- a/kernel/batchcall.go
+++ b/kernel/batchcall.go
@@ -35,12 +35,12 @@
 
 // shouldDefer reports whether to delay the next call so that more pieces can join it.
 func (q *BatchQueue) shouldDefer(now time.Time, groups []*waitingGroup) bool {
-	return q.policy.Uses(SpacedCalls) && now.Sub(q.lastStart) < q.Spacing() && q.countWaiting(groups) < q.traits.Batch
+	return q.policy.Uses(SpacedCalls) && now.Sub(q.lastStart) < q.Spacing() && q.countWaiting(groups) < q.traits.MaxBatch
 }
 
 // Spacing returns the least time between the starts of two calls that are not full.
 func (q *BatchQueue) Spacing() time.Duration {
-	return time.Duration(spacingRatio * float64(q.callTime(q.traits.Batch/2)) / q.concurrency())
+	return time.Duration(spacingRatio * float64(q.callTime(q.traits.MaxBatch/2)) / q.concurrency())
 }
 
 func (q *BatchQueue) countWaiting(groups []*waitingGroup) int {
@@ -63,11 +63,11 @@
 		if !q.eligible(now, w, g) || g.suspect && suspect {
 			continue
 		}
-		fits := min(len(g.waiting), q.traits.Batch-len(batch.Pieces))
+		fits := min(len(g.waiting), q.traits.MaxBatch-len(batch.Pieces))
 		if g.ResultBytes > 0 && !math.IsInf(room, 1) {
 			fits = min(fits, int(room/float64(g.ResultBytes)))
 		}
-		if fits <= 0 || (fits < len(g.waiting) && len(batch.Pieces) > 0 && len(g.waiting) <= q.traits.Batch/2) {
+		if fits <= 0 || (fits < len(g.waiting) && len(batch.Pieces) > 0 && len(g.waiting) <= q.traits.MaxBatch/2) {
 			continue
 		}
 		for _, p := range g.waiting[:fits] {
@@ -77,7 +77,7 @@
 			room -= float64(g.ResultBytes)
 		}
 		suspect = suspect || g.suspect
-		if len(batch.Pieces) >= q.traits.Batch {
+		if len(batch.Pieces) >= q.traits.MaxBatch {
 			break
 		}
 	}
--- a/kernel/batchcap_test.go
+++ b/kernel/batchcap_test.go
@@ -125,9 +125,9 @@
 	q.SetRateCap("worker-0", stated)
 	q.TakeOver(now)
 	q.Add(now, newPieceGroup(1, 1, 10, now.Add(time.Minute)))
-	_, called := q.Next(now.Add(kernel.CapBatcherPause(stated) - time.Millisecond))
+	_, called := q.Next(now.Add(kernel.CapBatcherInterval(stated) - time.Millisecond))
 	must.False(t, called)
-	_, called = q.Next(now.Add(kernel.CapBatcherPause(stated)))
+	_, called = q.Next(now.Add(kernel.CapBatcherInterval(stated)))
 	must.True(t, called)
 }
 
@@ -137,7 +137,7 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	stated := model.NewRateCap(1)
-	pause := kernel.CapBatcherPause(stated)
+	pause := kernel.CapBatcherInterval(stated)
 	q := newBatchQueue(1)
 	q.SetRateCap("worker-0", stated)
 	q.Add(now, newPieceGroup(1, 1, 10, now.Add(time.Minute)))
--- a/kernel/batchend.go
+++ b/kernel/batchend.go
@@ -65,7 +65,7 @@
 			}
 			continue
 		}
-		q.results[r.Handle] = heldResult{worker: batch.Endpoint.Incarnation(), bytes: batch.bytes[i], callStartedAt: batch.startedAt, expiresAt: now.Add(q.traits.Keep)}
+		q.results[r.Handle] = heldResult{worker: batch.Endpoint.Incarnation(), bytes: batch.bytes[i], callStartedAt: batch.startedAt, expiresAt: now.Add(q.traits.ResultTTL)}
 		ref := ResultRef{Number: p.Number, Handle: r.Handle, Worker: batch.Endpoint.Incarnation(), Pool: batch.Endpoint.Pool, Domain: batch.Endpoint.FailureDomain, Bytes: batch.bytes[i]}
 		g := q.groups[batch.groups[i]]
 		if g == nil || g.hasResult(p.Number) {
--- a/kernel/batchers.go
+++ b/kernel/batchers.go
@@ -55,7 +55,7 @@
 // The answers to a node that batches for a pool or is about to.
 const (
 	// KeepPool means that this node continues to batch, and the other one stops or does not begin.
-	KeepPool PoolAnswer = iota
+	KeepPool TakeOverDecision = iota
 	// YieldPool means that the other node batches from now on.
 	YieldPool
 	// SharePool means that each node batches for its own requests.
@@ -63,11 +63,11 @@
 )
 
 type (
-	// PoolAnswer is a batcher's answer to the claim of another node.
-	PoolAnswer int
+	// TakeOverDecision is a batcher's answer to the claim of another node.
+	TakeOverDecision int
 
-	// PoolClaim is a node's claim to batch for a pool.
-	PoolClaim struct {
+	// BatcherCandidate is a node's claim to batch for a pool.
+	BatcherCandidate struct {
 		Peer
 		// Batching is true if the node already batches for the pool, Leaving if it is about to leave.
 		Batching bool
@@ -75,10 +75,10 @@
 	}
 )
 
-// AnswerClaim decides which of two nodes batches for a pool that own batches for at present. The present batcher
+// DecideTakeOver decides which of two nodes batches for a pool that own batches for at present. The present batcher
 // continues unless it is leaving or the other node has more capacity, as a change costs calls that are not full.
 // If both nodes batch, the first by NodesByHash continues alone. A leaving node gets no pool from one that stays.
-func AnswerClaim(pool string, own, other PoolClaim) PoolAnswer {
+func DecideTakeOver(pool string, own, other BatcherCandidate) TakeOverDecision {
 	keep := other.Capacity <= own.Capacity
 	if other.Batching {
 		keep = NodesByHash(pool, []Peer{own.Peer, other.Peer})[0] == own.Name
--- a/kernel/batchers_test.go
+++ b/kernel/batchers_test.go
@@ -51,16 +51,16 @@
 }
 
 func TestAnswerClaim(t *testing.T) {
-	claim := func(name string, capacity float64, batches, leaving bool) kernel.PoolClaim {
-		return kernel.PoolClaim{Peer: kernel.Peer{Name: name, Capacity: capacity}, Batching: batches, Leaving: leaving}
+	claim := func(name string, capacity float64, batches, leaving bool) kernel.BatcherCandidate {
+		return kernel.BatcherCandidate{Peer: kernel.Peer{Name: name, Capacity: capacity}, Batching: batches, Leaving: leaving}
 	}
 	both := []kernel.Peer{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}}
 	first := kernel.NodesByHash("pool", both)[0]
 	second := kernel.NodesByHash("pool", both)[1]
 	for _, tc := range []struct {
 		name       string
-		own, other kernel.PoolClaim
-		want       kernel.PoolAnswer
+		own, other kernel.BatcherCandidate
+		want       kernel.TakeOverDecision
 	}{
 		{"a node of equal capacity does not take over", claim("a", 1, true, false), claim("b", 1, false, false), kernel.KeepPool},
 		{"a node of less capacity does not take over", claim("a", 1, true, false), claim("b", 0.5, false, false), kernel.KeepPool},
@@ -72,7 +72,7 @@
 		{"a leaving node gets no pool", claim("a", 1, true, false), claim("b", 2, true, true), kernel.KeepPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			must.EqOp(t, tc.want, kernel.AnswerClaim("pool", tc.own, tc.other))
+			must.EqOp(t, tc.want, kernel.DecideTakeOver("pool", tc.own, tc.other))
 		})
 	}
 }
--- a/kernel/batchfetch.go
+++ b/kernel/batchfetch.go
@@ -23,7 +23,7 @@
 // fetchTime returns the time after the start of a call by which the inputs of its pieces are fetched. Each piece
 // fetches all inputs of its group.
 func (q *BatchQueue) fetchTime(batch PieceBatch) time.Duration {
-	if q.traits.Link <= 0 {
+	if q.traits.LinkBandwidth <= 0 {
 		return batch.statedTime
 	}
 	var bytes int64
@@ -32,7 +32,7 @@
 			bytes += input.Bytes
 		}
 	}
-	return maxFetchDelay + time.Duration(fetchMargin*float64(bytes)/float64(q.traits.Link)*float64(time.Second))
+	return maxFetchDelay + time.Duration(fetchMargin*float64(bytes)/float64(q.traits.LinkBandwidth)*float64(time.Second))
 }
 
 // FetchTime returns the time after the start of the call by which the inputs of its pieces are fetched.
--- a/kernel/batchfetch_test.go
+++ b/kernel/batchfetch_test.go
@@ -12,8 +12,8 @@
 
 // fetchTraits are the traits of a pool with full calls of 374 ms, which fetch their inputs in about 10 ms.
 var fetchTraits = model.PieceTraits{
-	Slots: 1, Batch: 62, CallTime: 200 * time.Millisecond, PieceTime: 2800 * time.Microsecond,
-	Room: 810_000, Keep: 4 * time.Second, Link: 1_250_000_000,
+	Slots: 1, MaxBatch: 62, CallTime: 200 * time.Millisecond, PieceTime: 2800 * time.Microsecond,
+	Room: 810_000, ResultTTL: 4 * time.Second, LinkBandwidth: 1_250_000_000,
 }
 
 // groupWithInputs returns a group with four inputs of 60 kB. If freeInputs is set, the inputs may be freed once
--- a/kernel/batchload_test.go
+++ b/kernel/batchload_test.go
@@ -91,7 +91,7 @@
 	}
 	delete(s.heldResults, s.now)
 	for _, batch := range s.overdue[s.now] {
-		s.queue.Overdue(s.now, batch)
+		s.queue.RequeueOverdue(s.now, batch)
 	}
 	delete(s.overdue, s.now)
 	for _, batch := range s.running[s.now] {
@@ -195,7 +195,7 @@
 // at a latency objective of 1.1 s. Late groups must end earlier, and the number of groups on time must not
 // decrease.
 func TestStarvedGroupsEndInBurst(t *testing.T) {
-	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.Batch)*batchTraits.PieceTime
+	fullCallTime := batchTraits.CallTime + time.Duration(batchTraits.MaxBatch)*batchTraits.PieceTime
 	shortestCallTime := batchTraits.CallTime + batchTraits.PieceTime
 	var onTimeWith, onTimeWithout int
 	for seed := range uint64(loadSeeds) {
--- a/kernel/batchorder.go
+++ b/kernel/batchorder.go
@@ -47,13 +47,13 @@
 	if !q.policy.Uses(RankOnlyWhenOverloaded) {
 		return true
 	}
-	return !q.overloadedAt.IsZero() && now.Sub(q.overloadedAt) < overloadHoldCalls*q.callTime(q.traits.Batch)
+	return !q.overloadedAt.IsZero() && now.Sub(q.overloadedAt) < overloadHoldCalls*q.callTime(q.traits.MaxBatch)
 }
 
 // overloaded reports whether some groups that could be on time on their own would be late if all were made in the
 // order of their due times.
 func (q *BatchQueue) overloaded(now time.Time, groups []*waitingGroup) bool {
-	interval := float64(q.callTime(q.traits.Batch)) / q.concurrency()
+	interval := float64(q.callTime(q.traits.MaxBatch)) / q.concurrency()
 	earliestFinish := now.Add(q.callTime(1))
 	pieces := 0
 	for _, g := range groups {
@@ -61,7 +61,7 @@
 			return false
 		}
 		pieces += len(g.waiting)
-		wait := time.Duration(float64(pieces) / float64(q.traits.Batch) * interval)
+		wait := time.Duration(float64(pieces) / float64(q.traits.MaxBatch) * interval)
 		if wait > time.Duration(interval) && now.Add(wait+q.callTime(len(g.waiting))).After(g.Due) {
 			return true
 		}
--- a/kernel/batchroom.go
+++ b/kernel/batchroom.go
@@ -19,9 +19,9 @@
 // TakeOver records that another node may have batched for the pool until now. Its calls may still be running, its
 // results occupy room until they expire, and it may just have called the workers whose call rate is limited.
 func (q *BatchQueue) TakeOver(now time.Time) {
-	full := q.callTime(q.traits.Batch)
+	full := q.callTime(q.traits.MaxBatch)
 	q.sharedUntil = now.Add(handoverCalls * full)
-	q.foreignUntil = now.Add(q.traits.Keep + full)
+	q.foreignUntil = now.Add(q.traits.ResultTTL + full)
 	for _, w := range q.workers {
 		if w.lastCallAt.IsZero() {
 			w.lastCallAt = now
@@ -38,7 +38,7 @@
 // known results is attributed to the previous batcher.
 func (q *BatchQueue) SetFreeRoom(now time.Time, incarnation string, free int64) {
 	if w := q.workers[incarnation]; w != nil {
-		w.setForeign(now, q.foreignUntil, q.traits.Room-free-w.usedRoom)
+		w.setForeignRoom(now, q.foreignUntil, q.traits.Room-free-w.usedRoom)
 	}
 }
 
@@ -49,10 +49,10 @@
 	if !q.policy.Uses(LearnRoomFromRefusals) {
 		taken = q.traits.Room
 	}
-	w.setForeign(now, now.Add(refusedRoomDecay), taken)
+	w.setForeignRoom(now, now.Add(refusedRoomDecay), taken)
 }
 
-func (w *worker) setForeign(now, until time.Time, bytes int64) {
+func (w *worker) setForeignRoom(now, until time.Time, bytes int64) {
 	w.foreignBytes = max(0, bytes)
 	w.foreignAt = now
 	w.foreignUntil = until
--- a/kernel/batchroom_test.go
+++ b/kernel/batchroom_test.go
@@ -13,8 +13,8 @@
 // roomTraits are the traits of a pool with many results that are small compared with its room of 3 MB, and with
 // workers that do not report their room: 28 pieces of 60 kB a call, five workers, calls of 444 ms.
 var roomTraits = model.PieceTraits{
-	Slots: 1, Batch: 28, CallTime: 240 * time.Millisecond, PieceTime: 7300 * time.Microsecond,
-	Room: 3_000_000, Keep: 4 * time.Second, Link: 1_250_000_000,
+	Slots: 1, MaxBatch: 28, CallTime: 240 * time.Millisecond, PieceTime: 7300 * time.Microsecond,
+	Room: 3_000_000, ResultTTL: 4 * time.Second, LinkBandwidth: 1_250_000_000,
 }
 
 const roomResultBytes = 60_000
@@ -43,7 +43,7 @@
 	lost := start.Add(-1500 * time.Millisecond)
 	for _, w := range workerEndpoints(5) {
 		for i := range 50 {
-			s.expiries[w.Name] = append(s.expiries[w.Name], lost.Add(roomTraits.Keep-time.Duration(i)*20*time.Millisecond))
+			s.expiries[w.Name] = append(s.expiries[w.Name], lost.Add(roomTraits.ResultTTL-time.Duration(i)*20*time.Millisecond))
 		}
 	}
 	return s
@@ -136,5 +136,5 @@
 	must.EqOp(t, 1, q.RoomTaken(now))
 	q.SetFreeRoom(now.Add(time.Second), "worker-0", batchTraits.Room)
 	must.EqOp(t, 0, q.RoomTaken(now.Add(time.Second)))
-	must.False(t, q.MayHoldForeignResults(now.Add(2*batchTraits.Keep)))
+	must.False(t, q.MayHoldForeignResults(now.Add(2*batchTraits.ResultTTL)))
 }
--- a/kernel/batchslow.go
+++ b/kernel/batchslow.go
@@ -24,7 +24,7 @@
 // Overdue records that a call is overdue. Unless the pool has a backlog, the pieces that another endpoint could
 // still make on time are requeued, and the first result of each piece is used. It returns the number of requeued
 // pieces.
-func (q *BatchQueue) Overdue(now time.Time, batch PieceBatch) int {
+func (q *BatchQueue) RequeueOverdue(now time.Time, batch PieceBatch) int {
 	if _, runs := q.running[batch.ID]; !runs || !q.policy.Uses(AvoidSlowWorkers) {
 		return 0
 	}
@@ -96,7 +96,7 @@
 // make on time, or that are late wherever they are made; otherwise, a single piece every slowProbeInterval.
 func (q *BatchQueue) fillSlow(now time.Time, w *worker, groups []*waitingGroup) PieceBatch {
 	if !w.unanswered {
-		end := now.Add(time.Duration(w.slowdown * float64(q.callTime(q.traits.Batch))))
+		end := now.Add(time.Duration(w.slowdown * float64(q.callTime(q.traits.MaxBatch))))
 		inTime := slices.DeleteFunc(slices.Clone(groups), func(g *waitingGroup) bool { return end.After(g.Due) && !q.isLate(now, g) })
 		if batch := q.fill(now, w, inTime); len(batch.Pieces) > 0 {
 			return batch
--- a/kernel/batchslow_test.go
+++ b/kernel/batchslow_test.go
@@ -26,8 +26,8 @@
 
 func TestOverduePiecesAreMadeOnAnotherWorker(t *testing.T) {
 	q, first, now := startOverdueCall(t, 2*time.Second)
-	must.EqOp(t, 2, q.Overdue(now, first))
-	must.EqOp(t, 0, q.Overdue(now, first), must.Sprint("they are already waiting"))
+	must.EqOp(t, 2, q.RequeueOverdue(now, first))
+	must.EqOp(t, 0, q.RequeueOverdue(now, first), must.Sprint("they are already waiting"))
 	second, ok := q.Next(now)
 	must.True(t, ok)
 	must.Len(t, 2, second.Pieces)
@@ -43,7 +43,7 @@
 
 func TestFirstResultOfDuplicatePieceIsUsed(t *testing.T) {
 	q, first, now := startOverdueCall(t, 2*time.Second)
-	q.Overdue(now, first)
+	q.RequeueOverdue(now, first)
 	second, _ := q.Next(now)
 	ended, _ := q.Done(now.Add(50*time.Millisecond), first, resultsFor(first))
 	must.Len(t, 1, ended)
@@ -55,7 +55,7 @@
 // While a duplicate call is running, the failure of the first neither ends the group nor requeues its pieces.
 func TestFailureOfCallWithDuplicate(t *testing.T) {
 	q, first, now := startOverdueCall(t, 2*time.Second)
-	q.Overdue(now, first)
+	q.RequeueOverdue(now, first)
 	second, _ := q.Next(now)
 	must.SliceEmpty(t, q.Failed(now.Add(50*time.Millisecond), first))
 	pieces, calls := q.Pending()
@@ -68,14 +68,14 @@
 // A group that would be late on any worker is not requeued: a second call would take a worker from other groups.
 func TestLatePiecesAreNotMadeTwice(t *testing.T) {
 	q, first, now := startOverdueCall(t, 500*time.Millisecond)
-	must.EqOp(t, 0, q.Overdue(now, first))
+	must.EqOp(t, 0, q.RequeueOverdue(now, first))
 }
 
 // A slow worker gets the groups that it can make on time and those that would be late anyway. Otherwise it gets one
 // piece a second as a probe.
 func TestSlowWorkerGetsGroupsItMakesOnTime(t *testing.T) {
 	q, first, now := startOverdueCall(t, 2*time.Second)
-	q.Overdue(now, first)
+	q.RequeueOverdue(now, first)
 	second, _ := q.Next(now)
 	q.Done(now.Add(242*time.Millisecond), second, resultsFor(second))
 	now = now.Add(600 * time.Millisecond)
@@ -110,7 +110,7 @@
 	unanswering := call.Endpoint.Name
 	expected := q.Expected(call)
 	for round := range 6 {
-		q.Overdue(now, call)
+		q.RequeueOverdue(now, call)
 		must.EqOp(t, expected, q.Expected(call), must.Sprint("round ", round))
 		q.Failed(now.Add(time.Second), call)
 		now = now.Add(10 * time.Second)
--- a/kernel/batchstarved.go
+++ b/kernel/batchstarved.go
@@ -19,7 +19,7 @@
 	}
 	var ended []GroupOutcome
 	for _, g := range q.groups {
-		if len(g.waiting) == 0 || now.Before(q.lateSince(g).Add(maxStarvedCalls*q.callTime(q.traits.Batch))) {
+		if len(g.waiting) == 0 || now.Before(q.lateSince(g).Add(maxStarvedCalls*q.callTime(q.traits.MaxBatch))) {
 			continue
 		}
 		outcome := g.outcome(model.PieceStarved)
@@ -32,12 +32,12 @@
 	return ended
 }
 
-// lateSince returns the time from which on a waiting group could not be on time. It is not before AskedAt, as a
+// lateSince returns the time from which on a waiting group could not be on time. It is not before FirstSentAt, as a
 // request may have been late when it was sent.
 func (q *BatchQueue) lateSince(g *waitingGroup) time.Time {
 	late := g.Due.Add(-q.callTime(1))
-	if g.AskedAt.After(late) {
-		return g.AskedAt
+	if g.FirstSentAt.After(late) {
+		return g.FirstSentAt
 	}
 	return late
 }
--- a/kernel/batchwait.go
+++ b/kernel/batchwait.go
@@ -11,7 +11,7 @@
 // the work ahead of them and the free room. If the group is late only because of this wait, the queue counts as
 // overloaded.
 func (q *BatchQueue) EstimateWait(now time.Time, group PieceGroup) time.Duration {
-	wait := q.estimate(now, group)
+	wait := q.estimateWait(now, group)
 	finishAlone := now.Add(q.callTime(len(group.Pieces)))
 	if !finishAlone.After(group.Due) && finishAlone.Add(wait).After(group.Due) {
 		q.overloadedAt = now
@@ -19,21 +19,21 @@
 	return wait
 }
 
-func (q *BatchQueue) estimate(now time.Time, group PieceGroup) time.Duration {
-	workers := q.activeWorkers()
+func (q *BatchQueue) estimateWait(now time.Time, group PieceGroup) time.Duration {
+	workers := q.countActiveWorkers()
 	if workers == 0 {
-		return lapsedGrace
+		return relistGracePeriod
 	}
 	total, free := q.roomTotals(now)
 	ahead, aheadBytes := q.workAhead(now, group, free)
-	full := q.callTime(q.traits.Batch)
+	full := q.callTime(q.traits.MaxBatch)
 	calls := q.concurrency()
 	// When all endpoints are busy, the next one becomes free after half of the mean interval between calls.
 	firstWait := float64(full) / (2 * calls)
-	if q.freeWorkers(now) > 0 {
+	if q.countFreeWorkers(now) > 0 {
 		firstWait = 0
 	}
-	bySlots := firstWait + float64(ahead)/float64(max(1, q.traits.Batch))/calls*float64(full)
+	bySlots := firstWait + float64(ahead)/float64(max(1, q.traits.MaxBatch))/calls*float64(full)
 	missing := float64(aheadBytes) - free
 	if q.traits.Room <= 0 || missing <= 0 || group.ResultBytes == 0 {
 		return time.Duration(bySlots)
@@ -80,10 +80,10 @@
 	for _, g := range q.groups {
 		waiting += len(g.waiting)
 	}
-	return float64(waiting) / (float64(max(1, q.traits.Batch)) * q.concurrency() / float64(max(1, q.traits.Slots)))
+	return float64(waiting) / (float64(max(1, q.traits.MaxBatch)) * q.concurrency() / float64(max(1, q.traits.Slots)))
 }
 
-func (q *BatchQueue) activeWorkers() int {
+func (q *BatchQueue) countActiveWorkers() int {
 	n := 0
 	for _, w := range q.workers {
 		if w.endpoint.TakesWork() {
@@ -96,7 +96,7 @@
 // concurrency returns how many calls the workers run at a time. A worker with a rate cap counts only as many of
 // its slots as the cap keeps busy.
 func (q *BatchQueue) concurrency() float64 {
-	full := q.callTime(q.traits.Batch)
+	full := q.callTime(q.traits.MaxBatch)
 	calls := 0.0
 	for _, w := range q.workers {
 		if w.endpoint.TakesWork() {
@@ -111,15 +111,15 @@
 	if !w.rateCap.Stated {
 		return all
 	}
-	return min(all, float64(full)/float64(CapBatcherPause(w.rateCap)))
+	return min(all, float64(full)/float64(CapBatcherInterval(w.rateCap)))
 }
 
 // atRateCap reports whether the rate cap of a worker allows no call now.
 func (w *worker) atRateCap(now time.Time) bool {
-	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherPause(w.rateCap)
+	return w.rateCap.Stated && now.Sub(w.lastCallAt) < CapBatcherInterval(w.rateCap)
 }
 
-func (q *BatchQueue) freeWorkers(now time.Time) int {
+func (q *BatchQueue) countFreeWorkers(now time.Time) int {
 	n := 0
 	for _, w := range q.workers {
 		if w.endpoint.TakesWork() && w.runningCalls < max(1, q.traits.Slots) && !w.atRateCap(now) {
@@ -130,5 +130,5 @@
 }
 
 func (q *BatchQueue) callTime(pieces int) time.Duration {
-	return q.traits.CallTime + time.Duration(min(pieces, q.traits.Batch))*q.traits.PieceTime
+	return q.traits.CallTime + time.Duration(min(pieces, q.traits.MaxBatch))*q.traits.PieceTime
 }
--- a/kernel/budget.go
+++ b/kernel/budget.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	// timeoutFactor is the ratio of a progress timeout to the 99th percentile.
-	timeoutFactor      = 3
-	minProgressTimeout = 100 * time.Millisecond
-	// typicalStage is the service time assumed for a pool that has not answered yet.
-	typicalStage = 20 * time.Millisecond
+	// progressTimeoutFactor is the ratio of a progress timeout to the 99th percentile.
+	progressTimeoutFactor = 3
+	minProgressTimeout    = 100 * time.Millisecond
+	// defaultServiceTime is the service time assumed for a pool that has not answered yet.
+	defaultServiceTime = 20 * time.Millisecond
 	// The Retry-After time that callers get lies between these two.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
@@ -29,7 +29,7 @@
 
 // Cost returns the expected work in seconds of one endpoint.
 func (e StageEstimate) Cost() float64 {
-	return e.service().Seconds()
+	return e.serviceTime().Seconds()
 }
 
 // LatestStart returns the latest time at which the call may start and still finish before the deadline.
@@ -39,19 +39,19 @@
 
 // Expected returns the expected duration of the stage, including the wait in the queue.
 func (e StageEstimate) Expected() time.Duration {
-	return e.wait() + e.service()
+	return e.queueWait() + e.serviceTime()
 }
 
-func (e StageEstimate) wait() time.Duration {
+func (e StageEstimate) queueWait() time.Duration {
 	if e.MaxInFlight <= 0 || e.QueuedCost <= 0 {
 		return 0
 	}
 	return time.Duration(e.QueuedCost / e.MaxInFlight * float64(time.Second))
 }
 
-func (e StageEstimate) service() time.Duration {
+func (e StageEstimate) serviceTime() time.Duration {
 	if e.Median <= 0 {
-		return typicalStage
+		return defaultServiceTime
 	}
 	return e.Median
 }
@@ -62,7 +62,7 @@
 	var need, wait time.Duration
 	for _, e := range stages {
 		need += e.Expected()
-		wait += e.wait()
+		wait += e.queueWait()
 	}
 	left := deadline.Sub(now)
 	if need <= left {
@@ -80,7 +80,7 @@
 // service times.
 func StageDeadline(deadline time.Time, later []StageEstimate) time.Time {
 	for _, e := range later {
-		deadline = deadline.Add(-e.service())
+		deadline = deadline.Add(-e.serviceTime())
 	}
 	return deadline
 }
@@ -92,5 +92,5 @@
 	if p99 <= 0 {
 		return left
 	}
-	return min(left, max(minProgressTimeout, timeoutFactor*p99))
+	return min(left, max(minProgressTimeout, progressTimeoutFactor*p99))
 }
--- a/kernel/claims_test.go
+++ b/kernel/claims_test.go
@@ -122,7 +122,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			coordinator := kernel.Coordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
+			coordinator := kernel.ClaimsCoordinator{Self: all[c.self], FirmHorizon: firm, Horizon: time.Hour, StabilityTime: 2 * time.Second}
 			now := testStart.Add(c.after)
 			must.EqOp(t, c.want, coordinator.Decide(now, c.row, c.alive, testStart))
 		})
--- a/kernel/cold.go
+++ b/kernel/cold.go
@@ -12,9 +12,9 @@
 	// maxColdSenders is how many nodes may send to one cold endpoint. A few nodes with several sends each keep the
 	// total closer to the bound than many nodes with less than one each.
 	maxColdSenders = 3
-	// maxColdViews is how many different sets of senders may be in use at the same time: that of the nodes that have
+	// maxColdSenderSets is how many different sets of senders may be in use at the same time: that of the nodes that have
 	// learned of a membership change, and that of the nodes that have not.
-	maxColdViews = 2
+	maxColdSenderSets = 2
 	// coldWindow is the span of time in which sends may be spread and still arrive within one second: opening a
 	// connection may delay a send by 0.7 s.
 	coldWindow = 1800 * time.Millisecond
@@ -60,7 +60,7 @@
 	if rate <= 0 {
 		return ColdShare{}
 	}
-	perView := max(1, max(rate, rate*l.Excess+l.Slack)/maxColdViews)
+	perView := max(1, max(rate, rate*l.Excess+l.Slack)/maxColdSenderSets)
 	senders := min(maxColdSenders, int(perView))
 	sendsPerSender := math.Floor(perView / float64(senders))
 	return ColdShare{Senders: senders, MinInterval: time.Duration(float64(coldWindow)/sendsPerSender) + time.Millisecond}
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -235,7 +235,7 @@
 	for elapsed := time.Duration(0); elapsed < duration; elapsed += 50 * time.Millisecond {
 		now := start.Add(elapsed)
 		id++
-		q.Add(now, newPieceGroup(id, batchTraits.Batch, 10, now.Add(time.Minute)))
+		q.Add(now, newPieceGroup(id, batchTraits.MaxBatch, 10, now.Add(time.Minute)))
 		for batch, more := q.Next(now); more; batch, more = q.Next(now) {
 			calls[batch.Endpoint.Name]++
 			q.Done(now, batch, make([]model.PieceResult, len(batch.Pieces)))
--- a/kernel/coordinator.go
+++ b/kernel/coordinator.go
@@ -31,7 +31,7 @@
 
 // Coordinator decides when a node writes the claims row. Any node may write at any time without harm; the nodes are
 // ranked only to keep the writes of the fleet few.
-type Coordinator struct {
+type ClaimsCoordinator struct {
 	Self Member
 	// FirmHorizon is how far ahead of the present the owners of keys are final.
 	FirmHorizon time.Duration
@@ -43,7 +43,7 @@
 
 // Decide returns the action to take, given the row as last read, the live members, and since when their set has been
 // unchanged.
-func (c Coordinator) Decide(now time.Time, row Claims, alive []Member, stableSince time.Time) ClaimsAction {
+func (c ClaimsCoordinator) Decide(now time.Time, row Claims, alive []Member, stableSince time.Time) ClaimsAction {
 	alive = sortedMembers(alive)
 	rank := slices.IndexFunc(alive, func(m Member) bool { return m.ID() == c.Self.ID() })
 	if rank < 0 {
@@ -75,7 +75,7 @@
 
 // Next returns the row to write for an action. A new era starts at from, which is above all that the members were
 // granted; other actions ignore from.
-func (c Coordinator) Next(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
+func (c ClaimsCoordinator) NextRow(now time.Time, row Claims, alive []Member, action ClaimsAction, from time.Time, writer string) Claims {
 	now = now.Truncate(time.Millisecond)
 	firm, horizon := now.Add(c.FirmHorizon), now.Add(c.Horizon)
 	switch action {
--- a/kernel/evacuation.go
+++ b/kernel/evacuation.go
@@ -21,9 +21,9 @@
 // immutable.
 type Evacuations struct {
 	// since holds by domain when this node learned of the evacuation that is in force.
-	since map[string]time.Time
+	evacuatedAt map[string]time.Time
 	// ended holds by domain when this node learned of the end of its last evacuation.
-	ended map[string]time.Time
+	restoredAt map[string]time.Time
 }
 
 // EvacuationChange lists the failure domains that operators have evacuated or restored since an earlier state. A domain
@@ -36,20 +36,20 @@
 // With returns the evacuations after a change that this node learned of at now, and the domains whose state differs
 // from before.
 func (e Evacuations) With(now time.Time, change EvacuationChange) (after Evacuations, news EvacuationChange) {
-	after = Evacuations{since: maps.Clone(e.since), ended: maps.Clone(e.ended)}
-	if after.since == nil {
-		after.since, after.ended = map[string]time.Time{}, map[string]time.Time{}
+	after = Evacuations{evacuatedAt: maps.Clone(e.evacuatedAt), restoredAt: maps.Clone(e.restoredAt)}
+	if after.evacuatedAt == nil {
+		after.evacuatedAt, after.restoredAt = map[string]time.Time{}, map[string]time.Time{}
 	}
 	for _, domain := range change.Evacuated {
-		if !e.Holds(domain) {
-			after.since[domain] = now
+		if !e.Contains(domain) {
+			after.evacuatedAt[domain] = now
 			news.Evacuated = append(news.Evacuated, domain)
 		}
 	}
 	for _, domain := range change.Restored {
-		if e.Holds(domain) {
-			delete(after.since, domain)
-			after.ended[domain] = now
+		if e.Contains(domain) {
+			delete(after.evacuatedAt, domain)
+			after.restoredAt[domain] = now
 			news.Restored = append(news.Restored, domain)
 		}
 	}
@@ -57,25 +57,25 @@
 }
 
 // Holds reports whether a failure domain is evacuated.
-func (e Evacuations) Holds(domain string) bool {
-	_, held := e.since[domain]
+func (e Evacuations) Contains(domain string) bool {
+	_, held := e.evacuatedAt[domain]
 	return held
 }
 
 // Domains returns the evacuated failure domains in alphabetical order.
 func (e Evacuations) Domains() []string {
-	return slices.Sorted(maps.Keys(e.since))
+	return slices.Sorted(maps.Keys(e.evacuatedAt))
 }
 
 // Since returns when this node learned that a failure domain is evacuated; zero if it is not evacuated.
 func (e Evacuations) Since(domain string) time.Time {
-	return e.since[domain]
+	return e.evacuatedAt[domain]
 }
 
 // coldUntil returns until when the endpoints of a restored failure domain may be cold although their entries do not say
 // so; zero if the domain has never been evacuated.
 func (e Evacuations) coldUntil(domain string) time.Time {
-	ended, known := e.ended[domain]
+	ended, known := e.restoredAt[domain]
 	if !known {
 		return time.Time{}
 	}
@@ -85,14 +85,14 @@
 // AdmitPools refuses a request if no endpoint of a pool that it needs may get work: the pools of its stages that have
 // pieces, and the pool that serves the request itself. Only endpoints in the allowed regions of the request count.
 func AdmitPools(r Registry, f model.Forward, a Admission) *model.Refusal {
-	if refusal := admitPool(r, a.Pool, a.Homes); refusal != nil {
+	if refusal := admitPool(r, a.Pool, a.Regions); refusal != nil {
 		return refusal
 	}
 	for i, stage := range a.Route.Stages {
 		if PieceCount(f, i) == 0 {
 			continue
 		}
-		if refusal := admitPool(r, stage.Pool, a.Homes); refusal != nil {
+		if refusal := admitPool(r, stage.Pool, a.Regions); refusal != nil {
 			return refusal
 		}
 	}
--- a/kernel/homes.go
+++ b/kernel/homes.go
@@ -10,35 +10,35 @@
 // AllowedRegions are the regions that a request may be served in. The zero value allows any region. It is immutable.
 type AllowedRegions struct {
 	// stated is true if only the listed regions are allowed. The list may be empty.
-	stated  bool
-	regions []string
+	restricted bool
+	regions    []string
 }
 
 // AllowedRegionsFor returns the regions that both a route and a customer allow. A route or customer that lists no
 // regions allows all.
 func AllowedRegionsFor(route model.Route, customer model.KeyHolder) AllowedRegions {
-	return AllowedRegions{}.within(route.Homes).within(customer.Homes)
+	return AllowedRegions{}.intersect(route.AllowedRegions).intersect(customer.AllowedRegions)
 }
 
-func (r AllowedRegions) within(regions []string) AllowedRegions {
+func (r AllowedRegions) intersect(regions []string) AllowedRegions {
 	if len(regions) == 0 {
 		return r
 	}
-	if !r.stated {
-		return AllowedRegions{stated: true, regions: regions}
+	if !r.restricted {
+		return AllowedRegions{restricted: true, regions: regions}
 	}
 	common := slices.DeleteFunc(slices.Clone(r.regions), func(region string) bool { return !slices.Contains(regions, region) })
-	return AllowedRegions{stated: true, regions: common}
+	return AllowedRegions{restricted: true, regions: common}
 }
 
 // Allows reports whether a request may be served in a region.
 func (r AllowedRegions) Allows(region string) bool {
-	return !r.stated || slices.Contains(r.regions, region)
+	return !r.restricted || slices.Contains(r.regions, region)
 }
 
 // String lists the regions for messages.
 func (r AllowedRegions) String() string {
-	if !r.stated {
+	if !r.restricted {
 		return "any"
 	}
 	return fmt.Sprint(r.regions)
@@ -64,7 +64,7 @@
 
 // AllowedEndpoints returns the endpoints in the allowed regions.
 func (r AllowedRegions) AllowedEndpoints(endpoints []model.Endpoint) []model.Endpoint {
-	if !r.stated {
+	if !r.restricted {
 		return endpoints
 	}
 	return slices.DeleteFunc(slices.Clone(endpoints), func(e model.Endpoint) bool { return !r.Allows(e.Region) })
--- a/kernel/homes_test.go
+++ b/kernel/homes_test.go
@@ -28,7 +28,7 @@
 		{[]string{"north", "south"}, []string{"south", "west"}, []string{"south"}},
 		{[]string{"north"}, []string{"south"}, nil},
 	} {
-		regions := kernel.AllowedRegionsFor(model.Route{Homes: tc.route}, model.KeyHolder{Homes: tc.customer})
+		regions := kernel.AllowedRegionsFor(model.Route{AllowedRegions: tc.route}, model.KeyHolder{AllowedRegions: tc.customer})
 		var allowed []string
 		for _, region := range []string{"north", "south", "west"} {
 			if regions.Allows(region) {
@@ -45,7 +45,7 @@
 		endpointInRegion("north", "n", "workers"), endpointInRegion("south", "s", "workers"), endpointInRegion("west", "w", "workers"),
 	}, nil, nil)
 	anywhere := kernel.AllowedRegionsFor(model.Route{}, model.KeyHolder{})
-	southOrWest := kernel.AllowedRegionsFor(model.Route{Homes: []string{"west", "south"}}, model.KeyHolder{})
+	southOrWest := kernel.AllowedRegionsFor(model.Route{AllowedRegions: []string{"west", "south"}}, model.KeyHolder{})
 	for _, tc := range []struct {
 		name      string
 		evacuated []string
@@ -69,7 +69,7 @@
 	registry := kernel.NewRegistry().WithChanges(now, now, []model.Endpoint{endpointInRegion("north", "n", "plain")}, nil, nil)
 	a := kernel.Admission{Pool: "plain"}
 	must.Nil(t, kernel.AdmitPools(registry, model.Forward{}, a))
-	a.Homes = kernel.AllowedRegionsFor(model.Route{Homes: []string{"south"}}, model.KeyHolder{})
+	a.Regions = kernel.AllowedRegionsFor(model.Route{AllowedRegions: []string{"south"}}, model.KeyHolder{})
 	refusal := kernel.AdmitPools(registry, model.Forward{}, a)
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.NoHome, refusal.Reason)
--- a/kernel/idle.go
+++ b/kernel/idle.go
@@ -3,9 +3,9 @@
 const (
 	// maxIdlePerNode is the maximum number of idle connections of one node to one endpoint.
 	maxIdlePerNode = 8
-	// idleShare is the fraction of the connections that an endpoint accepts from all nodes together that may be idle.
+	// maxIdleShare is the fraction of the connections that an endpoint accepts from all nodes together that may be idle.
 	// The rest is for requests in flight.
-	idleShare = 0.75
+	maxIdleShare = 0.75
 )
 
 // MaxIdleConnections returns how many idle connections each of several nodes may keep to an endpoint that accepts a
@@ -18,5 +18,5 @@
 	if nodes == 0 {
 		return 0
 	}
-	return min(maxIdlePerNode, int(idleShare*float64(connections))/nodes)
+	return min(maxIdlePerNode, int(maxIdleShare*float64(connections))/nodes)
 }
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -35,23 +35,23 @@
 func TestOnlyMixedPoolsSplitCapacity(t *testing.T) {
 	t.Parallel()
 	table := mixedTable()
-	must.Less(t, 1.0, table.Share("mixed"))
-	must.EqOp(t, 1.0, table.Share("stage"))
-	must.EqOp(t, 1.0, table.Share("engines"))
-	must.EqOp(t, 1.0, table.Share("unknown"))
+	must.Less(t, 1.0, table.CapacityShare("mixed"))
+	must.EqOp(t, 1.0, table.CapacityShare("stage"))
+	must.EqOp(t, 1.0, table.CapacityShare("engines"))
+	must.EqOp(t, 1.0, table.CapacityShare("unknown"))
 }
 
 // Requests and pieces together stay within the rate cap of an endpoint that gets both, also after another batcher has
 // taken over.
 func TestMixedPoolStaysWithinRateCap(t *testing.T) {
 	t.Parallel()
-	share := mixedTable().Share("mixed")
+	share := mixedTable().CapacityShare("mixed")
 	for _, perSecond := range []float64{0, 0.1, 1, 1.4, 3} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			t.Parallel()
 			stated := model.NewRateCap(perSecond)
 			f := newCappedFleet(1, 8, perSecond)
-			f.view = f.view.WithPart(share)
+			f.view = f.view.WithFraction(share)
 			arrivals := f.arrivals(30*time.Second, func(*cappedFleet) {})
 			for _, takesOver := range []bool{false, true} {
 				q := cappedQueue{queue: newBatchQueue(4)}
@@ -72,7 +72,7 @@
 // membership view may send within 1.8 s, as sends within this time may arrive within one second.
 func TestMixedPoolStaysWithinColdBound(t *testing.T) {
 	t.Parallel()
-	poolShare := mixedTable().Share("mixed")
+	poolShare := mixedTable().CapacityShare("mixed")
 	for _, limits := range []kernel.ColdLimits{{}, {Excess: 1, Slack: 0}, {Excess: 1.5, Slack: 5}} {
 		for _, rate := range []float64{4, 9.4, 50, 1000} {
 			perView := 0
--- a/kernel/orders.go
+++ b/kernel/orders.go
@@ -80,8 +80,8 @@
 	o.dropIdleDemands(now)
 	loads := o.loadsInFlight(now)
 	var plan []Order
-	for _, d := range o.byUrgency() {
-		for copies := o.copies(d.Adapter, engines, loads); copies < min(adapterCopies, len(engines)); copies++ {
+	for _, d := range o.demandsByUrgency() {
+		for copies := o.countCopies(d.Adapter, engines, loads); copies < min(adapterCopies, len(engines)); copies++ {
 			if now.Before(o.nextLoad) {
 				break
 			}
@@ -132,7 +132,7 @@
 	return loads
 }
 
-func (o *OrderPlanner) byUrgency() []Demand {
+func (o *OrderPlanner) demandsByUrgency() []Demand {
 	sorted := make([]Demand, 0, len(o.demands))
 	for _, d := range o.demands {
 		sorted = append(sorted, d)
@@ -155,7 +155,7 @@
 	return sorted
 }
 
-func (o *OrderPlanner) copies(adapter string, engines []EngineView, loads map[string][]string) int {
+func (o *OrderPlanner) countCopies(adapter string, engines []EngineView, loads map[string][]string) int {
 	n := 0
 	for _, e := range engines {
 		if slices.Contains(e.Adapters, adapter) || slices.Contains(loads[e.Name], adapter) {
--- a/kernel/permits_test.go
+++ b/kernel/permits_test.go
@@ -14,7 +14,7 @@
 // permitFleet simulates nodes that get requests evenly and ask the nodes that share a cap for permits.
 type permitFleet struct {
 	*cappedFleet
-	permits        map[string]kernel.Permits
+	permits        map[string]kernel.PermitRequester
 	issuers        map[string]kernel.PermitIssuer
 	permitRequests int
 }
@@ -58,7 +58,7 @@
 	if sharer == nil || sharer.down {
 		return false, 0
 	}
-	f.issuers[name], granted, wait = f.issuers[name].Permit(f.now, f.view, sharer.sentAt, sharer.rank)
+	f.issuers[name], granted, wait = f.issuers[name].Decide(f.now, f.view, sharer.sentAt, sharer.rank)
 	if granted {
 		sharer.sentAt = f.now
 	}
@@ -91,7 +91,7 @@
 }
 
 func newPermitFleet(nodes int, perSecond float64) *permitFleet {
-	return &permitFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.Permits{}, issuers: map[string]kernel.PermitIssuer{}}
+	return &permitFleet{cappedFleet: newCappedFleet(uint64(nodes), nodes, perSecond), permits: map[string]kernel.PermitRequester{}, issuers: map[string]kernel.PermitIssuer{}}
 }
 
 // Permits let requests at any node of a fleet use most of a rate cap without exceeding it, whichever nodes join, leave,
@@ -151,20 +151,20 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	view := kernel.CapView{}.WithNotice(now, model.NewRateCap(1))
-	issuer, granted, _ := kernel.PermitIssuer{}.Permit(now, view, now.Add(-4*time.Second), 0)
+	issuer, granted, _ := kernel.PermitIssuer{}.Decide(now, view, now.Add(-4*time.Second), 0)
 	must.True(t, granted)
 	for _, want := range []time.Duration{3 * time.Second, 5 * time.Second, 5 * time.Second} {
 		var wait time.Duration
-		issuer, granted, wait = issuer.Permit(now.Add(time.Second), view, now, 0)
+		issuer, granted, wait = issuer.Decide(now.Add(time.Second), view, now, 0)
 		must.False(t, granted)
 		must.EqOp(t, want, wait)
 	}
-	_, granted, wait := issuer.Permit(now.Add(5*time.Second), view, now.Add(4*time.Second), 0)
+	_, granted, wait := issuer.Decide(now.Add(5*time.Second), view, now.Add(4*time.Second), 0)
 	must.False(t, granted)
 	must.EqOp(t, 3*time.Second, wait, must.Sprint("nodes denied before the last send are not counted"))
-	_, granted, _ = issuer.Permit(now.Add(time.Hour), view, now, 4)
+	_, granted, _ = issuer.Decide(now.Add(time.Hour), view, now, 4)
 	must.False(t, granted)
-	_, granted, _ = issuer.Permit(now.Add(time.Hour), kernel.CapView{}, now, 0)
+	_, granted, _ = issuer.Decide(now.Add(time.Hour), kernel.CapView{}, now, 0)
 	must.False(t, granted)
 }
 
@@ -172,7 +172,7 @@
 func TestPermitIsRequestedElsewhereAfterDenial(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	p := kernel.Permits{}.WithSharers([]string{"a", "self", "b"}, "self")
+	p := kernel.PermitRequester{}.WithSharers([]string{"a", "self", "b"}, "self")
 	first, ok := p.Choose(now, 0)
 	must.True(t, ok)
 	p = p.WithDenial(now, first, 2*time.Second)
@@ -182,12 +182,12 @@
 	p = p.WithDenial(now, second, 0)
 	_, ok = p.Choose(now, 0)
 	must.False(t, ok)
-	at, known := p.Next()
+	at, known := p.NextRequestAt()
 	must.True(t, known)
 	must.EqOp(t, now.Add(time.Second), at)
 	again, _ := p.Choose(at, 0)
 	must.EqOp(t, second, again)
-	_, known = kernel.Permits{}.Next()
+	_, known = kernel.PermitRequester{}.NextRequestAt()
 	must.False(t, known)
 }
 
@@ -196,7 +196,7 @@
 func TestDenialForDroppedEndpoint(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
-	p := kernel.Permits{}.WithDenial(now, "a", time.Second).WithSharers([]string{"a", "b"}, "self")
+	p := kernel.PermitRequester{}.WithDenial(now, "a", time.Second).WithSharers([]string{"a", "b"}, "self")
 	sharer, ok := p.Choose(now, 0)
 	must.True(t, ok)
 	must.EqOp(t, "b", sharer)
--- a/kernel/pieces.go
+++ b/kernel/pieces.go
@@ -25,9 +25,9 @@
 		LocalityWait time.Duration
 		// Rank is the request's priority; 0 is the highest.
 		Rank int
-		// AskedAt is when the sender first sent the group to any batcher; if zero, Add sets it to the present
+		// FirstSentAt is when the sender first sent the group to any batcher; if zero, Add sets it to the present
 		// time.
-		AskedAt time.Time
+		FirstSentAt time.Time
 		// Due is when the results are needed for the request to be on time; Until is when they become useless.
 		Due   time.Time
 		Until time.Time
--- a/kernel/plugin.go
+++ b/kernel/plugin.go
@@ -20,7 +20,7 @@
 	StageContext struct {
 		Request model.Request
 		Stage   model.Stage
-		Carry   model.Carry
+		Carry   model.StageOutput
 	}
 
 	// Plugin implements one kind of stage. It does no I/O: it prepares the call and interprets the reply. Package
@@ -34,7 +34,7 @@
 		// Prepare returns the call without its identity and deadline, which the dispatcher sets.
 		Prepare func(StageContext) model.StageCall
 		// Accept turns a complete reply into the input of the next stage.
-		Accept func(StageContext, model.StageReply) (model.Carry, error)
+		ParseReply func(StageContext, model.StageReply) (model.StageOutput, error)
 		// Check returns the reason why a stage's settings are invalid, or "" if they are valid.
 		Check func(model.Stage) string
 	}
--- a/kernel/quarantine.go
+++ b/kernel/quarantine.go
@@ -175,7 +175,7 @@
 		q.suspects[digest] = s
 	}
 	s.pool = pool
-	if s.has(crash) {
+	if s.hasCrash(crash) {
 		return
 	}
 	if len(s.crashes) == maxCrashes {
@@ -233,7 +233,7 @@
 }
 
 // has reports whether a crash is recorded already: several nodes report the same one.
-func (s *suspect) has(crash Crash) bool {
+func (s *suspect) hasCrash(crash Crash) bool {
 	return slices.ContainsFunc(s.crashes, func(known Crash) bool {
 		return known.Incarnation == crash.Incarnation && crash.At.Sub(known.At).Abs() < CrashDedupWindow
 	})
--- a/kernel/quarantinejudge.go
+++ b/kernel/quarantinejudge.go
@@ -92,7 +92,7 @@
 }
 
 func (q *Quarantine) newHeldRequest(now time.Time, digest model.Digest, s *suspect) HeldRequest {
-	h := HeldRequest{Digest: digest, Pool: s.pool, Firm: !q.shared(digest, s)}
+	h := HeldRequest{Digest: digest, Pool: s.pool, Firm: !q.allCrashesShared(digest, s)}
 	first := now
 	for _, crash := range s.crashes {
 		if !slices.Contains(h.Incarnations, crash.Incarnation) {
@@ -107,7 +107,7 @@
 }
 
 // shared reports whether at each crash of a request another suspect was running that may be the cause.
-func (q *Quarantine) shared(digest model.Digest, s *suspect) bool {
+func (q *Quarantine) allCrashesShared(digest model.Digest, s *suspect) bool {
 	for _, crash := range s.crashes {
 		if !q.hasOtherSuspect(digest, crash) {
 			return false
@@ -119,7 +119,7 @@
 // hasOtherSuspect reports whether at a crash another request was running that has at least CrashThreshold crashes.
 func (q *Quarantine) hasOtherSuspect(digest model.Digest, crash Crash) bool {
 	for other, s := range q.suspects {
-		if other != digest && len(s.crashes) >= CrashThreshold && s.has(crash) {
+		if other != digest && len(s.crashes) >= CrashThreshold && s.hasCrash(crash) {
 			return true
 		}
 	}
--- a/kernel/ratecap.go
+++ b/kernel/ratecap.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// capSenders is how many nodes may send to an endpoint that states a rate cap. Their first sends fall within the
+	// maxCapSharers is how many nodes may send to an endpoint that states a rate cap. Their first sends fall within the
 	// burst that the platform allows beyond the rate, with one request to spare for a node that does not know of them
 	// yet.
-	capSenders = 4
+	maxCapSharers = 4
 	// maxCapInterval is the maximum time between two sends of one node: an endpoint that takes almost nothing is still
 	// probed in case its cap has changed.
 	maxCapInterval = 20 * time.Second
@@ -52,9 +52,9 @@
 		// Rank is how many nodes rank before this one by rendezvous hash of the endpoint.
 		Rank int
 		// Asks is true where the node may request a permit from other nodes.
-		Asks bool
-		// AskAt is when one of those nodes is next due to be asked.
-		AskAt time.Time
+		MayRequestPermit bool
+		// NextPermitRequestAt is when one of those nodes is next due to be asked.
+		NextPermitRequestAt time.Time
 	}
 )
 
@@ -90,8 +90,8 @@
 	return v.with(now, stated)
 }
 
-// WithPart returns the view of a sender that may use only a part of the cap, from 0 to 1.
-func (v CapView) WithPart(part float64) CapView {
+// WithFraction returns the view of a sender that may use only a part of the cap, from 0 to 1.
+func (v CapView) WithFraction(part float64) CapView {
 	v.Cap = v.Cap.WithPart(part)
 	return v
 }
@@ -125,8 +125,8 @@
 		return true
 	case rank == math.MaxInt:
 		return false
-	case rank < capSenders:
-		return now.Sub(sentAt) >= v.pause()
+	case rank < maxCapSharers:
+		return now.Sub(sentAt) >= v.sendInterval()
 	default:
 		lastHeard := sentAt
 		if v.statedAt.After(lastHeard) {
@@ -137,17 +137,17 @@
 }
 
 // pause returns the minimum time between two sends of one of the nodes that share the cap.
-func (v CapView) pause() time.Duration {
-	return capPause(v.Cap.PerSecond / capSenders)
+func (v CapView) sendInterval() time.Duration {
+	return intervalAtRate(v.Cap.PerSecond / maxCapSharers)
 }
 
-// CapBatcherPause returns the minimum time between two calls of the batcher that is the only sender to a worker with a
+// CapBatcherInterval returns the minimum time between two calls of the batcher that is the only sender to a worker with a
 // rate cap.
-func CapBatcherPause(stated model.RateCap) time.Duration {
-	return capPause(stated.PerSecond * capBatcherShare)
+func CapBatcherInterval(stated model.RateCap) time.Duration {
+	return intervalAtRate(stated.PerSecond * capBatcherShare)
 }
 
-func capPause(perSecond float64) time.Duration {
+func intervalAtRate(perSecond float64) time.Duration {
 	if perSecond*maxCapInterval.Seconds() <= 1 {
 		return maxCapInterval
 	}
@@ -164,21 +164,21 @@
 			return nil
 		}
 		perSecond += e.View.Cap.PerSecond
-		if e.Asks {
-			if !now.Before(e.AskAt) {
+		if e.MayRequestPermit {
+			if !now.Before(e.NextPermitRequestAt) {
 				return nil
 			}
-			retry = shorterWait(retry, e.AskAt.Sub(now))
+			retry = shorterWait(retry, e.NextPermitRequestAt.Sub(now))
 		}
-		if e.Rank < capSenders {
-			retry = shorterWait(retry, e.SentAt.Add(e.View.pause()).Sub(now))
+		if e.Rank < maxCapSharers {
+			retry = shorterWait(retry, e.SentAt.Add(e.View.sendInterval()).Sub(now))
 		}
 	}
 	if len(endpoints) == 0 {
 		return nil
 	}
 	if retry == 0 {
-		retry = min(max(minCapRetry, capPause(perSecond)), maxCapRetry)
+		retry = min(max(minCapRetry, intervalAtRate(perSecond)), maxCapRetry)
 	}
 	return model.NewRefusal(model.NotRun, model.EndpointsCapped, ClampRetryAfter(retry), fmt.Sprintf("all endpoints of pool %s take no more now than they get", pool))
 }
--- a/kernel/ratecapnews.go
+++ b/kernel/ratecapnews.go
@@ -9,17 +9,17 @@
 const (
 	// Unless another node publishes first, a node writes its view of a cap into the shared table after a random delay
 	// between these two. The node at rank 0 writes at once.
-	capPublishFirst = 500 * time.Millisecond
-	capPublishLast  = 4 * time.Second
-	// capPublishPause is the minimum time between two writes of one node for one endpoint: a cap may come and go with
+	minCapPublishDelay = 500 * time.Millisecond
+	maxCapPublishDelay = 4 * time.Second
+	// minCapWriteInterval is the minimum time between two writes of one node for one endpoint: a cap may come and go with
 	// each answer, and the writes of all nodes together are bounded.
-	capPublishPause = 2 * time.Second
-	// capPublishRate is the minimum time between two writes that change only the rate: nodes that send learn of it from
+	minCapWriteInterval = 2 * time.Second
+	// minCapRateWriteInterval is the minimum time between two writes that change only the rate: nodes that send learn of it from
 	// the answers of the endpoint.
-	capPublishRate = 10 * time.Second
-	// capPublishAgain is the delay after the first failed write. It doubles with each further failure, up to a maximum.
-	capPublishAgain = time.Second
-	capPublishMost  = 15 * time.Second
+	minCapRateWriteInterval = 10 * time.Second
+	// minCapWriteBackoff is the delay after the first failed write. It doubles with each further failure, up to a maximum.
+	minCapWriteBackoff = time.Second
+	maxCapWriteBackoff = 15 * time.Second
 	// capUnlistedTTL is how long an endpoint may be missing from the list before its cap is dropped.
 	capUnlistedTTL = 10 * time.Second
 )
@@ -33,11 +33,11 @@
 	Published model.RateCap
 
 	publishedAt time.Time
-	// wroteAt is when this node last wrote.
-	wroteAt   time.Time
-	publishAt time.Time
-	pause     time.Duration
-	goneFrom  time.Time
+	// lastWriteAt is when this node last wrote.
+	lastWriteAt   time.Time
+	publishDueAt  time.Time
+	writeBackoff  time.Duration
+	unlistedSince time.Time
 }
 
 // ApplyNotice applies a change of what the table states.
@@ -50,10 +50,10 @@
 func (p *CapPublisher) SetListed(now time.Time, listed bool) {
 	switch {
 	case listed:
-		p.goneFrom = time.Time{}
-	case p.goneFrom.IsZero():
-		p.goneFrom = now
-	case now.Sub(p.goneFrom) >= capUnlistedTTL:
+		p.unlistedSince = time.Time{}
+	case p.unlistedSince.IsZero():
+		p.unlistedSince = now
+	case now.Sub(p.unlistedSince) >= capUnlistedTTL:
 		p.View = p.View.WithoutEndpoint(now)
 	}
 }
@@ -61,32 +61,32 @@
 // ShouldPublish reports whether the node has to write its view into the table now. The draw is uniform between 0 and 1.
 func (p *CapPublisher) ShouldPublish(now time.Time, rank int, draw float64) bool {
 	if p.View.Cap == p.Published {
-		p.publishAt, p.pause = time.Time{}, 0
+		p.publishDueAt, p.writeBackoff = time.Time{}, 0
 		return false
 	}
-	if !p.wroteAt.IsZero() && now.Sub(p.wroteAt) < capPublishPause {
+	if !p.lastWriteAt.IsZero() && now.Sub(p.lastWriteAt) < minCapWriteInterval {
 		return false
 	}
-	if p.View.Cap.Stated && p.Published.Stated && (rank > 0 || now.Sub(p.publishedAt) < capPublishRate) {
+	if p.View.Cap.Stated && p.Published.Stated && (rank > 0 || now.Sub(p.publishedAt) < minCapRateWriteInterval) {
 		return false
 	}
-	if p.publishAt.IsZero() {
-		p.publishAt = now
+	if p.publishDueAt.IsZero() {
+		p.publishDueAt = now
 		if rank > 0 {
-			p.publishAt = now.Add(capPublishFirst + time.Duration(draw*float64(capPublishLast-capPublishFirst)))
+			p.publishDueAt = now.Add(minCapPublishDelay + time.Duration(draw*float64(maxCapPublishDelay-minCapPublishDelay)))
 		}
 	}
-	return !now.Before(p.publishAt)
+	return !now.Before(p.publishDueAt)
 }
 
 // RecordWrite records whether a write of the view succeeded.
 func (p *CapPublisher) RecordWrite(now time.Time, written model.RateCap, ok bool) {
 	if ok {
-		p.Published, p.publishedAt, p.wroteAt = written, now, now
+		p.Published, p.publishedAt, p.lastWriteAt = written, now, now
 		return
 	}
-	p.pause = min(max(capPublishAgain, 2*p.pause), capPublishMost)
-	p.publishAt = now.Add(p.pause)
+	p.writeBackoff = min(max(minCapWriteBackoff, 2*p.writeBackoff), maxCapWriteBackoff)
+	p.publishDueAt = now.Add(p.writeBackoff)
 }
 
 // Removable reports whether neither the view nor the table states a cap, so that the state can be dropped.
--- a/kernel/ratelimit.go
+++ b/kernel/ratelimit.go
@@ -9,8 +9,8 @@
 	// maxHoldersAsked is the maximum number of nodes asked for one request, of those that hold the customer's rate.
 	// Each costs a round trip, and one node may have used up its part while others have not.
 	maxHoldersAsked = 3
-	// rateBurst is the burst that a customer may use at once, in seconds of its rate.
-	rateBurst = 1.0
+	// burstSeconds is the burst that a customer may use at once, in seconds of its rate.
+	burstSeconds = 1.0
 )
 
 // RateHolders returns the nodes that hold parts of a customer's fleet-wide rate; nodes with the same membership view
@@ -21,7 +21,7 @@
 	if rate >= float64(len(nodes)) {
 		return nodes
 	}
-	return firstByHash(customer, nodes, max(1, int(rate)))
+	return topRankedByHash(customer, nodes, max(1, int(rate)))
 }
 
 // HoldersToAsk returns the nodes to ask for one request, in order. A node that holds a part of the rate consults only
@@ -45,20 +45,20 @@
 	// Tokens never exceeds the burst.
 	Tokens float64
 	// Rate is the node's part of the rate, in requests a second.
-	Rate float64
-	At   time.Time
+	Rate      float64
+	UpdatedAt time.Time
 }
 
 // Take returns the bucket after one request, whether the request is within the customer's rate, and the Retry-After
 // time if it is not.
 func (b RateBucket) Take(now time.Time, fleetRate float64, nodes int) (RateBucket, bool, time.Duration) {
 	b.Rate = fleetRate / float64(max(1, nodes))
-	if b.At.IsZero() {
+	if b.UpdatedAt.IsZero() {
 		b.Tokens = b.burst()
 	} else {
 		b.Tokens = b.tokensAt(now)
 	}
-	b.At = now
+	b.UpdatedAt = now
 	if b.Tokens < 1 {
 		wait := time.Duration((1 - b.Tokens) / b.Rate * float64(time.Second))
 		return b, false, ClampRetryAfter(wait)
@@ -73,9 +73,9 @@
 }
 
 func (b RateBucket) burst() float64 {
-	return max(1, b.Rate*rateBurst)
+	return max(1, b.Rate*burstSeconds)
 }
 
 func (b RateBucket) tokensAt(now time.Time) float64 {
-	return min(b.burst(), b.Tokens+b.Rate*now.Sub(b.At).Seconds())
+	return min(b.burst(), b.Tokens+b.Rate*now.Sub(b.UpdatedAt).Seconds())
 }
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// lapsedGrace is how long after the store answers again an entry that lapsed during the outage is kept, for its
+	// relistGracePeriod is how long after the store answers again an entry that lapsed during the outage is kept, for its
 	// endpoint to be listed again: the platform promises about two seconds.
-	lapsedGrace = 2200 * time.Millisecond
+	relistGracePeriod = 2200 * time.Millisecond
 	// outageThreshold is how long the list may go without being proven current before entries count as lapsed
 	// during an outage. An entry outlives three heartbeat intervals of more than a second, and the list is proven
 	// current every second, or every two where an answer is lost.
@@ -29,16 +29,16 @@
 		// byPool holds the endpoints of each pool in the order of their names, with the states that follow from
 		// entries and evacuations.
 		byPool map[string][]model.Endpoint
-		// provenAt is when the list was last proven current; returnedAt is when that first happened after the last
+		// provenAt is when the list was last proven current; storeRecoveredAt is when that first happened after the last
 		// outage of the store.
-		provenAt   time.Time
-		returnedAt time.Time
+		provenAt         time.Time
+		storeRecoveredAt time.Time
 	}
 
 	registryEntry struct {
 		endpoint model.Endpoint
 		// missing is true for an entry that lapsed during an outage of the store and may be listed again.
-		missing bool
+		lapsed bool
 	}
 )
 
@@ -52,11 +52,11 @@
 // overwritten by a value that names no endpoint. An older entry of a process that has started again since is ignored.
 func (r Registry) WithChanges(now, provenAt time.Time, listed []model.Endpoint, removed, unreadable []string) Registry {
 	if !r.provenAt.IsZero() && provenAt.Sub(r.provenAt) > outageThreshold {
-		r.returnedAt = now
+		r.storeRecoveredAt = now
 	}
 	r.provenAt = provenAt
-	grace := !r.returnedAt.IsZero() && now.Sub(r.returnedAt) < lapsedGrace
-	if len(listed)+len(removed)+len(unreadable) == 0 && (grace || !r.anyMissing()) {
+	grace := !r.storeRecoveredAt.IsZero() && now.Sub(r.storeRecoveredAt) < relistGracePeriod
+	if len(listed)+len(removed)+len(unreadable) == 0 && (grace || !r.anyLapsed()) {
 		// Most answers contain no change, and copying a large list takes much processor time on a small host.
 		return r
 	}
@@ -64,7 +64,7 @@
 	for _, name := range removed {
 		e, known := entries[name]
 		if known && grace && e.endpoint.State != model.Leaving {
-			e.missing = true
+			e.lapsed = true
 			entries[name] = e
 		} else {
 			delete(entries, name)
@@ -84,15 +84,15 @@
 		entries[e.Name] = registryEntry{endpoint: e}
 	}
 	if !grace {
-		maps.DeleteFunc(entries, func(_ string, e registryEntry) bool { return e.missing })
+		maps.DeleteFunc(entries, func(_ string, e registryEntry) bool { return e.lapsed })
 	}
 	r.entries = entries
 	return r.indexed()
 }
 
-func (r Registry) anyMissing() bool {
+func (r Registry) anyLapsed() bool {
 	for _, e := range r.entries {
-		if e.missing {
+		if e.lapsed {
 			return true
 		}
 	}
@@ -115,7 +115,7 @@
 	r.byPool = map[string][]model.Endpoint{}
 	for _, entry := range r.entries {
 		e := entry.endpoint
-		if e.State == model.Live && r.evacuations.Holds(e.FailureDomain) {
+		if e.State == model.Live && r.evacuations.Contains(e.FailureDomain) {
 			e.State = model.Evacuated
 		}
 		if cold := r.evacuations.coldUntil(e.FailureDomain); cold.After(e.ColdUntil) {
@@ -138,7 +138,7 @@
 // TakesWork reports whether new work may still be sent to an endpoint that was chosen earlier.
 func (r Registry) TakesWork(e model.Endpoint) bool {
 	entry, listed := r.entries[e.Name]
-	return listed && entry.endpoint.Incarnation() == e.Incarnation() && entry.endpoint.State != model.Leaving && !r.evacuations.Holds(e.FailureDomain)
+	return listed && entry.endpoint.Incarnation() == e.Incarnation() && entry.endpoint.State != model.Leaving && !r.evacuations.Contains(e.FailureDomain)
 }
 
 // Find returns an endpoint by its name.
@@ -185,7 +185,7 @@
 			out = append(out, RegistryChange{Endpoint: e.endpoint, Before: old.endpoint, Message: "endpoint started again"})
 		case old.endpoint.State != e.endpoint.State:
 			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint changed its state"})
-		case e.missing && !old.missing:
+		case e.lapsed && !old.lapsed:
 			out = append(out, RegistryChange{Endpoint: e.endpoint, Message: "endpoint lapsed while the store was away"})
 		}
 	}
--- a/kernel/routes.go
+++ b/kernel/routes.go
@@ -18,9 +18,9 @@
 	// RouteTable looks up the route of a request and the customer of an API key in one version of the routing. It is
 	// immutable.
 	RouteTable struct {
-		routing model.Routing
-		byHost  map[string]hostRoutes
-		holders map[string]model.KeyHolder
+		routing        model.Routing
+		byHost         map[string]hostRoutes
+		customersByKey map[string]model.KeyHolder
 		// mixed holds the pools that get both requests and pieces.
 		mixed map[string]bool
 	}
@@ -30,7 +30,7 @@
 	hostRoutes struct {
 		byPrefix map[string]model.Route
 		// longest is the length of the longest prefix in bytes.
-		longest int
+		maxPrefixLength int
 	}
 
 	// RoutingView is the newest known routing and the time at which it was last proven to be the newest.
@@ -43,7 +43,7 @@
 
 // NewRouteTable returns the route table of a routing.
 func NewRouteTable(routing model.Routing) *RouteTable {
-	t := &RouteTable{routing: routing, byHost: map[string]hostRoutes{}, holders: map[string]model.KeyHolder{}, mixed: map[string]bool{}}
+	t := &RouteTable{routing: routing, byHost: map[string]hostRoutes{}, customersByKey: map[string]model.KeyHolder{}, mixed: map[string]bool{}}
 	for _, r := range routing.Routes {
 		t.byHost[r.Host] = t.byHost[r.Host].with(r)
 		for _, w := range r.Split {
@@ -54,7 +54,7 @@
 	}
 	for _, holder := range routing.Customers {
 		for _, key := range holder.Keys {
-			t.holders[key] = holder
+			t.customersByKey[key] = holder
 		}
 	}
 	return t
@@ -68,13 +68,13 @@
 	if _, taken := h.byPrefix[r.Prefix]; !taken {
 		h.byPrefix[r.Prefix] = r
 	}
-	h.longest = max(h.longest, len(r.Prefix))
+	h.maxPrefixLength = max(h.maxPrefixLength, len(r.Prefix))
 	return h
 }
 
 // match returns the route with the longest prefix of a path.
 func (h hostRoutes) match(path string) (model.Route, bool) {
-	path = path[:min(len(path), h.longest)]
+	path = path[:min(len(path), h.maxPrefixLength)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r, ok := h.byPrefix[path[:end+1]]; ok {
 			return r, true
@@ -109,7 +109,7 @@
 
 // Share returns the share of the capacity of a pool's endpoints that requests may use, and pieces as well: 1, or
 // mixedShare if the pool gets both.
-func (t *RouteTable) Share(pool string) float64 {
+func (t *RouteTable) CapacityShare(pool string) float64 {
 	if t == nil || !t.mixed[pool] {
 		return 1
 	}
@@ -130,11 +130,11 @@
 }
 
 // Holder returns the customer that holds an API key.
-func (t *RouteTable) Holder(key string) (model.KeyHolder, bool) {
+func (t *RouteTable) CustomerByKey(key string) (model.KeyHolder, bool) {
 	if key == "" {
 		return model.KeyHolder{}, false
 	}
-	h, ok := t.holders[key]
+	h, ok := t.customersByKey[key]
 	return h, ok
 }
 
--- a/kernel/routes_test.go
+++ b/kernel/routes_test.go
@@ -156,15 +156,15 @@
 	f := newForward("a.example", "/x/1", "key-b", now)
 	f.Deadline = time.Time{}
 	a, _ := kernel.Admit(now, view, trustLimit, f)
-	must.Nil(t, kernel.StillAdmitted(now, view, trustLimit, f, a))
+	must.Nil(t, kernel.RecheckAdmission(now, view, trustLimit, f, a))
 
 	revoked := testRouting(4)
 	revoked.Customers[0].Keys = []string{"key-a"}
 	later := view.With(now, kernel.NewRouteTable(revoked))
-	must.Eq(t, model.Unauthorized, kernel.StillAdmitted(now, later, trustLimit, f, a).Reason)
+	must.Eq(t, model.Unauthorized, kernel.RecheckAdmission(now, later, trustLimit, f, a).Reason)
 
 	a.Deadline = now.Add(time.Hour)
 	afterTrustLimit := now.Add(trustLimit + time.Second)
-	must.Eq(t, model.StaleRouting, kernel.StillAdmitted(afterTrustLimit, view, trustLimit, f, a).Reason)
-	must.Eq(t, model.DeadlinePassed, kernel.StillAdmitted(a.Deadline, view, trustLimit, f, a).Reason)
+	must.Eq(t, model.StaleRouting, kernel.RecheckAdmission(afterTrustLimit, view, trustLimit, f, a).Reason)
+	must.Eq(t, model.DeadlinePassed, kernel.RecheckAdmission(a.Deadline, view, trustLimit, f, a).Reason)
 }
--- a/kernel/settled.go
+++ b/kernel/settled.go
@@ -30,7 +30,7 @@
 
 // With returns the nodes after a new list of the announced ones.
 func (s SettledNodes) With(now time.Time, announced []Peer) SettledNodes {
-	if s.holdsJust(announced) {
+	if s.equals(announced) {
 		return s
 	}
 	out := SettledNodes{known: make(map[string]settledNode, len(announced))}
@@ -55,8 +55,8 @@
 	return out
 }
 
-// holdsJust reports whether the announced nodes are exactly the known ones, and none of those has left.
-func (s SettledNodes) holdsJust(announced []Peer) bool {
+// equals reports whether the announced nodes are exactly the known ones, and none of those has left.
+func (s SettledNodes) equals(announced []Peer) bool {
 	if len(announced) != len(s.known) {
 		return false
 	}
@@ -88,19 +88,19 @@
 }
 
 // First returns at most count nodes, the highest ranked by rendezvous hash of the subject.
-func (s SettledNodes) First(now time.Time, subject string, count int) []string {
+func (s SettledNodes) TopRanked(now time.Time, subject string, count int) []string {
 	names := make([]string, 0, len(s.known))
 	for name, node := range s.known {
 		if node.leftAt.IsZero() || now.Sub(node.leftAt) < settleTime {
 			names = append(names, name)
 		}
 	}
-	return firstByHash(subject, names, count)
+	return topRankedByHash(subject, names, count)
 }
 
-// firstByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in order of
+// topRankedByHash returns at most count of several nodes, the highest ranked by rendezvous hash of the subject, in order of
 // rank.
-func firstByHash(subject string, nodes []string, count int) []string {
+func topRankedByHash(subject string, nodes []string, count int) []string {
 	type scored struct {
 		name  string
 		score uint64
--- a/kernel/sharedbudget_test.go
+++ b/kernel/sharedbudget_test.go
@@ -21,7 +21,7 @@
 	for step := range 1000 {
 		at := now.Add(time.Duration(step) * 10 * time.Millisecond)
 		b := budgets[step%nodes]
-		b.Request(at)
+		b.CountRequest(at)
 		requests++
 		// Every request fails and asks for a retry.
 		if b.TakeRetry(at, nodes) {
--- a/kernel/stageplan.go
+++ b/kernel/stageplan.go
@@ -48,7 +48,7 @@
 
 // FullCall returns how long a call with a full batch takes according to the traits of the pool.
 func (e PoolEstimate) FullCall() time.Duration {
-	return e.Traits.CallTime + time.Duration(e.Traits.Batch)*e.Traits.PieceTime
+	return e.Traits.CallTime + time.Duration(e.Traits.MaxBatch)*e.Traits.PieceTime
 }
 
 // Queued reports whether pieces of the pool wait in a queue.
@@ -78,7 +78,7 @@
 		plan.Expected = max(plan.Expected, remaining[i]+stageDuration)
 	}
 	plan.Expected = max(plan.Expected, firstEvent)
-	due := f.AskedAt().Add(a.Route.Objective - firstEventMargin)
+	due := f.FirstAttemptAt().Add(a.Route.Objective - firstEventMargin)
 	for i := range stages {
 		plan.Due[i] = due.Add(-remaining[i])
 		plan.Until[i] = a.Deadline.Add(-remaining[i])
@@ -98,9 +98,9 @@
 }
 
 func stageTime(e PoolEstimate) time.Duration {
-	pieces := time.Duration(max(1, int(typicalBatchShare*float64(e.Traits.Batch))))
+	pieces := time.Duration(max(1, int(typicalBatchShare*float64(e.Traits.MaxBatch))))
 	if e.Wait > minQueueWait {
-		pieces = time.Duration(e.Traits.Batch)
+		pieces = time.Duration(e.Traits.MaxBatch)
 	}
 	return e.Wait + e.Traits.CallTime + pieces*e.Traits.PieceTime
 }
@@ -129,7 +129,7 @@
 			totalWait += e.Wait
 		}
 	}
-	late := now.Add(time.Duration(planMargin * float64(plan.Expected))).After(f.AskedAt().Add(a.Route.Objective))
+	late := now.Add(time.Duration(planMargin * float64(plan.Expected))).After(f.FirstAttemptAt().Add(a.Route.Objective))
 	pastDeadline := now.Add(plan.Expected).After(a.Deadline)
 	if pastDeadline || (late && totalWait > lateRefusalWait) {
 		return model.NewRefusal(model.NotRun, model.StageLate, ClampRetryAfter(totalWait), "the stages would be late")
--- a/list/list.go
+++ b/list/list.go
@@ -48,7 +48,7 @@
 	var hosts model.HostList
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
-	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
+	ctx, silence := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+Path, nil)
 	if err != nil {
--- a/model/call.go
+++ b/model/call.go
@@ -57,7 +57,7 @@
 	}
 
 	// Carry is what one stage hands to the next.
-	Carry struct {
+	StageOutput struct {
 		Text   string
 		Items  []string
 		Output string
@@ -66,11 +66,11 @@
 )
 
 // Answers tells whether the reply belongs to the call.
-func (r StageReply) Answers(c StageCall) bool {
+func (r StageReply) Matches(c StageCall) bool {
 	return r.Request == c.Request && r.Stage == c.Stage && r.Attempt == c.Attempt
 }
 
 // Answers tells whether the event belongs to the call.
-func (e TokenEvent) Answers(c StageCall) bool {
+func (e TokenEvent) Matches(c StageCall) bool {
 	return e.Request == c.Request && e.Stage == c.Stage && e.Attempt == c.Attempt
 }
--- a/model/digest.go
+++ b/model/digest.go
@@ -6,9 +6,9 @@
 	"encoding/hex"
 )
 
-// digestBytes is how much of the hash is kept: 16 bytes are too many for anybody to find a second request with
+// digestSize is how much of the hash is kept: 16 bytes are too many for anybody to find a second request with
 // the digest of somebody else's.
-const digestBytes = 16
+const digestSize = 16
 
 // Digest identifies what repeats of a request share although each has an ID of its own: who asks, and for what.
 // It is a hash in hexadecimal, so it can be logged and kept without the request; empty for none.
@@ -24,5 +24,5 @@
 		_, _ = h.Write(length[:])
 		_, _ = h.Write([]byte(part))
 	}
-	return Digest(hex.EncodeToString(h.Sum(nil)[:digestBytes]))
+	return Digest(hex.EncodeToString(h.Sum(nil)[:digestSize]))
 }
--- a/model/endpoint.go
+++ b/model/endpoint.go
@@ -67,8 +67,8 @@
 	}
 )
 
-// incarnationMark stands between the name and the start in the identity of one incarnation of a process.
-const incarnationMark = "@"
+// incarnationSeparator stands between the name and the start in the identity of one incarnation of a process.
+const incarnationSeparator = "@"
 
 // Incarnation returns what tells one start of the process from any other. Everything that is believed of a
 // process belongs to one incarnation: what it holds, its load, its health, its connections.
@@ -76,7 +76,7 @@
 	if e.Started.IsZero() {
 		return e.Name
 	}
-	return e.Name + incarnationMark + strconv.FormatInt(e.Started.UnixMilli(), 10)
+	return e.Name + incarnationSeparator + strconv.FormatInt(e.Started.UnixMilli(), 10)
 }
 
 // TakesWork tells whether new work may be sent to the endpoint.
@@ -86,7 +86,7 @@
 
 // NameOfIncarnation returns the name of the process that had an incarnation.
 func NameOfIncarnation(incarnation string) string {
-	if i := strings.LastIndex(incarnation, incarnationMark); i >= 0 {
+	if i := strings.LastIndex(incarnation, incarnationSeparator); i >= 0 {
 		return incarnation[:i]
 	}
 	return incarnation
--- a/model/forward.go
+++ b/model/forward.go
@@ -105,8 +105,8 @@
 	return f
 }
 
-// AskedAt returns when the caller first asked: objectives count from there.
-func (f Forward) AskedAt() time.Time {
+// FirstAttemptAt returns when the caller first asked: objectives count from there.
+func (f Forward) FirstAttemptAt() time.Time {
 	return f.ReceivedAt.Add(-f.Waited)
 }
 
--- a/model/routing.go
+++ b/model/routing.go
@@ -55,7 +55,7 @@
 		// Resumable streams may go on at another endpoint.
 		Resumable bool
 		// Homes lists the regions that requests may be served in; none means any.
-		Homes []string
+		AllowedRegions []string
 	}
 
 	// WeightedPool is a pool with its share of a route.
@@ -90,7 +90,7 @@
 	EngineTraits struct {
 		Slots int
 		// Tokens is how many tokens fit into memory.
-		Tokens int
+		KVCapacity int
 	}
 
 	// PieceTraits describes the endpoints that carry out pieces of stages; each value is for
@@ -99,16 +99,16 @@
 		// Slots is how many calls are carried out at the same time.
 		Slots int
 		// Batch is the most pieces of a call.
-		Batch int
+		MaxBatch int
 		// CallTime is what a call costs whatever it holds; PieceTime is what each piece adds.
 		CallTime  time.Duration
 		PieceTime time.Duration
 		// Room is how many bytes of results an endpoint holds.
 		Room int64
 		// Keep is how long a result is held after its call unless it is freed.
-		Keep time.Duration
+		ResultTTL time.Duration
 		// Link is how many bytes a second an endpoint's link carries; zero where that is not known.
-		Link int64
+		LinkBandwidth int64
 	}
 
 	// KeyHolder is a customer with its API keys.
@@ -118,14 +118,14 @@
 		// Priority replaces the route's if it is not negative.
 		Priority int
 		// Homes lists the regions that the customer's requests may be served in; none means any.
-		Homes []string
+		AllowedRegions []string
 	}
 
 	// CallerLimits bound what callers may send.
 	CallerLimits struct {
-		HeaderBytes   int
-		BodyBytes     int64
-		HeaderTimeout time.Duration
-		IdleTimeout   time.Duration
+		MaxHeaderBytes int
+		MaxBodyBytes   int64
+		HeaderTimeout  time.Duration
+		IdleTimeout    time.Duration
 	}
 )
--- a/node/claims.go
+++ b/node/claims.go
@@ -13,78 +13,78 @@
 )
 
 const (
-	// claimsEvery bounds how seldom the row is read; a short firm horizon is read more often.
-	claimsEvery = 2 * time.Second
-	// claimsSoonest bounds how often it is read at all.
-	claimsSoonest = 100 * time.Millisecond
-	// claimsShare is the part of the firm horizon that may pass between two reads.
-	claimsShare  = 6
-	settleBefore = 1500 * time.Millisecond
-	// claimsTimeout bounds a read, so that keyed requests do not wait for a table that hangs.
-	claimsTimeout = time.Second
+	// maxClaimsReadInterval bounds how seldom the row is read; a short firm horizon is read more often.
+	maxClaimsReadInterval = 2 * time.Second
+	// minClaimsReadInterval bounds how often it is read at all.
+	minClaimsReadInterval = 100 * time.Millisecond
+	// claimsReadsPerFirmHorizon is the part of the firm horizon that may pass between two reads.
+	claimsReadsPerFirmHorizon = 6
+	stabilityTime             = 1500 * time.Millisecond
+	// claimsReadTimeout bounds a read, so that keyed requests do not wait for a table that hangs.
+	claimsReadTimeout = time.Second
 )
 
-// claimsCoordinator holds the claims row as last read.
-type claimsCoordinator struct {
+// claimsState holds the claims row as last read.
+type claimsState struct {
 	mu      sync.Mutex
 	row     kernel.Claims
 	version uint64
-	// triedAt is when the row was last read, or reading it failed.
-	triedAt time.Time
-	failed  error
+	// lastAttempt is when the row was last read, or reading it failed.
+	lastAttempt time.Time
+	readErr     error
 	// reading keeps concurrent reads to one.
-	reading sync.Mutex
-	woken   chan struct{}
-	grants  *kernel.Grants
+	readMu sync.Mutex
+	wakeup chan struct{}
+	grants *kernel.Grants
 }
 
-func newClaimsCoordinator(self kernel.Member) *claimsCoordinator {
-	return &claimsCoordinator{woken: make(chan struct{}, 1), grants: kernel.NewGrants(self)}
+func newClaimsState(self kernel.Member) *claimsState {
+	return &claimsState{wakeup: make(chan struct{}, 1), grants: kernel.NewGrants(self)}
 }
 
 // bound returns up to what key time this node may run the keys that it owns.
-func (c *claimsCoordinator) bound() time.Time {
+func (c *claimsState) bound() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.Bound(c.row)
 }
 
-func (c *claimsCoordinator) current() kernel.Claims {
+func (c *claimsState) current() kernel.Claims {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.row
 }
 
-func (c *claimsCoordinator) number() uint64 {
+func (c *claimsState) number() uint64 {
 	return c.current().Number
 }
 
 // set takes a row in; the row only moves forward.
-func (c *claimsCoordinator) set(now time.Time, row kernel.Claims, version uint64) {
+func (c *claimsState) set(now time.Time, row kernel.Claims, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.triedAt, c.failed = now, nil
+	c.lastAttempt, c.readErr = now, nil
 	if row.Number > c.row.Number {
 		c.row, c.version = row, version
 	}
 }
 
-func (c *claimsCoordinator) fail(now time.Time, err error) {
+func (c *claimsState) setError(now time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.triedAt, c.failed = now, err
+	c.lastAttempt, c.readErr = now, err
 }
 
-func (c *claimsCoordinator) snapshot() (kernel.Claims, uint64) {
+func (c *claimsState) snapshot() (kernel.Claims, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.row, c.version
 }
 
 // wake makes the row be read soon.
-func (c *claimsCoordinator) wake() {
+func (c *claimsState) wake() {
 	select {
-	case c.woken <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -92,38 +92,38 @@
 // refreshClaims reads the row unless it was read a moment ago.
 func (n *Node) refreshClaims(ctx context.Context) error {
 	c := n.claims
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	c.mu.Lock()
-	fresh := time.Since(c.triedAt) < claimsSoonest
-	known, failed := c.row, c.failed
+	fresh := time.Since(c.lastAttempt) < minClaimsReadInterval
+	known, failed := c.row, c.readErr
 	c.mu.Unlock()
 	if fresh {
 		return failed
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimsTimeout)
+	ctx, cancel := context.WithTimeout(ctx, claimsReadTimeout)
 	defer cancel()
 	row, version, err := n.store.Claims(ctx, known)
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
-		c.fail(time.Now(), err)
+		c.setError(time.Now(), err)
 		return err
 	}
 	c.set(time.Now(), row, version)
 	return nil
 }
 
-// keepClaims reads the row again and again and writes it where the kernel says so.
-func (n *Node) keepClaims() {
+// maintainClaims reads the row again and again and writes it where the kernel says so.
+func (n *Node) maintainClaims() {
 	for {
 		firm := n.Settings().Fleet.FirmHorizon
-		wait := time.NewTimer(jitter(min(claimsEvery, firm/claimsShare)))
+		wait := time.NewTimer(jitter(min(maxClaimsReadInterval, firm/claimsReadsPerFirmHorizon)))
 		select {
 		case <-n.ctx.Done():
 			wait.Stop()
 			return
 		case <-wait.C:
-		case <-n.claims.woken:
+		case <-n.claims.wakeup:
 			wait.Stop()
 		}
 		if n.refreshClaims(n.ctx) == nil && !n.draining.Load() {
@@ -131,22 +131,22 @@
 		}
 		retention := n.Settings().Fleet.Retention
 		n.keys.expire(time.Now(), retention)
-		n.durable.expire(time.Now(), retention)
+		n.durableKeys.expire(time.Now(), retention)
 	}
 }
 
-func (n *Node) coordinator() kernel.Coordinator {
+func (n *Node) claimsCoordinator() kernel.ClaimsCoordinator {
 	fleet := n.Settings().Fleet
-	return kernel.Coordinator{
+	return kernel.ClaimsCoordinator{
 		Self:          n.member,
 		FirmHorizon:   min(fleet.FirmHorizon, fleet.Horizon),
 		Horizon:       fleet.Horizon,
-		StabilityTime: settleBefore,
+		StabilityTime: stabilityTime,
 	}
 }
 
 func (n *Node) writeClaims(now time.Time) {
-	coordinator := n.coordinator()
+	coordinator := n.claimsCoordinator()
 	row, version := n.claims.snapshot()
 	alive, stood := n.fleet.alive()
 	action := coordinator.Decide(now, row, alive, stood)
@@ -157,17 +157,17 @@
 	if action == kernel.StartEra {
 		from = n.sealEra(row)
 	}
-	next := coordinator.Next(now, row, alive, action, from, uuid.NewString())
+	next := coordinator.NextRow(now, row, alive, action, from, uuid.NewString())
 	next = next.WithoutBefore(now.Add(-n.Settings().Fleet.Retention))
 	written, err := n.store.CompareAndSwapClaims(n.ctx, version, row, next)
 	n.cancelEra(err)
 	var conflict *table.Conflict
 	if errors.As(err, &conflict) {
 		// The row has changed; the next turn reads it.
-		n.metrics.Event("ClaimsConflict")
+		n.metrics.CountEvent("ClaimsConflict")
 		return
 	}
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
 		return
 	}
--- a/node/drain.go
+++ b/node/drain.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// handoverPart bounds the entries of one message.
-	handoverPart = 2000
-	handoverWait = 5 * time.Second
-	// heirLinger is how long a node that gave its keys away still passes late arrivals on.
-	heirLinger = 2500 * time.Millisecond
-	drainPoll  = 20 * time.Millisecond
+	// maxHandoverEntries bounds the entries of one message.
+	maxHandoverEntries = 2000
+	handoverTimeout    = 5 * time.Second
+	// lateForwardDuration is how long a node that gave its keys away still passes late arrivals on.
+	lateForwardDuration = 2500 * time.Millisecond
+	drainPollInterval   = 20 * time.Millisecond
 )
 
 // Draining tells whether the node is on its way out.
@@ -38,14 +38,14 @@
 	ctx, cancel := context.WithTimeout(ctx, n.options.DrainDelay+n.options.DrainLimit)
 	defer cancel()
 	n.fleet.mu.Lock()
-	n.fleet.m.Leave(time.Now())
+	n.fleet.membership.Leave(time.Now())
 	n.fleet.mu.Unlock()
 	n.announce(ctx)
 	n.awaitBalancer(ctx)
-	n.stopCallers(ctx)
+	n.shutdownCallerServer(ctx)
 	n.handOver(ctx)
 	n.awaitIdle(ctx)
-	n.tellEnded(ctx)
+	n.sendOutcomes(ctx)
 	cut := int(n.inFlight.Load())
 	n.log.Info().Int("Cut", cut).Msg("drained")
 	n.Close()
@@ -72,53 +72,53 @@
 func (n *Node) handOver(ctx context.Context) {
 	n.keys.mu.Lock()
 	handing := make(chan struct{})
-	n.keys.handing = handing
+	n.keys.handoverDone = handing
 	entries := n.keys.ledger.Export(n.member.ID())
-	n.pending = n.keys.ledger.Running()
+	n.runningAtHandover = n.keys.ledger.Running()
 	cutoff := n.keys.ledger.Cutoff()
 	n.keys.mu.Unlock()
 
-	heir, ok := n.giveKeys(ctx, entries, cutoff)
+	heir, ok := n.transferKeys(ctx, entries, cutoff)
 	n.keys.mu.Lock()
-	n.keys.handing = nil
+	n.keys.handoverDone = nil
 	if ok {
-		n.keys.heir = &heir
+		n.keys.successor = &heir
 	}
 	n.keys.mu.Unlock()
 	close(handing)
 	if !ok {
-		n.metrics.Event("HandoverFailed")
+		n.metrics.CountEvent("HandoverFailed")
 		n.log.Warn().Msg("keys were not handed over; they stay closed up to the horizon")
 		return
 	}
 	n.log.Info().Str("Heir", heir.Node).Int("Keys", len(entries)).Msg("keys handed over")
-	clock.Sleep(ctx, heirLinger)
+	clock.Sleep(ctx, lateForwardDuration)
 }
 
-// giveKeys tries the live members in turn. A swap whose answer is lost for good counts as
+// transferKeys tries the live members in turn. A swap whose answer is lost for good counts as
 // done for this node: it must not run its keys any more.
-func (n *Node) giveKeys(ctx context.Context, entries map[string]kernel.LedgerEntry, cutoff time.Time) (kernel.Member, bool) {
-	if !n.inRow() {
+func (n *Node) transferKeys(ctx context.Context, entries map[string]kernel.LedgerEntry, cutoff time.Time) (kernel.Member, bool) {
+	if !n.mayOwnKeys() {
 		return kernel.Member{}, true
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverWait)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		for _, heir := range n.heirs() {
+		for _, heir := range n.successorCandidates() {
 			if !n.sendEntries(ctx, heir, entries, cutoff) {
 				continue
 			}
-			if n.swapTransfer(ctx, heir) {
+			if n.writeTransfer(ctx, heir) {
 				return heir, true
 			}
 		}
-		clock.Sleep(ctx, 10*drainPoll)
+		clock.Sleep(ctx, 10*drainPollInterval)
 	}
 	return kernel.Member{}, false
 }
 
-// inRow tells whether any key may belong to this node.
-func (n *Node) inRow() bool {
+// mayOwnKeys tells whether any key may belong to this node.
+func (n *Node) mayOwnKeys() bool {
 	row := n.claims.current()
 	for _, era := range row.Eras {
 		for _, m := range era.Members {
@@ -137,7 +137,7 @@
 
 // heirs returns the live members, those in the newest era last: they are the likelier to
 // have much to do.
-func (n *Node) heirs() []kernel.Member {
+func (n *Node) successorCandidates() []kernel.Member {
 	alive, _ := n.fleet.alive()
 	var heirs []kernel.Member
 	for _, m := range alive {
@@ -161,19 +161,19 @@
 	for id, entry := range entries {
 		part[id] = entry
 		sent++
-		if len(part) >= handoverPart && sent < len(entries) && !send(false) {
+		if len(part) >= maxHandoverEntries && sent < len(entries) && !send(false) {
 			return false
 		}
 	}
 	return send(true)
 }
 
-// swapTransfer writes the transfer into the claims row. It reports whether it is there.
-func (n *Node) swapTransfer(ctx context.Context, heir kernel.Member) bool {
+// writeTransfer writes the transfer into the claims row. It reports whether it is there.
+func (n *Node) writeTransfer(ctx context.Context, heir kernel.Member) bool {
 	for ctx.Err() == nil {
 		row, version, err := n.store.Claims(ctx, n.claims.current())
 		if err != nil {
-			clock.Sleep(ctx, 10*drainPoll)
+			clock.Sleep(ctx, 10*drainPollInterval)
 			continue
 		}
 		n.claims.set(time.Now(), row, version)
@@ -194,8 +194,8 @@
 	return false
 }
 
-// answerHandover takes over what a member that leaves remembers.
-func (n *Node) answerHandover(_ context.Context, body []byte) (any, error) {
+// handleHandover takes over what a member that leaves remembers.
+func (n *Node) handleHandover(_ context.Context, body []byte) (any, error) {
 	var h peer.Handover
 	if err := peer.DecodeBody(body, &h); err != nil {
 		return nil, err
@@ -206,29 +206,29 @@
 	n.keys.mu.Lock()
 	defer n.keys.mu.Unlock()
 	n.keys.ledger.Import(h.From.ID(), h.Entries, h.Cutoff)
-	n.metrics.Event("HandoverTaken")
+	n.metrics.CountEvent("HandoverTaken")
 	return peer.HandoverReply{Held: len(h.Entries)}, nil
 }
 
-// tellEnded gives the heir the outcome of the keys that still ran at the handover.
-func (n *Node) tellEnded(ctx context.Context) {
+// sendOutcomes gives the heir the outcome of the keys that still ran at the handover.
+func (n *Node) sendOutcomes(ctx context.Context) {
 	n.keys.mu.Lock()
-	heir := n.keys.heir
-	ended := n.keys.ledger.ExportEnded(n.pending)
+	heir := n.keys.successor
+	ended := n.keys.ledger.ExportEnded(n.runningAtHandover)
 	cutoff := n.keys.ledger.Cutoff()
 	n.keys.mu.Unlock()
 	if heir == nil || heir.Node == "" || len(ended) == 0 {
 		return
 	}
 	if !n.sendEntries(ctx, *heir, ended, cutoff) {
-		n.metrics.Event("HandoverFailed")
+		n.metrics.CountEvent("HandoverFailed")
 	}
 }
 
 // awaitIdle waits until nothing is in flight here, or ctx ends.
 func (n *Node) awaitIdle(ctx context.Context) {
 	for n.inFlight.Load() > 0 {
-		if !clock.Sleep(ctx, drainPoll) {
+		if !clock.Sleep(ctx, drainPollInterval) {
 			return
 		}
 	}
--- a/node/durable.go
+++ b/node/durable.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// commitEvery is the least time between two group commits of one node.
-	commitEvery = 20 * time.Millisecond
-	// commitMost bounds the keys of one group commit.
-	commitMost = 256
-	// tableAgain is when to come back where the table does not answer.
-	tableAgain = 2 * time.Second
+	// minCommitInterval is the least time between two group commits of one node.
+	minCommitInterval = 20 * time.Millisecond
+	// maxCommitKeys bounds the keys of one group commit.
+	maxCommitKeys = 256
+	// tableRetryAfter is when to come back where the table does not answer.
+	tableRetryAfter = 2 * time.Second
 )
 
 type (
@@ -26,8 +26,8 @@
 		store *table.Store
 		mu    sync.Mutex
 		// waiting holds the keys of the next commit.
-		waiting []*pendingInsert
-		working bool
+		queue   []*pendingInsert
+		running bool
 	}
 
 	pendingInsert struct {
@@ -45,10 +45,10 @@
 func (c *committer) insert(row table.KeyRow) (table.KeyRow, error) {
 	p := &pendingInsert{row: row, done: make(chan struct{})}
 	c.mu.Lock()
-	c.waiting = append(c.waiting, p)
-	if !c.working {
-		c.working = true
-		go c.work()
+	c.queue = append(c.queue, p)
+	if !c.running {
+		c.running = true
+		go c.commitQueued()
 	}
 	c.mu.Unlock()
 	<-p.done
@@ -56,20 +56,20 @@
 }
 
 // work commits until nothing waits.
-func (c *committer) work() {
+func (c *committer) commitQueued() {
 	for {
 		c.mu.Lock()
-		batch := c.waiting[:min(commitMost, len(c.waiting))]
-		c.waiting = c.waiting[len(batch):]
+		batch := c.queue[:min(maxCommitKeys, len(c.queue))]
+		c.queue = c.queue[len(batch):]
 		if len(batch) == 0 {
-			c.working = false
+			c.running = false
 			c.mu.Unlock()
 			return
 		}
 		c.mu.Unlock()
 		began := time.Now()
 		c.commit(batch)
-		time.Sleep(commitEvery - time.Since(began))
+		time.Sleep(minCommitInterval - time.Since(began))
 	}
 }
 
@@ -97,7 +97,7 @@
 			return answer, refusal
 		}
 	}
-	f, answer, refusal := n.durable.take(req.remembered(time.Now()), n.launchDurable)
+	f, answer, refusal := n.durableKeys.admit(req.withIssued(time.Now()), n.executeDurable)
 	if f == nil {
 		return answer, refusal
 	}
@@ -106,26 +106,26 @@
 
 // remembered gives a key without a time one, so that the memory of it ends some day. What
 // counts for at-most-once is the table.
-func (r keyedRequest) remembered(now time.Time) keyedRequest {
+func (r keyedRequest) withIssued(now time.Time) keyedRequest {
 	if !r.key.Timed() {
 		r.key.Issued = now
 	}
 	return r
 }
 
-// launchDurable inserts the key and runs the request if this process is the one that the
+// executeDurable inserts the key and runs the request if this process is the one that the
 // table names.
-func (n *Node) launchDurable(req keyedRequest, f *flight) {
+func (n *Node) executeDurable(req keyedRequest, f *keyedRun) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	began := time.Now()
-	answer, p, refusal := n.runDurable(req)
-	n.remember(req.Request, began, answer, p, refusal, "")
-	n.durable.end(req.key, f, answer, refusal, p.sent)
+	answer, p, refusal := n.insertAndRun(req)
+	n.recordRequest(req.Request, began, answer, p, refusal, "")
+	n.durableKeys.finish(req.key, f, answer, refusal, p.nonIdempotentSent)
 }
 
-func (n *Node) runDurable(req keyedRequest) (model.Answer, progress, *model.Refusal) {
-	writer := n.durable.writer(req.key.ID)
+func (n *Node) insertAndRun(req keyedRequest) (model.Answer, progress, *model.Refusal) {
+	writer := n.durableKeys.writer(req.key.ID)
 	row, err := n.committer.insert(table.KeyRow{
 		Key:         req.key.ID,
 		Member:      n.member.ID(),
@@ -133,10 +133,10 @@
 		Fingerprint: kernel.Fingerprint(req.Request),
 		At:          time.Now(),
 	})
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err != nil {
 		// An earlier attempt may have run on another node, so this is no NotRun.
-		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.TableUnavailable, tableAgain,
+		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.TableUnavailable, tableRetryAfter,
 			"the table cannot say whether the key was used")
 	}
 	if row.Fingerprint != kernel.Fingerprint(req.Request) {
@@ -148,5 +148,5 @@
 		return model.Answer{}, progress{}, model.NewRefusal(model.MayHaveRun, model.OutcomeUnknown, 0,
 			"the key was taken before and its answer is not known here")
 	}
-	return n.run(n.ctx, req.Request, req.pipeline, nil)
+	return n.runPipeline(n.ctx, req.Request, req.pipeline, nil)
 }
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -15,12 +15,12 @@
 	"basilstall.example/basilstall/table"
 )
 
-// setFleet changes the fleet's document through the first node, and waits until all nodes have it in force.
-func (f *fleet) setFleet(base uint64, yaml string) uint64 {
+// setFleetSettings changes the fleet's document through the first node, and waits until all nodes have it in force.
+func (f *fleet) setFleetSettings(base uint64, yaml string) uint64 {
 	f.t.Helper()
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{BaseURL: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: base, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), "fleet", change)
+	result, err := client.SetDocument(f.t.Context(), "fleet", change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
@@ -29,8 +29,8 @@
 	return result.Revision
 }
 
-// runsAt returns how many stage calls ran at the endpoints of a failure domain.
-func (f *fleet) runsAt(domain string) int {
+// runsInDomain returns how many stage calls ran at the endpoints of a failure domain.
+func (f *fleet) runsInDomain(domain string) int {
 	in := map[string]bool{}
 	for _, e := range f.platform.Endpoints() {
 		in[e.Name] = e.FailureDomain == domain
@@ -44,7 +44,7 @@
 	return n
 }
 
-func evacuatedAt(n *node.Node) string {
+func evacuatedDomains(n *node.Node) string {
 	var domains []string
 	for _, e := range n.Status().Evacuated {
 		if !e.Since.IsZero() {
@@ -56,7 +56,7 @@
 
 // The fleet's document names failure domains whose endpoints get nothing, of whatever kind of stage, until they are
 // taken off it.
-func TestNoCallGoesToAnEvacuatedFailureDomain(t *testing.T) {
+func TestEvacuatedDomainGetsNoCalls(t *testing.T) {
 	f := newFleet(t, 2)
 	domain := sample.BilbaoDomains[1]
 	pipelines := []string{"renewal", "route-note", "collection-ticket"}
@@ -67,30 +67,30 @@
 			}
 		}
 	}
-	f.await("the domain serves", func() bool { sendAll(); return f.runsAt(domain) > 0 })
-	revision := f.setFleet(1, "Evacuated: ["+domain+"]\n")
-	before := f.runsAt(domain)
+	f.await("the domain serves", func() bool { sendAll(); return f.runsInDomain(domain) > 0 })
+	revision := f.setFleetSettings(1, "Evacuated: ["+domain+"]\n")
+	before := f.runsInDomain(domain)
 	for range 10 {
 		sendAll()
 	}
-	must.EqOp(t, before, f.runsAt(domain))
+	must.EqOp(t, before, f.runsInDomain(domain))
 	for _, n := range f.nodes {
-		must.EqOp(t, domain, evacuatedAt(n))
+		must.EqOp(t, domain, evacuatedDomains(n))
 	}
-	f.nodes = append(f.nodes, f.start("late"))
+	f.nodes = append(f.nodes, f.startNode("late"))
 	f.await("the new node serves", func() bool { ready, _ := f.nodes[2].Ready(); return ready })
 	sendAll()
-	must.EqOp(t, before, f.runsAt(domain))
+	must.EqOp(t, before, f.runsInDomain(domain))
 
-	f.setFleet(revision, "Evacuated: []\n")
-	f.await("the domain serves again", func() bool { sendAll(); return f.runsAt(domain) > before })
-	must.EqOp(t, "", evacuatedAt(f.nodes[0]))
+	f.setFleetSettings(revision, "Evacuated: []\n")
+	f.await("the domain serves again", func() bool { sendAll(); return f.runsInDomain(domain) > before })
+	must.EqOp(t, "", evacuatedDomains(f.nodes[0]))
 }
 
 // With all of its domains evacuated, a request is refused at once, as not run.
-func TestWithAllDomainsEvacuatedACallIsRefused(t *testing.T) {
+func TestRequestIsRefusedWhenAllDomainsAreEvacuated(t *testing.T) {
 	f := newFleet(t, 1)
-	f.setFleet(1, "Evacuated: ["+strings.Join(sample.BilbaoDomains[:], ", ")+"]\n")
+	f.setFleetSettings(1, "Evacuated: ["+strings.Join(sample.BilbaoDomains[:], ", ")+"]\n")
 	before := len(f.platform.Journal.Runs())
 	began := time.Now()
 	for _, pipeline := range []string{"renewal", "route-note", "collection-ticket"} {
--- a/node/grants.go
+++ b/node/grants.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// grantsEvery is how often the node looks whether it needs grants.
-	grantsEvery  = 500 * time.Millisecond
-	grantTimeout = time.Second
+	// grantCheckInterval is how often the node looks whether it needs grants.
+	grantCheckInterval = 500 * time.Millisecond
+	grantTimeout       = time.Second
 )
 
-// keepGrants asks for grants whenever they are needed, until the node stops.
-func (n *Node) keepGrants() {
-	n.every(grantsEvery, func(context.Context) {
-		n.askGrants(time.Now())
+// maintainGrants asks for grants whenever they are needed, until the node stops.
+func (n *Node) maintainGrants() {
+	n.runPeriodically(grantCheckInterval, func(context.Context) {
+		n.requestGrants(time.Now())
 	})
 }
 
-// askGrants asks all members of the newest era to let keys keep their owners for longer. It
+// requestGrants asks all members of the newest era to let keys keep their owners for longer. It
 // is needed only while the table does not move the firm horizon on.
-func (n *Node) askGrants(now time.Time) {
+func (n *Node) requestGrants(now time.Time) {
 	row := n.claims.current()
-	firm := n.coordinator().FirmHorizon
+	firm := n.claimsCoordinator().FirmHorizon
 	if row.Number == 0 || n.claims.bound().Sub(now) > firm/2 {
 		return
 	}
@@ -46,48 +46,48 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			n.askGrant(m, message)
+			n.requestGrant(m, message)
 		}()
 	}
 	wg.Wait()
 }
 
-func (n *Node) askGrant(m kernel.Member, message peer.Grant) {
+func (n *Node) requestGrant(m kernel.Member, message peer.Grant) {
 	ctx, cancel := context.WithTimeout(n.ctx, grantTimeout)
 	defer cancel()
 	var reply peer.GrantReply
 	if err := n.peers.Call(ctx, m.Address, peer.KindGrant, message, &reply); err != nil || !reply.Granted {
-		n.metrics.Event("GrantMissing")
+		n.metrics.CountEvent("GrantMissing")
 		return
 	}
-	n.claims.takeGrant(m.ID(), message.Era, reply.Until)
+	n.claims.recordGrant(m.ID(), message.Era, reply.Until)
 }
 
-func (c *claimsCoordinator) grant(message peer.Grant) (time.Time, bool) {
+func (c *claimsState) grant(message peer.Grant) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.Grant(c.row, message.Era, message.Until)
 }
 
-func (c *claimsCoordinator) takeGrant(member string, era uint64, until time.Time) {
+func (c *claimsState) recordGrant(member string, era uint64, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grants.Record(member, era, until)
 }
 
-func (c *claimsCoordinator) seal(number uint64) time.Time {
+func (c *claimsState) seal(number uint64) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.Seal(c.row, number)
 }
 
-func (c *claimsCoordinator) beginEra(row kernel.Claims) time.Time {
+func (c *claimsState) beginEra(row kernel.Claims) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grants.BeginEra(row)
 }
 
-func (n *Node) answerGrant(_ context.Context, body []byte) (any, error) {
+func (n *Node) handleGrant(_ context.Context, body []byte) (any, error) {
 	var message peer.Grant
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
@@ -96,9 +96,9 @@
 	return peer.GrantReply{Granted: granted, Until: until}, nil
 }
 
-// answerSeal is asked by a node outside the era that is about to write the next one. A member
+// handleSeal is asked by a node outside the era that is about to write the next one. A member
 // that has not read the row yet cannot say how far it granted in that row's newest era.
-func (n *Node) answerSeal(_ context.Context, body []byte) (any, error) {
+func (n *Node) handleSeal(_ context.Context, body []byte) (any, error) {
 	var message peer.Seal
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 			return reply.From
 		}
 	}
-	n.metrics.Event("EraAboveHorizon")
+	n.metrics.CountEvent("EraAboveHorizon")
 	return row.Horizon
 }
 
--- a/node/keys.go
+++ b/node/keys.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// ownerTries bounds how often an entry node looks for a key's owner.
-	ownerTries = 3
-	// ownerAgain is when to come back where the owner cannot be reached.
-	ownerAgain = 500 * time.Millisecond
+	// maxOwnerAttempts bounds how often an entry node looks for a key's owner.
+	maxOwnerAttempts = 3
+	// ownerRetryAfter is when to come back where the owner cannot be reached.
+	ownerRetryAfter = 500 * time.Millisecond
 )
 
 type (
-	// keyOwner is this node's part in keyed requests: the ledger and the requests in flight.
-	keyOwner struct {
+	// keyLedger is this node's part in keyed requests: the ledger and the requests in flight.
+	keyLedger struct {
 		mu     sync.Mutex
 		ledger *kernel.Ledger
 		// flights has one entry for each key that runs here.
-		flights map[string]*flight
+		runs map[string]*keyedRun
 		// writers holds, for durable keys, the number of the insert that this process made.
 		writers map[string]string
 		// handing is set while the keys are given away; arrivals wait until it is closed.
-		handing chan struct{}
+		handoverDone chan struct{}
 		// heir is set once the keys were given away; nothing runs here after that.
-		heir *kernel.Member
+		successor *kernel.Member
 	}
 
 	// flight is a keyed request on its way. Its outcome is set before done is closed.
-	flight struct {
+	keyedRun struct {
 		done    chan struct{}
 		answer  model.Answer
 		refusal *model.Refusal
@@ -49,11 +49,11 @@
 	}
 )
 
-func newKeyOwner() *keyOwner {
-	return &keyOwner{ledger: kernel.NewLedger(time.Time{}), flights: map[string]*flight{}, writers: map[string]string{}}
+func newKeyLedger() *keyLedger {
+	return &keyLedger{ledger: kernel.NewLedger(time.Time{}), runs: map[string]*keyedRun{}, writers: map[string]string{}}
 }
 
-func (k *keyOwner) expire(now time.Time, retention time.Duration) {
+func (k *keyLedger) expire(now time.Time, retention time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Expire(now, retention)
@@ -67,7 +67,7 @@
 // writer returns the number under which this process inserts a durable key. Once the key is
 // forgotten here another number is used, which the row in the table does not carry: a key
 // that may have run is never taken for a new one.
-func (k *keyOwner) writer(id string) string {
+func (k *keyLedger) writer(id string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.writers[id] == "" {
@@ -76,7 +76,7 @@
 	return k.writers[id]
 }
 
-func (k *keyOwner) len() int {
+func (k *keyLedger) len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.Len()
@@ -88,7 +88,7 @@
 		return n.serveDurable(ctx, req, false)
 	}
 	var refusal *model.Refusal
-	for try := range ownerTries {
+	for try := range maxOwnerAttempts {
 		if try > 0 {
 			_ = n.refreshClaims(ctx)
 		}
@@ -98,21 +98,21 @@
 		}
 		var answer model.Answer
 		if owner.ID() == n.member.ID() {
-			answer, refusal = n.runOwned(ctx, req)
+			answer, refusal = n.serveOwned(ctx, req)
 		} else {
 			answer, refusal = n.forward(ctx, owner, req)
 		}
-		if refusal == nil || !lookAgain(refusal) || ctx.Err() != nil {
+		if refusal == nil || !shouldRetryOwner(refusal) || ctx.Err() != nil {
 			return answer, refusal
 		}
-		n.metrics.Event("OwnerLookedUpAgain")
+		n.metrics.CountEvent("OwnerLookedUpAgain")
 	}
 	return model.Answer{}, refusal
 }
 
-// lookAgain tells whether another look at the claims row may find the right owner. Asking
+// shouldRetryOwner tells whether another look at the claims row may find the right owner. Asking
 // the same owner twice does no harm: it knows the key.
-func lookAgain(r *model.Refusal) bool {
+func shouldRetryOwner(r *model.Refusal) bool {
 	return r.Reason == model.OwnerUnknown || r.Reason == model.OwnerUnreachable
 }
 
@@ -128,7 +128,7 @@
 	case ok:
 		return owner, nil
 	case row.BeyondHorizon(key):
-		return owner, keyAhead(key, row.Horizon)
+		return owner, keyAheadRefusal(key, row.Horizon)
 	default:
 		return owner, model.NewRefusal(model.MayHaveRun, model.KeyTooOld, 0,
 			"the key was issued longer ago than keys are remembered")
@@ -139,15 +139,15 @@
 // attempt with the same key may have.
 func (n *Node) forward(ctx context.Context, owner kernel.Member, req keyedRequest) (model.Answer, *model.Refusal) {
 	if !n.fleet.reachable(owner.ID()) {
-		return model.Answer{}, ownerUnreachable("the key's owner has failed")
+		return model.Answer{}, ownerUnreachableRefusal("the key's owner has failed")
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	n.metrics.Event("Forwarded")
+	n.metrics.CountEvent("Forwarded")
 	var reply peer.ForwardReply
 	message := peer.Forward{Request: req.Request, Left: time.Until(req.Deadline)}
 	if err := n.peers.Call(ctx, owner.Address, peer.KindForward, message, &reply); err != nil {
-		return model.Answer{}, ownerUnreachable("the key's owner did not answer: " + err.Error())
+		return model.Answer{}, ownerUnreachableRefusal("the key's owner did not answer: " + err.Error())
 	}
 	if reply.Refusal != nil {
 		return model.Answer{}, reply.Refusal
@@ -155,12 +155,12 @@
 	return reply.Answer, nil
 }
 
-func ownerUnreachable(detail string) *model.Refusal {
-	return model.NewRefusal(model.MayHaveRun, model.OwnerUnreachable, ownerAgain, detail)
+func ownerUnreachableRefusal(detail string) *model.Refusal {
+	return model.NewRefusal(model.MayHaveRun, model.OwnerUnreachable, ownerRetryAfter, detail)
 }
 
-// answerForward runs a request for another node.
-func (n *Node) answerForward(ctx context.Context, body []byte) (any, error) {
+// handleForward runs a request for another node.
+func (n *Node) handleForward(ctx context.Context, body []byte) (any, error) {
 	var f peer.Forward
 	if err := peer.DecodeBody(body, &f); err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 func (n *Node) serveForwarded(ctx context.Context, req model.Request) (model.Answer, *model.Refusal) {
 	pipeline, ok := n.Settings().Pipeline(req.Team, req.Pipeline)
 	if !ok {
-		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.UnknownPipeline, ownerAgain, "the owner does not know the pipeline yet")
+		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.UnknownPipeline, ownerRetryAfter, "the owner does not know the pipeline yet")
 	}
 	key, err := kernel.ParseKey(req.Account(), req.Key)
 	if err != nil {
@@ -183,14 +183,14 @@
 	if key.Mode() == model.Durable {
 		return n.serveDurable(ctx, keyed, true)
 	}
-	return n.runOwned(ctx, keyed)
+	return n.serveOwned(ctx, keyed)
 }
 
-// runOwned runs a request if this node owns its key, joins one in flight, or repeats what is
+// serveOwned runs a request if this node owns its key, joins one in flight, or repeats what is
 // remembered.
-func (n *Node) runOwned(ctx context.Context, req keyedRequest) (model.Answer, *model.Refusal) {
+func (n *Node) serveOwned(ctx context.Context, req keyedRequest) (model.Answer, *model.Refusal) {
 	if heir, ok := n.keys.awaitHandover(ctx); !ok {
-		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.Draining, ownerAgain, "the key's owner is leaving")
+		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.Draining, ownerRetryAfter, "the key's owner is leaving")
 	} else if heir != nil {
 		return n.forward(ctx, *heir, req)
 	}
@@ -198,12 +198,12 @@
 		_ = n.refreshClaims(ctx)
 	}
 	if !n.owns(req.key) {
-		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.OwnerUnknown, ownerAgain, "the key belongs to another node")
+		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.OwnerUnknown, ownerRetryAfter, "the key belongs to another node")
 	}
 	if !n.mayRun(ctx, req.key) {
-		return model.Answer{}, keyAhead(req.key, n.claims.bound())
+		return model.Answer{}, keyAheadRefusal(req.key, n.claims.bound())
 	}
-	f, answer, refusal := n.keys.take(req, n.launch)
+	f, answer, refusal := n.keys.admit(req, n.executeOwned)
 	if f == nil {
 		return answer, refusal
 	}
@@ -217,14 +217,14 @@
 		return true
 	}
 	if n.refreshClaims(ctx) != nil {
-		n.askGrants(time.Now())
+		n.requestGrants(time.Now())
 	}
 	return key.Issued.Before(n.claims.bound())
 }
 
-// keyAhead refuses a key whose time is beyond a bound. NotRun would not stay true: the bound
+// keyAheadRefusal refuses a key whose time is beyond a bound. NotRun would not stay true: the bound
 // moves on, and a held-up attempt may run.
-func keyAhead(key kernel.Key, bound time.Time) *model.Refusal {
+func keyAheadRefusal(key kernel.Key, bound time.Time) *model.Refusal {
 	return model.NewRefusal(model.MayHaveRun, model.KeyAhead, kernel.ClampRetryAfter(key.Issued.Sub(bound)),
 		"the key's time of issue is ahead of the time that this fleet may serve now")
 }
@@ -236,9 +236,9 @@
 
 // awaitHandover waits while the keys are being given away. It returns the heir once they
 // were, and false where the wait was ended by ctx.
-func (k *keyOwner) awaitHandover(ctx context.Context) (*kernel.Member, bool) {
+func (k *keyLedger) awaitHandover(ctx context.Context) (*kernel.Member, bool) {
 	k.mu.Lock()
-	handing, heir := k.handing, k.heir
+	handing, heir := k.handoverDone, k.successor
 	k.mu.Unlock()
 	if handing == nil {
 		return heir, true
@@ -252,21 +252,21 @@
 }
 
 // take lets the ledger decide. It returns a flight to wait for, or the outcome.
-func (k *keyOwner) take(req keyedRequest, launch func(keyedRequest, *flight)) (*flight, model.Answer, *model.Refusal) {
+func (k *keyLedger) admit(req keyedRequest, launch func(keyedRequest, *keyedRun)) (*keyedRun, model.Answer, *model.Refusal) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.handing != nil || k.heir != nil {
-		return nil, model.Answer{}, model.NewRefusal(model.MayHaveRun, model.OwnerUnknown, ownerAgain, "the key's owner is leaving")
+	if k.handoverDone != nil || k.successor != nil {
+		return nil, model.Answer{}, model.NewRefusal(model.MayHaveRun, model.OwnerUnknown, ownerRetryAfter, "the key's owner is leaving")
 	}
 	decision := k.ledger.Admit(req.key, kernel.Fingerprint(req.Request), req.Attempt)
 	switch decision.Action {
 	case kernel.LedgerRun:
-		f := &flight{done: make(chan struct{})}
-		k.flights[req.key.ID] = f
+		f := &keyedRun{done: make(chan struct{})}
+		k.runs[req.key.ID] = f
 		go launch(req, f)
 		return f, model.Answer{}, nil
 	case kernel.LedgerJoin:
-		return k.flights[req.key.ID], model.Answer{}, nil
+		return k.runs[req.key.ID], model.Answer{}, nil
 	case kernel.LedgerAnswer:
 		return nil, decision.Answer, nil
 	default:
@@ -275,24 +275,24 @@
 }
 
 // launch runs a keyed request to its end, also when nobody waits any more.
-func (n *Node) launch(req keyedRequest, f *flight) {
+func (n *Node) executeOwned(req keyedRequest, f *keyedRun) {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	began := time.Now()
-	answer, p, refusal := n.run(n.ctx, req.Request, req.pipeline, nil)
-	n.remember(req.Request, began, answer, p, refusal, "")
-	n.keys.end(req.key, f, answer, refusal, p.sent)
+	answer, p, refusal := n.runPipeline(n.ctx, req.Request, req.pipeline, nil)
+	n.recordRequest(req.Request, began, answer, p, refusal, "")
+	n.keys.finish(req.key, f, answer, refusal, p.nonIdempotentSent)
 }
 
 // end records the outcome of a flight and wakes those that wait for it.
-func (k *keyOwner) end(key kernel.Key, f *flight, answer model.Answer, refusal *model.Refusal, sent bool) {
+func (k *keyLedger) finish(key kernel.Key, f *keyedRun, answer model.Answer, refusal *model.Refusal, sent bool) {
 	k.mu.Lock()
 	if refusal == nil {
 		k.ledger.Finish(key, answer)
 	} else {
 		refusal = k.ledger.Refuse(key, refusal, sent)
 	}
-	delete(k.flights, key.ID)
+	delete(k.runs, key.ID)
 	k.mu.Unlock()
 	f.answer = answer
 	f.refusal = refusal
@@ -300,7 +300,7 @@
 }
 
 // wait returns the flight's outcome, or at the deadline that it is unknown.
-func (f *flight) wait(ctx context.Context, deadline time.Time) (model.Answer, *model.Refusal) {
+func (f *keyedRun) wait(ctx context.Context, deadline time.Time) (model.Answer, *model.Refusal) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
@@ -313,6 +313,6 @@
 	case <-f.done:
 		return f.answer, f.refusal
 	default:
-		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.StageTimeout, ownerAgain, "still running at the deadline; ask again with the same key")
+		return model.Answer{}, model.NewRefusal(model.MayHaveRun, model.StageTimeout, ownerRetryAfter, "still running at the deadline; ask again with the same key")
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -33,41 +33,41 @@
 
 // Node is one process between callers and endpoints.
 type Node struct {
-	options    config.Options
-	member     kernel.Member
-	log        zerolog.Logger
-	metrics    *metric.Set
-	store      *table.Store
-	list       *list.Client
-	peers      *peer.Client
-	peerServer *peer.Server
-	callers    *caller.Server
-	operators  *operator.Server
-	dispatcher *dispatch.Dispatcher
-	records    *records
-	rates      *rates
-	fleet      *fleet
-	claims     *claimsCoordinator
+	options        config.Options
+	member         kernel.Member
+	log            zerolog.Logger
+	metrics        *metric.Set
+	store          *table.Store
+	list           *list.Client
+	peers          *peer.Client
+	peerServer     *peer.Server
+	callerServer   *caller.Server
+	operatorServer *operator.Server
+	dispatcher     *dispatch.Dispatcher
+	records        *records
+	rateLimiter    *rateLimiter
+	fleet          *fleet
+	claims         *claimsState
 	// keys arbitrates the keys that this node owns; durable remembers those that the table
 	// named this process for.
-	keys      *keyOwner
-	durable   *keyOwner
-	committer *committer
-	orderer   *orderer
+	keys            *keyLedger
+	durableKeys     *keyLedger
+	committer       *committer
+	orderController *orderController
 	// quarantine holds back the requests that end the endpoints that work on them, rateCaps keeps what endpoints get
 	// within what they take; notices is what the table says of both.
-	quarantine *quarantine.Coordinator
+	quarantine *quarantine.Agent
 	rateCaps   *ratecap.Limiter
 	notices    *notices
 	// cold remembers which cold endpoints this node may call.
-	cold *coldDuties
+	coldRoles *coldRoleCache
 	// pending holds the keys that ran when the keys were handed over.
-	pending []string
+	runningAtHandover []string
 
 	settingsMu sync.Mutex
 	settings   atomic.Pointer[kernel.Settings]
 	// listed is true once the platform's list named endpoints.
-	listed atomic.Bool
+	endpointsKnown atomic.Bool
 	// tableDown is true while the last call to the table failed.
 	tableDown atomic.Bool
 	draining  atomic.Bool
@@ -94,41 +94,41 @@
 	metrics := metric.NewSet()
 	store := table.NewStore(options.Platform)
 	n := &Node{
-		options:    options,
-		member:     kernel.Member{Node: options.Name, Incarnation: incarnation.String(), Address: peerServer.Address()},
-		log:        log.With().Str("Node", options.Name).Logger(),
-		metrics:    metrics,
-		store:      store,
-		list:       list.NewClient(options.Platform),
-		peers:      peer.NewClient(options.Name, options.PeersToken),
-		peerServer: peerServer,
-		dispatcher: dispatch.NewDispatcher(options.FailureDomain, options.Plain, metrics),
-		records:    newRecords(),
-		rates:      newRates(),
-		keys:       newKeyOwner(),
-		durable:    newKeyOwner(),
-		committer:  newCommitter(store),
-		orderer:    newOrderer(),
-		notices:    newNotices(),
-		cold:       newColdDuties(now),
+		options:         options,
+		member:          kernel.Member{Node: options.Name, Incarnation: incarnation.String(), Address: peerServer.Address()},
+		log:             log.With().Str("Node", options.Name).Logger(),
+		metrics:         metrics,
+		store:           store,
+		list:            list.NewClient(options.Platform),
+		peers:           peer.NewClient(options.Name, options.PeersToken),
+		peerServer:      peerServer,
+		dispatcher:      dispatch.NewDispatcher(options.FailureDomain, options.Plain, metrics),
+		records:         newRecords(),
+		rateLimiter:     newRateLimiter(),
+		keys:            newKeyLedger(),
+		durableKeys:     newKeyLedger(),
+		committer:       newCommitter(store),
+		orderController: newOrderController(),
+		notices:         newNotices(),
+		coldRoles:       newColdRoleCache(now),
 	}
-	n.claims = newClaimsCoordinator(n.member)
-	n.fleet = &fleet{m: kernel.NewMembership(now, n.member, options.FailureDomain)}
+	n.claims = newClaimsState(n.member)
+	n.fleet = &fleet{membership: kernel.NewMembership(now, n.member, options.FailureDomain)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.quarantine = n.newQuarantine()
-	n.rateCaps = n.newRateCaps()
+	n.quarantine = n.newQuarantineAgent()
+	n.rateCaps = n.newRateCapLimiter()
 	settings := kernel.NewSettings()
 	n.settings.Store(&settings)
-	n.dispatcher.OnLeaving = n.noteLeaving
-	n.dispatcher.OnAdapterDemand = n.noteAdapter
-	n.dispatcher.OnDisconnect = n.brokeOff
-	n.dispatcher.CheckRequest = n.mayCall
+	n.dispatcher.OnLeaving = n.markLeaving
+	n.dispatcher.OnAdapterDemand = n.recordAdapterUse
+	n.dispatcher.OnDisconnect = n.recordDisconnect
+	n.dispatcher.CheckRequest = n.checkQuarantine
 	n.dispatcher.OnCall = n.rateCaps.RecordSend
 	n.dispatcher.OnAnswer = n.rateCaps.RecordAnswer
-	n.dispatcher.MayRequestPermit = n.mayAskPermit
+	n.dispatcher.MayRequestPermit = n.mayRequestPermit
 	n.dispatcher.RequestPermit = n.rateCaps.RequestPermit
-	n.dispatcher.Admits = n.admits
-	n.dispatcher.AdmitPool = n.refuses
+	n.dispatcher.Admits = n.mayCallEndpoint
+	n.dispatcher.AdmitPool = n.admitPool
 	if err := n.listen(); err != nil {
 		n.Close()
 		return nil, err
@@ -141,35 +141,35 @@
 
 func (n *Node) listen() error {
 	var err error
-	if n.callers, err = caller.NewServer(n.options.CallersListen, n.callerSeams()); err != nil {
+	if n.callerServer, err = caller.NewServer(n.options.CallersListen, n.callerServerDependencies()); err != nil {
 		return err
 	}
-	if n.operators, err = operator.NewServer(n.options.OperatorsListen, n.options.OperatorsToken, n.operatorSeams()); err != nil {
+	if n.operatorServer, err = operator.NewServer(n.options.OperatorsListen, n.options.OperatorsToken, n.operatorServerDependencies()); err != nil {
 		return err
 	}
-	n.peerServer.OnRefused = func(remote string) {
-		n.metrics.Event("PeerTokenRefused")
+	n.peerServer.OnTokenRefused = func(remote string) {
+		n.metrics.CountEvent("PeerTokenRefused")
 		n.log.Warn().Str("Remote", remote).Msg("peer token refused")
 	}
 	handlers := n.quarantine.Handlers()
 	maps.Copy(handlers, map[peer.Kind]peer.Handler{
-		peer.KindHeartbeat:  n.answerHeartbeat,
-		peer.KindForward:    n.answerForward,
-		peer.KindSettings:   n.answerSettings,
-		peer.KindHandover:   n.answerHandover,
-		peer.KindExplain:    n.answerExplain,
-		peer.KindDemand:     n.answerDemand,
-		peer.KindGrant:      n.answerGrant,
-		peer.KindSeal:       n.answerSeal,
-		peer.KindCapPermit:  n.answerCapPermit,
-		peer.KindRatePermit: n.answerRatePermit,
+		peer.KindHeartbeat:  n.handleHeartbeat,
+		peer.KindForward:    n.handleForward,
+		peer.KindSettings:   n.handleSettings,
+		peer.KindHandover:   n.handleHandover,
+		peer.KindExplain:    n.handleExplain,
+		peer.KindDemand:     n.handleDemand,
+		peer.KindGrant:      n.handleGrant,
+		peer.KindSeal:       n.handleSeal,
+		peer.KindCapPermit:  n.handleCapPermit,
+		peer.KindRatePermit: n.handleRatePermit,
 	})
 	n.peerServer.Serve(n.member, handlers)
 	return nil
 }
 
 func (n *Node) startLoops() {
-	for _, loop := range []func(){n.followSettings, n.followFleet, n.followList, n.announceHost, n.keepClaims, n.keepGrants, n.giveOrders, n.followNotices} {
+	for _, loop := range []func(){n.pollSettings, n.sendHeartbeats, n.pollList, n.announceHost, n.maintainClaims, n.maintainGrants, n.maintainAdapters, n.followNotices} {
 		n.loops.Add(1)
 		go func() {
 			defer n.loops.Done()
@@ -179,7 +179,7 @@
 }
 
 // every calls work at once and then again and again, with jitter, until the node stops.
-func (n *Node) every(period time.Duration, work func(context.Context)) {
+func (n *Node) runPeriodically(period time.Duration, work func(context.Context)) {
 	for {
 		work(n.ctx)
 		if !clock.Sleep(n.ctx, jitter(period)) {
@@ -195,37 +195,37 @@
 }
 
 // CallersAddress returns where callers reach the node.
-func (n *Node) CallersAddress() string { return n.callers.Address() }
+func (n *Node) CallersAddress() string { return n.callerServer.Address() }
 
 // OperatorsAddress returns where operators reach the node.
-func (n *Node) OperatorsAddress() string { return n.operators.Address() }
+func (n *Node) OperatorsAddress() string { return n.operatorServer.Address() }
 
 // PeersAddress returns where other nodes reach the node.
 func (n *Node) PeersAddress() string { return n.member.Address }
 
 // Event returns how often an event was counted.
-func (n *Node) Event(name string) uint64 { return n.metrics.Count(name) }
+func (n *Node) EventCount(name string) uint64 { return n.metrics.EventCount(name) }
 
 // Close ends the node at once; what is in flight is cut.
 func (n *Node) Close() {
 	n.cancel()
-	if n.callers != nil {
-		n.callers.Close()
+	if n.callerServer != nil {
+		n.callerServer.Close()
 	}
-	if n.operators != nil {
-		n.operators.Close()
+	if n.operatorServer != nil {
+		n.operatorServer.Close()
 	}
 	n.peerServer.Close()
 	n.peers.Close()
 	n.loops.Wait()
 	n.dispatcher.Close()
-	n.orderer.client.Close()
+	n.orderController.client.Close()
 	n.store.Close()
 	n.list.Close()
 }
 
-func (n *Node) stopCallers(ctx context.Context) {
-	n.callers.Shutdown(ctx)
+func (n *Node) shutdownCallerServer(ctx context.Context) {
+	n.callerServer.Shutdown(ctx)
 }
 
 // Ready tells whether the balancer should send requests here, and why not.
@@ -235,21 +235,21 @@
 		return false, "draining"
 	case n.Settings().Revision == 0:
 		return false, "no settings yet"
-	case !n.listed.Load():
+	case !n.endpointsKnown.Load():
 		return false, "no endpoints yet"
 	default:
 		return true, ""
 	}
 }
 
-// noteTable logs when the table goes away and comes back.
-func (n *Node) noteTable(err error) {
+// recordTableResult logs when the table goes away and comes back.
+func (n *Node) recordTableResult(err error) {
 	if n.ctx.Err() != nil {
 		return
 	}
 	down := err != nil
 	if down {
-		n.metrics.Event("TableFailed")
+		n.metrics.CountEvent("TableFailed")
 	}
 	if n.tableDown.Swap(down) == down {
 		return
@@ -268,13 +268,13 @@
 	n.metrics.Gauge("keys_remembered", func() float64 { return float64(n.keys.len()) })
 	n.metrics.Gauge("requests_held_back", func() float64 { return float64(n.quarantine.Len()) })
 	n.metrics.Gauge("endpoints_with_rate_cap", func() float64 { return float64(n.rateCaps.Len()) })
-	n.metrics.Gauge("members_alive", func() float64 { return float64(n.fleet.size()) })
+	n.metrics.Gauge("members_alive", func() float64 { return float64(n.fleet.aliveCount()) })
 	n.metrics.Gauge("table_reads", func() float64 { return float64(n.store.Reads()) })
 	n.metrics.Gauge("table_writes", func() float64 { return float64(n.store.Writes()) })
 }
 
 // remember keeps what happened to a request, for operators, and counts it.
-func (n *Node) remember(req model.Request, began time.Time, answer model.Answer, p progress, refusal *model.Refusal, forwarded string) {
+func (n *Node) recordRequest(req model.Request, began time.Time, answer model.Answer, p progress, refusal *model.Refusal, forwarded string) {
 	record := model.Record{
 		Request:   req.ID,
 		Node:      n.options.Name,
--- a/node/notices.go
+++ b/node/notices.go
@@ -10,8 +10,8 @@
 	"basilstall.example/basilstall/table"
 )
 
-// noticesPause is how long after a failure the notices are read again.
-const noticesPause = time.Second
+// noticesRetryInterval is how long after a failure the notices are read again.
+const noticesRetryInterval = time.Second
 
 // notices is the table's row of what is to be known to all nodes, as last read.
 type notices struct {
@@ -19,30 +19,30 @@
 	row     table.Notices
 	version uint64
 	// wanted is the newest version that another node is known to have read.
-	wanted uint64
-	woken  chan struct{}
+	newestVersion uint64
+	wakeup        chan struct{}
 }
 
 func newNotices() *notices {
-	return &notices{woken: make(chan struct{}, 1)}
+	return &notices{wakeup: make(chan struct{}, 1)}
 }
 
 // want has the row read if it is older than a version.
-func (h *notices) want(version uint64) {
+func (h *notices) requireVersion(version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wanted = max(h.wanted, version)
-	if h.wanted <= h.version {
+	h.newestVersion = max(h.newestVersion, version)
+	if h.newestVersion <= h.version {
 		return
 	}
 	select {
-	case h.woken <- struct{}{}:
+	case h.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // number returns the version that was read.
-func (h *notices) number() uint64 {
+func (h *notices) currentVersion() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version
@@ -61,11 +61,11 @@
 	return held, caps
 }
 
-// noteNotice notes how the writing of a notice ended; heartbeats tell the others that there is something to read.
-func (n *Node) noteNotice(err error) error {
-	n.noteTable(err)
+// recordNoticeWrite notes how the writing of a notice ended; heartbeats tell the others that there is something to read.
+func (n *Node) recordNoticeWrite(err error) error {
+	n.recordTableResult(err)
 	if err == nil {
-		n.notices.want(n.notices.number() + 1)
+		n.notices.requireVersion(n.notices.currentVersion() + 1)
 	}
 	return err
 }
@@ -74,9 +74,9 @@
 func (n *Node) followNotices() {
 	for {
 		row, version, err := n.store.Notices(n.ctx)
-		n.noteTable(err)
+		n.recordTableResult(err)
 		if err != nil {
-			if !clock.Sleep(n.ctx, jitter(noticesPause)) {
+			if !clock.Sleep(n.ctx, jitter(noticesRetryInterval)) {
 				return
 			}
 			continue
@@ -91,7 +91,7 @@
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-n.notices.woken:
+		case <-n.notices.wakeup:
 		}
 	}
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -13,11 +13,11 @@
 	"basilstall.example/basilstall/quarantine"
 )
 
-var errNoMember = errors.New("node: no such member")
+var errMemberUnavailable = errors.New("node: no such member")
 
-// newQuarantine returns the node's part in the quarantine.
-func (n *Node) newQuarantine() *quarantine.Coordinator {
-	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
+// newQuarantineAgent returns the node's part in the quarantine.
+func (n *Node) newQuarantineAgent() *quarantine.Agent {
+	return quarantine.NewAgent(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
 		Call:  n.callMember,
 		Connect: func(ctx context.Context, address string) error {
@@ -27,7 +27,7 @@
 			}
 			return conn.Close()
 		},
-		Store: n.storeHeld,
+		Store: n.storeQuarantineChange,
 	}, time.Now, n.metrics, n.log)
 }
 
@@ -50,20 +50,20 @@
 			return n.peers.Call(ctx, m.Address, kind, message, reply)
 		}
 	}
-	return errNoMember
+	return errMemberUnavailable
 }
 
-// storeHeld writes a change into the table; heartbeats tell the others that there is something to read.
-func (n *Node) storeHeld(ctx context.Context, change kernel.QuarantineChange) error {
-	return n.noteNotice(n.store.ChangeHeld(ctx, change))
+// storeQuarantineChange writes a change into the table; heartbeats tell the others that there is something to read.
+func (n *Node) storeQuarantineChange(ctx context.Context, change kernel.QuarantineChange) error {
+	return n.recordNoticeWrite(n.store.ChangeHeld(ctx, change))
 }
 
-// brokeOff notes that an endpoint broke off while it worked on a request.
-func (n *Node) brokeOff(e model.Endpoint, req model.Request) {
+// recordDisconnect notes that an endpoint broke off while it worked on a request.
+func (n *Node) recordDisconnect(e model.Endpoint, req model.Request) {
 	n.quarantine.RecordDisconnect(e, req.Digest())
 }
 
-// mayCall tells whether a request may be sent to an endpoint.
-func (n *Node) mayCall(req model.Request) *model.Refusal {
+// checkQuarantine tells whether a request may be sent to an endpoint.
+func (n *Node) checkQuarantine(req model.Request) *model.Refusal {
 	return n.quarantine.Check(req.Digest())
 }
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	patience = 20 * time.Second
+	awaitTimeout = 20 * time.Second
 	// poison is in the text of requests that end the endpoints that begin to work on them.
-	poison = "poison"
-	// endsUntilKnown is how many endpoints may end under a request before it is held back, endsInOneAttempt how
+	poisonText = "poison"
+	// crashesUntilHeld is how many endpoints may end under a request before it is held back, maxCrashesPerAttempt how
 	// many more may end under an attempt that is under way meanwhile.
-	endsUntilKnown   = 3
-	endsInOneAttempt = 3
+	crashesUntilHeld     = 3
+	maxCrashesPerAttempt = 3
 	// restart is how long an endpoint's process takes to be back: far longer than a node takes to see that it is gone.
-	restart = 3 * time.Second
+	restartTime = 3 * time.Second
 )
 
 // fleet is nodes of the project's own interface, and a stand-in for the platform and the endpoints.
@@ -50,13 +50,13 @@
 		platform.Close()
 	})
 	for i := range nodes {
-		f.nodes = append(f.nodes, f.start(fmt.Sprint("node-", i)))
+		f.nodes = append(f.nodes, f.startNode(fmt.Sprint("node-", i)))
 	}
-	f.settle()
+	f.awaitReady()
 	return f
 }
 
-func (f *fleet) start(name string) *node.Node {
+func (f *fleet) startNode(name string) *node.Node {
 	f.t.Helper()
 	options := config.NewOptions()
 	options.Name = name
@@ -70,7 +70,7 @@
 }
 
 // settle waits until all nodes are ready, know each other and own keys together.
-func (f *fleet) settle() {
+func (f *fleet) awaitReady() {
 	f.t.Helper()
 	f.await("the fleet", func() bool {
 		for _, n := range f.nodes {
@@ -85,12 +85,12 @@
 
 func (f *fleet) await(what string, ok func() bool) {
 	f.t.Helper()
-	if !within(patience, ok) {
+	if !pollUntil(awaitTimeout, ok) {
 		f.t.Fatalf("waited in vain: %s", what)
 	}
 }
 
-func within(most time.Duration, ok func() bool) bool {
+func pollUntil(most time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
 			return true
@@ -102,11 +102,11 @@
 // send sends a request to a node and returns the reason of its refusal; empty for an answer.
 func (f *fleet) send(n *node.Node, pipeline, text string) model.Reason {
 	f.t.Helper()
-	client := &caller.Client{Base: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: patience}}
+	client := &caller.Client{BaseURL: "http://" + n.CallersAddress(), Token: sample.BilbaoToken, HTTP: &http.Client{Timeout: awaitTimeout}}
 	key, err := uuid.NewV7()
 	must.NoError(f.t, err)
 	result, err := client.Send(context.Background(), caller.Call{
-		Pipeline: pipeline, Key: key.String(), Body: caller.Body{Input: model.Input{Text: text, MaxTokens: 5}},
+		Pipeline: pipeline, Key: key.String(), Body: caller.RequestBody{Input: model.Input{Text: text, MaxTokens: 5}},
 	})
 	must.NoError(f.t, err)
 	if result.Refusal == nil {
@@ -115,23 +115,23 @@
 	return result.Refusal.Reason
 }
 
-func (f *fleet) crashes(pool string) int {
+func (f *fleet) crashCount(pool string) int {
 	return f.platform.Usage().Pools[pool].Crashes
 }
 
-// endEnough sends a poison request to the nodes in turn until it has ended as many endpoints as it takes to know of it.
-func (f *fleet) endEnough(pool, pipeline string) {
+// crashUntilHeld sends a poison request to the nodes in turn until it has ended as many endpoints as it takes to know of it.
+func (f *fleet) crashUntilHeld(pool, pipeline string) {
 	tries := 0
 	f.await("endpoints end", func() bool {
-		f.send(f.nodes[tries%len(f.nodes)], pipeline, poison)
+		f.send(f.nodes[tries%len(f.nodes)], pipeline, poisonText)
 		tries++
-		return f.crashes(pool) >= endsUntilKnown
+		return f.crashCount(pool) >= crashesUntilHeld
 	})
 }
 
-func (f *fleet) allLearned() bool {
+func (f *fleet) allNodesLearnedHold() bool {
 	for _, n := range f.nodes {
-		if n.Event("QuarantineLearned") == 0 {
+		if n.EventCount("QuarantineLearned") == 0 {
 			return false
 		}
 	}
@@ -142,7 +142,7 @@
 // work on it ended up to three more of them, for each kind of stage.
 // How it came about, and the cause: as on the users' platform. A call that breaks off was the endpoint's fault alone,
 // and the next attempt goes to the next endpoint, the next request to any node.
-func TestACallThatEndsEndpointsIsHeldBack(t *testing.T) {
+func TestPoisonRequestIsHeldBack(t *testing.T) {
 	for _, kind := range []struct{ name, pipeline, pool string }{
 		{"idempotent stage", "renewal", "encoders"},
 		{"stream", "route-note", "runners"},
@@ -150,16 +150,16 @@
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			f := newFleet(t, 3)
-			f.platform.Fault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poison, Delay: restart})
+			f.platform.InjectFault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("others of the caller are served before"))
-			f.endEnough(kind.pool, kind.pipeline)
-			within(patience, f.allLearned)
+			f.crashUntilHeld(kind.pool, kind.pipeline)
+			pollUntil(awaitTimeout, f.allNodesLearnedHold)
 			for i := range 4 * len(f.nodes) {
-				f.send(f.nodes[i%len(f.nodes)], kind.pipeline, poison)
+				f.send(f.nodes[i%len(f.nodes)], kind.pipeline, poisonText)
 			}
-			must.LessEq(t, endsUntilKnown+endsInOneAttempt, f.crashes(kind.pool))
+			must.LessEq(t, crashesUntilHeld+maxCrashesPerAttempt, f.crashCount(kind.pool))
 			for _, n := range f.nodes {
-				must.EqOp(t, model.Quarantined, f.send(n, kind.pipeline, poison))
+				must.EqOp(t, model.Quarantined, f.send(n, kind.pipeline, poisonText))
 				f.await("others of the caller are served after", func() bool { return f.send(n, kind.pipeline, "usual") == "" })
 			}
 		})
@@ -167,16 +167,16 @@
 }
 
 // A fleet that started as a whole knows what was held back: it is in the table.
-func TestANodeThatStartsKnowsWhichCallsAreHeldBack(t *testing.T) {
+func TestRestartedNodesKnowHeldRequests(t *testing.T) {
 	f := newFleet(t, 2)
-	f.platform.Fault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poison, Delay: restart})
-	f.endEnough("runners", "route-note")
-	within(patience, f.allLearned)
+	f.platform.InjectFault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
+	f.crashUntilHeld("runners", "route-note")
+	pollUntil(awaitTimeout, f.allNodesLearnedHold)
 	for i, n := range f.nodes {
 		n.Close()
-		f.nodes[i] = f.start(fmt.Sprint("later-", i))
+		f.nodes[i] = f.startNode(fmt.Sprint("later-", i))
 	}
 	f.await("the fleet", func() bool { ready, _ := f.nodes[0].Ready(); return ready })
-	within(patience/2, f.allLearned)
-	must.EqOp(t, model.Quarantined, f.send(f.nodes[0], "route-note", poison))
+	pollUntil(awaitTimeout/2, f.allNodesLearnedHold)
+	must.EqOp(t, model.Quarantined, f.send(f.nodes[0], "route-note", poisonText))
 }
