--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -17,16 +17,16 @@
 // bound on what all nodes send together was stated to each of them alone. Proved by: this test on the code before.
 
 const (
-	capWindow  = 4 * time.Second
-	capSettled = 13 * time.Second
-	capKnown   = 600 * time.Millisecond
+	capWindow          = 4 * time.Second
+	rankSettleTime     = 13 * time.Second
+	capPropagationTime = 600 * time.Millisecond
 )
 
 // timeouts are the reasons of requests for which the time of a busy machine ran out.
-var timeouts = []model.Reason{model.StageTimeout, model.OwnerUnreachable}
+var timeoutReasons = []model.Reason{model.StageTimeout, model.OwnerUnreachable}
 
 // round sends a request to each node, one beside the other, and returns the reasons of those that were refused.
-func (f *fleet) round(pipeline string) []model.Reason {
+func (f *fleet) sendToAll(pipeline string) []model.Reason {
 	var mu sync.Mutex
 	var refused []model.Reason
 	var sent sync.WaitGroup
@@ -45,24 +45,24 @@
 
 // serve has all nodes take requests for a time, and until an endpoint got one: of those, none is refused, but where the time
 // of a busy machine ran out. It returns when the endpoint got calls meanwhile.
-func (f *fleet) serve(pipeline, endpoint string, length time.Duration) []time.Time {
+func (f *fleet) driveLoad(pipeline, endpoint string, length time.Duration) []time.Time {
 	f.t.Helper()
 	served := 0
 	began := time.Now()
-	for time.Since(began) < length || time.Since(began) < patience && (served == 0 || len(f.callsAt(endpoint, began)) == 0) {
-		reasons := f.round(pipeline)
+	for time.Since(began) < length || time.Since(began) < awaitTimeout && (served == 0 || len(f.callTimes(endpoint, began)) == 0) {
+		reasons := f.sendToAll(pipeline)
 		served += len(f.nodes) - len(reasons)
-		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeouts, r) })
+		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeoutReasons, r) })
 		must.SliceEmpty(f.t, reasons, must.Sprint(reasons))
 	}
 	must.Positive(f.t, served)
-	got := f.callsAt(endpoint, began)
+	got := f.callTimes(endpoint, began)
 	must.Positive(f.t, len(got))
 	return got
 }
 
-// callsAt returns when an endpoint got calls after a time.
-func (f *fleet) callsAt(endpoint string, after time.Time) []time.Time {
+// callTimes returns when an endpoint got calls after a time.
+func (f *fleet) callTimes(endpoint string, after time.Time) []time.Time {
 	var out []time.Time
 	for _, run := range f.platform.Journal.Runs() {
 		if run.Endpoint == endpoint && run.At.After(after) {
@@ -74,21 +74,21 @@
 }
 
 // busiest returns the endpoint of a pool that got most calls, and how many endpoints the pool has.
-func (f *fleet) busiest(pool string) (name string, endpoints int) {
+func (f *fleet) busiestEndpoint(pool string) (name string, endpoints int) {
 	most := -1
 	for _, e := range f.platform.Endpoints() {
 		if e.Pool != pool {
 			continue
 		}
 		endpoints++
-		if n := len(f.callsAt(e.Name, time.Time{})); n > most {
+		if n := len(f.callTimes(e.Name, time.Time{})); n > most {
 			name, most = e.Name, n
 		}
 	}
 	return name, endpoints
 }
 
-func mostWithin(moments []time.Time, window time.Duration) int {
+func maxCallsWithin(moments []time.Time, window time.Duration) int {
 	most, oldest := 0, 0
 	for i, at := range moments {
 		for at.Sub(moments[oldest]) > window {
@@ -101,7 +101,7 @@
 
 // However many nodes there are, an endpoint that states a rate cap gets no more calls than that allows, of whatever kind of
 // stage; once it takes the cap back, it gets its share again.
-func TestAnEndpointWithARateCapGetsNoMoreCallsOfAllNodes(t *testing.T) {
+func TestAllNodesTogetherKeepRateCap(t *testing.T) {
 	const perSecond = 1.0
 	for _, kind := range []struct{ name, pipeline, pool string }{
 		{"idempotent stage", "renewal", "encoders"},
@@ -111,26 +111,26 @@
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 5)
-			time.Sleep(capSettled)
+			time.Sleep(rankSettleTime)
 			for range 3 {
-				f.round(kind.pipeline)
+				f.sendToAll(kind.pipeline)
 			}
-			capped, _ := f.busiest(kind.pool)
-			f.platform.Fault(standin.Fault{Target: kind.pool + "/" + capped, Kind: standin.FaultRateCap, PerSecond: perSecond})
+			capped, _ := f.busiestEndpoint(kind.pool)
+			f.platform.InjectFault(standin.Fault{Target: kind.pool + "/" + capped, Kind: standin.FaultRateCap, PerSecond: perSecond})
 			for range 5 {
-				f.round(kind.pipeline)
+				f.sendToAll(kind.pipeline)
 			}
-			time.Sleep(capKnown)
-			got := f.serve(kind.pipeline, capped, 2*capWindow)
-			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), mostWithin(got, capWindow))
+			time.Sleep(capPropagationTime)
+			got := f.driveLoad(kind.pipeline, capped, 2*capWindow)
+			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCallsWithin(got, capWindow))
 
 			f.platform.ClearFaults("")
 			f.await("the endpoint gets its share again", func() bool {
 				before := time.Now()
 				for range 5 {
-					f.round(kind.pipeline)
+					f.sendToAll(kind.pipeline)
 				}
-				return len(f.callsAt(capped, before)) >= 5
+				return len(f.callTimes(capped, before)) >= 5
 			})
 		})
 	}
@@ -140,26 +140,26 @@
 func TestCallsBeyondAllRateCapsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3)
-	time.Sleep(capSettled)
-	f.platform.Fault(standin.Fault{Target: "encoders", Kind: standin.FaultRateCap, PerSecond: 0.5})
+	time.Sleep(rankSettleTime)
+	f.platform.InjectFault(standin.Fault{Target: "encoders", Kind: standin.FaultRateCap, PerSecond: 0.5})
 	for range 10 {
-		f.round("renewal")
+		f.sendToAll("renewal")
 	}
-	time.Sleep(capKnown)
+	time.Sleep(capPropagationTime)
 	began := time.Now()
 	refused := 0
 	for time.Since(began) < capWindow {
-		for _, reason := range f.round("renewal") {
+		for _, reason := range f.sendToAll("renewal") {
 			must.EqOp(t, model.EndpointsCapped, reason)
 			refused++
 		}
 	}
 	must.Positive(t, refused)
-	_, endpoints := f.busiest("encoders")
+	_, endpoints := f.busiestEndpoint("encoders")
 	got := 0
 	for _, e := range f.platform.Endpoints() {
 		if e.Pool == "encoders" {
-			got += len(f.callsAt(e.Name, began))
+			got += len(f.callTimes(e.Name, began))
 		}
 	}
 	must.LessEq(t, endpoints*int(1.5*0.5*capWindow.Seconds()+5), got)
@@ -167,20 +167,20 @@
 
 // Seen by arithmetic: of 400 nodes before three endpoints that state caps 12 serve. Cause: only the nodes that share a cap
 // could use it. Guards against nodes that serve nothing of a pool whose endpoints all state caps.
-func TestEachNodeServesWhereAllEndpointsStateRateCaps(t *testing.T) {
+func TestEveryNodeServesWhenAllEndpointsHaveRateCaps(t *testing.T) {
 	t.Parallel()
 	const perSecond = 2.0
 	f := newFleet(t, 5)
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-2", Kind: standin.FaultLeave})
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-3", Kind: standin.FaultLeave})
-	time.Sleep(capSettled)
-	f.platform.Fault(standin.Fault{Target: "encoders/encoders-1", Kind: standin.FaultRateCap, PerSecond: perSecond})
-	f.round("renewal")
-	f.round("renewal")
-	time.Sleep(capKnown)
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-2", Kind: standin.FaultLeave})
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-3", Kind: standin.FaultLeave})
+	time.Sleep(rankSettleTime)
+	f.platform.InjectFault(standin.Fault{Target: "encoders/encoders-1", Kind: standin.FaultRateCap, PerSecond: perSecond})
+	f.sendToAll("renewal")
+	f.sendToAll("renewal")
+	time.Sleep(capPropagationTime)
 	known := time.Now()
 	for _, n := range f.nodes {
 		f.await("node serves", func() bool { return f.send(n, "renewal", "usual") == "" })
 	}
-	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), mostWithin(f.callsAt("encoders-1", known), capWindow))
+	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCallsWithin(f.callTimes("encoders-1", known), capWindow))
 }
--- a/node/rates_test.go
+++ b/node/rates_test.go
@@ -16,8 +16,8 @@
 	"basilstall.example/basilstall/table"
 )
 
-// setRate gives the sample's first customer a rate.
-func (f *fleet) setRate(perSecond string) {
+// setCustomerRate gives the sample's first customer a rate.
+func (f *fleet) setCustomerRate(perSecond string) {
 	f.t.Helper()
 	var team model.Document
 	for _, d := range sample.BilbaoSnapshot().Documents {
@@ -28,9 +28,9 @@
 	token := "    Token: " + sample.BilbaoToken + "\n"
 	yaml := strings.Replace(team.YAML, token, token+"    RequestsPerSecond: "+perSecond+"\n", 1)
 	must.StrContains(f.t, yaml, "RequestsPerSecond")
-	client := &operator.Client{Base: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: patience}}
+	client := &operator.Client{BaseURL: "http://" + f.nodes[0].OperatorsAddress(), Token: "token", HTTP: &http.Client{Timeout: awaitTimeout}}
 	change := operator.Change{Base: team.Revision, Operation: uuid.NewString(), Author: "test", YAML: yaml}
-	result, err := client.Set(f.t.Context(), team.Path, change)
+	result, err := client.SetDocument(f.t.Context(), team.Path, change)
 	must.NoError(f.t, err)
 	must.EqOp(f.t, table.Applied, result.Outcome, must.Sprint(result.Detail))
 	for _, n := range f.nodes {
@@ -41,32 +41,32 @@
 // Seen by arithmetic, in looking for the cause of LIMIT elsewhere: a customer with a small rate had one request served at once by
 // each node. Cause: each node held a part of the rate, and of a part below one request a second a whole one at first. Proved
 // by: this test on the code before. Whichever node gets a request, the customer is served its rate.
-func TestACustomerWithASmallRateIsServedItOverAllNodes(t *testing.T) {
+func TestSmallCustomerRateHoldsAcrossNodes(t *testing.T) {
 	t.Parallel()
 	const perSecond, length = 0.2, 8 * time.Second
 	f := newFleet(t, 5)
-	f.setRate("0.2")
+	f.setCustomerRate("0.2")
 	served := 0
 	began := time.Now()
-	for time.Since(began) < length || served == 0 && time.Since(began) < patience {
-		reasons := f.round("renewal")
+	for time.Since(began) < length || served == 0 && time.Since(began) < awaitTimeout {
+		reasons := f.sendToAll("renewal")
 		served += len(f.nodes) - len(reasons)
-		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeouts, r) })
+		reasons = slices.DeleteFunc(reasons, func(r model.Reason) bool { return slices.Contains(timeoutReasons, r) })
 		must.SliceEmpty(t, slices.DeleteFunc(reasons, func(r model.Reason) bool { return r == model.CustomerLimit }))
 	}
 	alone := 0
 	for _, n := range f.nodes {
-		alone += int(n.Event("RateServedAlone"))
+		alone += int(n.EventCount("RateServedAlone"))
 	}
 	must.LessEq(t, int(perSecond*time.Since(began).Seconds())+2, served-alone)
 	must.Positive(t, served)
 }
 
 // Where the nodes that hold a customer's rate are lost, the others serve the customer all the same.
-func TestACustomerIsServedWhereTheHoldersOfItsRateAreLost(t *testing.T) {
+func TestCustomerIsServedAfterRateHoldersAreLost(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3)
-	f.setRate("1")
+	f.setCustomerRate("1")
 	for len(f.nodes) > 1 {
 		f.nodes[0].Close()
 		f.nodes = f.nodes[1:]
--- a/node/records.go
+++ b/node/records.go
@@ -6,13 +6,13 @@
 	"basilstall.example/basilstall/model"
 )
 
-// recordsMost bounds the memory of what happened to requests.
-const recordsMost = 4096
+// maxRecords bounds the memory of what happened to requests.
+const maxRecords = 4096
 
 // records is a bounded ring of what happened to the last requests.
 type records struct {
 	mu   sync.Mutex
-	ring [recordsMost]model.Record
+	ring [maxRecords]model.Record
 	next int
 	byID map[string]int
 }
@@ -30,7 +30,7 @@
 	}
 	r.ring[r.next] = record
 	r.byID[record.Request] = r.next
-	r.next = (r.next + 1) % recordsMost
+	r.next = (r.next + 1) % maxRecords
 }
 
 func (r *records) get(id string) (model.Record, bool) {
--- a/node/runner.go
+++ b/node/runner.go
@@ -16,14 +16,14 @@
 type progress struct {
 	stages []model.StageTiming
 	// reached is true once any endpoint may have been asked to do something.
-	reached bool
+	mayHaveRun bool
 	// sent is true once the non-idempotent call may have reached its service.
-	sent bool
+	nonIdempotentSent bool
 }
 
 // run takes a request through all stages of its pipeline. The refusal's verdict is NotRun
 // only if no endpoint was asked.
-func (n *Node) run(ctx context.Context, req model.Request, pipeline model.Pipeline, emit func(model.Token)) (model.Answer, progress, *model.Refusal) {
+func (n *Node) runPipeline(ctx context.Context, req model.Request, pipeline model.Pipeline, emit func(model.Token)) (model.Answer, progress, *model.Refusal) {
 	var p progress
 	if refusal := n.admit(ctx, time.Now(), req, pipeline); refusal != nil {
 		return model.Answer{}, p, refusal
@@ -35,7 +35,7 @@
 		return model.Answer{}, p, refusal
 	}
 	customer, _ := n.Settings().Customer(req.Team, req.Customer)
-	var carry model.Carry
+	var carry model.StageOutput
 	for i, stage := range pipeline.Stages {
 		job := dispatch.Job{
 			Work:        kernel.StageContext{Request: req, Stage: stage, Carry: carry},
@@ -50,42 +50,42 @@
 		result, err := n.dispatcher.Run(ctx, job)
 		result.Timing.Stage = stage.Name
 		p.stages = append(p.stages, result.Timing)
-		n.metrics.Spent(req.Account(), result.Timing, stage.Pool)
+		n.metrics.AddStageUsage(req.Account(), result.Timing, stage.Pool)
 		if err != nil {
-			p = p.after(stage, err)
-			if trial && !p.reached {
+			p = p.afterFailure(stage, err)
+			if trial && !p.mayHaveRun {
 				n.quarantine.CancelTrial(req.Digest())
 			}
 			return model.Answer{}, p, p.refusal(err)
 		}
-		p.reached = true
-		p.sent = p.sent || stage.NonIdempotent
+		p.mayHaveRun = true
+		p.nonIdempotentSent = p.nonIdempotentSent || stage.NonIdempotent
 		carry = result.Carry
 	}
 	n.quarantine.RecordAnswer(req.Digest())
-	return n.answer(req, carry, p), p, nil
+	return n.newAnswer(req, carry, p), p, nil
 }
 
 // after returns the progress after a stage failed.
-func (p progress) after(stage model.Stage, err error) progress {
+func (p progress) afterFailure(stage model.Stage, err error) progress {
 	if model.AsRefusal(err).Verdict == model.NotRun {
 		return p
 	}
-	p.reached = true
-	p.sent = p.sent || stage.NonIdempotent
+	p.mayHaveRun = true
+	p.nonIdempotentSent = p.nonIdempotentSent || stage.NonIdempotent
 	return p
 }
 
 // refusal returns a stage's refusal with the verdict of the whole request.
 func (p progress) refusal(err error) *model.Refusal {
 	refusal := model.AsRefusal(err)
-	if p.reached {
+	if p.mayHaveRun {
 		return refusal.WithVerdict(model.MayHaveRun)
 	}
 	return refusal
 }
 
-func (n *Node) answer(req model.Request, carry model.Carry, p progress) model.Answer {
+func (n *Node) newAnswer(req model.Request, carry model.StageOutput, p progress) model.Answer {
 	return model.Answer{
 		ID:       req.ID,
 		Pipeline: req.Pipeline,
--- a/node/serve.go
+++ b/node/serve.go
@@ -14,30 +14,30 @@
 	"basilstall.example/basilstall/peer"
 )
 
-func (n *Node) callerSeams() caller.Seams {
-	return caller.Seams{
-		Caller:   func(token string) (kernel.Caller, bool) { return n.Settings().Caller(token) },
-		Pipeline: func(team, name string) (model.Pipeline, bool) { return n.Settings().Pipeline(team, name) },
-		Serve:    n.Serve,
-		NewID:    func() string { return n.options.Name + "." + uuid.NewString() },
-		Draining: n.Draining,
-		Ready:    n.Ready,
-		Count:    n.metrics.Event,
-		Refused:  n.metrics.Refused,
+func (n *Node) callerServerDependencies() caller.Dependencies {
+	return caller.Dependencies{
+		Authenticate: func(token string) (kernel.Caller, bool) { return n.Settings().Caller(token) },
+		Pipeline:     func(team, name string) (model.Pipeline, bool) { return n.Settings().Pipeline(team, name) },
+		Serve:        n.Serve,
+		NewID:        func() string { return n.options.Name + "." + uuid.NewString() },
+		Draining:     n.Draining,
+		Ready:        n.Ready,
+		CountEvent:   n.metrics.CountEvent,
+		CountRefusal: n.metrics.CountRefusal,
 	}
 }
 
-func (n *Node) operatorSeams() operator.Seams {
-	return operator.Seams{
-		Settings:  n.Settings,
-		Store:     n.store,
-		OnApplied: n.readSettingsNow,
-		Status:    n.Status,
-		Endpoints: n.dispatcher.Status,
-		Explain:   n.Explain,
-		Ready:     n.Ready,
-		Metrics:   n.metrics.Write,
-		Count:     n.metrics.Event,
+func (n *Node) operatorServerDependencies() operator.Dependencies {
+	return operator.Dependencies{
+		Settings:          n.Settings,
+		Store:             n.store,
+		OnSettingsChanged: n.reloadSettings,
+		Status:            n.Status,
+		Endpoints:         n.dispatcher.Status,
+		Explain:           n.Explain,
+		Ready:             n.Ready,
+		WriteMetrics:      n.metrics.WritePrometheus,
+		CountEvent:        n.metrics.CountEvent,
 	}
 }
 
@@ -51,19 +51,19 @@
 	var answer model.Answer
 	var refusal *model.Refusal
 	if pipeline.NonIdempotent() {
-		answer, refusal = n.serveWithKey(ctx, req, pipeline, began)
+		answer, refusal = n.serveNonIdempotent(ctx, req, pipeline, began)
 	} else {
 		var p progress
-		answer, p, refusal = n.run(ctx, req, pipeline, emit)
-		n.remember(req, began, answer, p, refusal, "")
+		answer, p, refusal = n.runPipeline(ctx, req, pipeline, emit)
+		n.recordRequest(req, began, answer, p, refusal, "")
 	}
 	if refusal == nil {
-		n.metrics.Answered(req.Pipeline, time.Since(began))
+		n.metrics.ObserveAnswer(req.Pipeline, time.Since(began))
 	}
 	return answer, refusal
 }
 
-func (n *Node) serveWithKey(ctx context.Context, req model.Request, pipeline model.Pipeline, began time.Time) (model.Answer, *model.Refusal) {
+func (n *Node) serveNonIdempotent(ctx context.Context, req model.Request, pipeline model.Pipeline, began time.Time) (model.Answer, *model.Refusal) {
 	key, err := kernel.ParseKey(req.Account(), req.Key)
 	if err != nil {
 		return model.Answer{}, model.NewRefusal(model.NotRun, model.BadRequest, 0, err.Error())
@@ -84,15 +84,15 @@
 		}
 	}
 	if forwarded != n.options.Name {
-		n.remember(req, began, answer, progress{stages: answer.Stages}, refusal, forwarded)
+		n.recordRequest(req, began, answer, progress{stages: answer.Stages}, refusal, forwarded)
 	}
 	return answer, refusal
 }
 
-// readSettingsNow brings a change that this node has just written in force without delay.
-func (n *Node) readSettingsNow() {
+// reloadSettings brings a change that this node has just written in force without delay.
+func (n *Node) reloadSettings() {
 	snapshot, err := n.store.Snapshot(n.ctx)
-	n.noteTable(err)
+	n.recordTableResult(err)
 	if err == nil {
 		n.applySettings(snapshot)
 	}
@@ -126,7 +126,7 @@
 			Node:          info.Member.Node,
 			Incarnation:   info.Member.Incarnation,
 			FailureDomain: info.FailureDomain,
-			State:         memberState(info.State),
+			State:         memberStateName(info.State),
 		})
 	}
 	for _, m := range row.NewestEra().Members {
@@ -135,7 +135,7 @@
 	return status
 }
 
-func memberState(s kernel.MemberState) string {
+func memberStateName(s kernel.MemberState) string {
 	switch s {
 	case kernel.MemberAlive:
 		return "Alive"
@@ -169,7 +169,7 @@
 	return record, ok
 }
 
-func (n *Node) answerExplain(_ context.Context, body []byte) (any, error) {
+func (n *Node) handleExplain(_ context.Context, body []byte) (any, error) {
 	var e peer.Explain
 	if err := peer.DecodeBody(body, &e); err != nil {
 		return nil, err
--- a/node/settings.go
+++ b/node/settings.go
@@ -9,25 +9,25 @@
 	"basilstall.example/basilstall/peer"
 )
 
-// settingsEvery is how often the table's head revision is read. Peers pass newer settings on
+// settingsInterval is how often the table's head revision is read. Peers pass newer settings on
 // sooner.
-const settingsEvery = time.Second
+const settingsInterval = time.Second
 
 // Settings returns what is in force.
 func (n *Node) Settings() kernel.Settings {
 	return *n.settings.Load()
 }
 
-// followSettings reads the head until the node stops.
-func (n *Node) followSettings() {
-	n.every(settingsEvery, func(ctx context.Context) {
+// pollSettings reads the head until the node stops.
+func (n *Node) pollSettings() {
+	n.runPeriodically(settingsInterval, func(ctx context.Context) {
 		revision, err := n.store.Head(ctx)
-		n.noteTable(err)
+		n.recordTableResult(err)
 		if err != nil || revision <= n.Settings().Revision {
 			return
 		}
 		snapshot, err := n.store.Snapshot(ctx)
-		n.noteTable(err)
+		n.recordTableResult(err)
 		if err == nil {
 			n.applySettings(snapshot)
 		}
@@ -44,24 +44,24 @@
 		return
 	}
 	for _, err := range refused {
-		n.metrics.Event("DocumentRefused")
+		n.metrics.CountEvent("DocumentRefused")
 		n.log.Warn().Err(err).Msg("settings document refused; what was in force stays")
 	}
 	n.settings.Store(&next)
-	n.evacuate(next.Fleet.Evacuated)
-	n.metrics.Event("SettingsApplied")
+	n.setEvacuated(next.Fleet.Evacuated)
+	n.metrics.CountEvent("SettingsApplied")
 	n.log.Info().Uint64("Revision", next.Revision).Msg("settings in force")
 }
 
 // evacuate keeps work off the endpoints of just some failure domains.
-func (n *Node) evacuate(domains []string) {
+func (n *Node) setEvacuated(domains []string) {
 	news := n.dispatcher.SetEvacuated(time.Now(), domains)
 	for _, domain := range news.Evacuated {
-		n.metrics.Event("DomainEvacuated")
+		n.metrics.CountEvent("DomainEvacuated")
 		n.log.Info().Str("Domain", domain).Int64("InFlight", n.inFlight.Load()).Msg("failure domain evacuated")
 	}
 	for _, domain := range news.Restored {
-		n.metrics.Event("DomainTakenBack")
+		n.metrics.CountEvent("DomainTakenBack")
 		n.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
 }
@@ -73,12 +73,12 @@
 	if err := n.peers.Call(ctx, address, peer.KindSettings, pull, &reply); err != nil {
 		return
 	}
-	n.metrics.Event("SettingsFromPeer")
+	n.metrics.CountEvent("SettingsFromPeer")
 	n.applySettings(reply.Snapshot)
 }
 
-// answerSettings gives a peer all documents: few and small beside what a lost one costs.
-func (n *Node) answerSettings(context.Context, []byte) (any, error) {
+// handleSettings gives a peer all documents: few and small beside what a lost one costs.
+func (n *Node) handleSettings(context.Context, []byte) (any, error) {
 	s := n.Settings()
 	snapshot := model.Snapshot{Revision: s.Revision}
 	for _, doc := range s.Documents {
--- a/operator/client.go
+++ b/operator/client.go
@@ -14,9 +14,9 @@
 // Client calls a node as an operator does.
 type Client struct {
 	// Base is the node's URL, http://HOST:PORT.
-	Base  string
-	Token string
-	HTTP  *http.Client
+	BaseURL string
+	Token   string
+	HTTP    *http.Client
 }
 
 // ResponseError is an answer other than 200.
@@ -40,7 +40,7 @@
 }
 
 // Set asks for a change of the document at a path. A result comes with an error status too.
-func (c *Client) Set(ctx context.Context, path string, change Change) (ChangeResult, error) {
+func (c *Client) SetDocument(ctx context.Context, path string, change Change) (ChangeResult, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
 		return ChangeResult{}, errors.Wrap(err, "operator: unable to encode")
@@ -55,7 +55,7 @@
 }
 
 // Check asks what is wrong with a document; nil if it is good.
-func (c *Client) Check(ctx context.Context, path string, document []byte) error {
+func (c *Client) CheckDocument(ctx context.Context, path string, document []byte) error {
 	var problem Problem
 	return c.do(ctx, http.MethodPost, "/v1/check/"+path, document, &problem)
 }
@@ -66,7 +66,7 @@
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "operator: unable to make a request")
 	}
--- a/operator/server.go
+++ b/operator/server.go
@@ -18,28 +18,28 @@
 	"basilstall.example/basilstall/table"
 )
 
-const headerTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
 type (
 	// Seams are what the server needs of its node.
-	Seams struct {
+	Dependencies struct {
 		// Settings returns what is in force.
 		Settings func() kernel.Settings
 		// Store reads and writes the settings.
 		Store *table.Store
-		// OnApplied is called after a change was written.
-		OnApplied func()
-		Status    func() Status
-		Endpoints func() []dispatch.EndpointStatus
-		Explain   func(ctx context.Context, request string) (model.Record, bool)
-		Ready     func() (bool, string)
-		Metrics   func(io.Writer)
-		Count     func(event string)
+		// OnSettingsChanged is called after a change was written.
+		OnSettingsChanged func()
+		Status            func() Status
+		Endpoints         func() []dispatch.EndpointStatus
+		Explain           func(ctx context.Context, request string) (model.Record, bool)
+		Ready             func() (bool, string)
+		WriteMetrics      func(io.Writer)
+		CountEvent        func(event string)
 	}
 
 	// Server is the listener for operators.
 	Server struct {
-		seams    Seams
+		deps     Dependencies
 		token    string
 		listener net.Listener
 		server   *http.Server
@@ -47,12 +47,12 @@
 )
 
 // NewServer listens on an address, HOST:PORT, and serves.
-func NewServer(address, token string, seams Seams) (*Server, error) {
+func NewServer(address, token string, seams Dependencies) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "operator: unable to listen")
 	}
-	s := &Server{seams: seams, token: token, listener: listener}
+	s := &Server{deps: seams, token: token, listener: listener}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
@@ -68,7 +68,7 @@
 	v1.PUT("/settings/*", s.putDocument)
 	v1.POST("/check/*", s.checkDocument)
 	v1.GET("/history", s.getHistory)
-	s.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout}
+	s.server = &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
@@ -87,7 +87,7 @@
 	return func(c echo.Context) error {
 		token := strings.TrimPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		if subtle.ConstantTimeCompare([]byte(token), []byte(s.token)) != 1 {
-			s.seams.Count("OperatorTokenRefused")
+			s.deps.CountEvent("OperatorTokenRefused")
 			return c.JSON(http.StatusUnauthorized, Problem{Detail: "the operator's token is wrong"})
 		}
 		return next(c)
@@ -99,7 +99,7 @@
 }
 
 func (s *Server) getReady(c echo.Context) error {
-	ready, why := s.seams.Ready()
+	ready, why := s.deps.Ready()
 	if !ready {
 		return c.String(http.StatusServiceUnavailable, why+"\n")
 	}
@@ -108,20 +108,20 @@
 
 func (s *Server) getMetrics(c echo.Context) error {
 	c.Response().Header().Set("Content-Type", "text/plain; version=0.0.4")
-	s.seams.Metrics(c.Response())
+	s.deps.WriteMetrics(c.Response())
 	return nil
 }
 
 func (s *Server) getStatus(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.seams.Status())
+	return c.JSON(http.StatusOK, s.deps.Status())
 }
 
 func (s *Server) getEndpoints(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.seams.Endpoints())
+	return c.JSON(http.StatusOK, s.deps.Endpoints())
 }
 
 func (s *Server) getRequest(c echo.Context) error {
-	record, ok := s.seams.Explain(c.Request().Context(), c.Param("Request"))
+	record, ok := s.deps.Explain(c.Request().Context(), c.Param("Request"))
 	if !ok {
 		return c.JSON(http.StatusNotFound, Problem{Detail: "no record of this request; records are kept in a bounded ring"})
 	}
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -17,7 +17,7 @@
 
 // getSettings lists the documents in force on this node.
 func (s *Server) getSettings(c echo.Context) error {
-	settings := s.seams.Settings()
+	settings := s.deps.Settings()
 	documents := make([]model.Document, 0, len(settings.Documents))
 	for _, doc := range settings.Documents {
 		documents = append(documents, doc)
@@ -27,7 +27,7 @@
 
 // getDocument returns a document as the table has it.
 func (s *Server) getDocument(c echo.Context) error {
-	doc, err := s.seams.Store.Document(c.Request().Context(), c.Param("*"))
+	doc, err := s.deps.Store.Document(c.Request().Context(), c.Param("*"))
 	if err != nil {
 		return c.JSON(http.StatusServiceUnavailable, Problem{Detail: err.Error()})
 	}
@@ -46,7 +46,7 @@
 		return c.JSON(http.StatusBadRequest, Problem{Detail: err.Error()})
 	}
 	path := c.Param("*")
-	if err := s.seams.Settings().Check(path, change.YAML); err != nil {
+	if err := s.deps.Settings().Check(path, change.YAML); err != nil {
 		return c.JSON(http.StatusBadRequest, ChangeResult{Outcome: table.NotApplied, Detail: err.Error()})
 	}
 	if change.Operation == "" {
@@ -59,17 +59,17 @@
 		At:        time.Now().UTC(),
 		YAML:      change.YAML,
 	}
-	outcome, current, err := s.seams.Store.SetDocument(c.Request().Context(), doc, change.Base)
-	return s.answerChange(c, change, outcome, current, err)
+	outcome, current, err := s.deps.Store.SetDocument(c.Request().Context(), doc, change.Base)
+	return s.writeChangeResult(c, change, outcome, current, err)
 }
 
-func (s *Server) answerChange(c echo.Context, change Change, outcome table.ChangeOutcome, current model.Document, err error) error {
+func (s *Server) writeChangeResult(c echo.Context, change Change, outcome table.ChangeOutcome, current model.Document, err error) error {
 	result := ChangeResult{Outcome: outcome, Operation: change.Operation}
 	status := http.StatusOK
 	switch {
 	case outcome == table.Applied:
 		result.Revision = current.Revision
-		s.seams.OnApplied()
+		s.deps.OnSettingsChanged()
 	case outcome == table.Unknown:
 		status = http.StatusGatewayTimeout
 		result.Detail = "the table's answer was lost; ask again with the same operation number"
@@ -81,7 +81,7 @@
 		result.Current = &current
 		result.Detail = "the document was changed since the base revision"
 	}
-	s.seams.Count("Change" + string(outcome))
+	s.deps.CountEvent("Change" + string(outcome))
 	return c.JSON(status, result)
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, Problem{Detail: err.Error()})
 	}
-	if err := s.seams.Settings().Check(c.Param("*"), string(data)); err != nil {
+	if err := s.deps.Settings().Check(c.Param("*"), string(data)); err != nil {
 		return c.JSON(http.StatusBadRequest, Problem{Detail: err.Error()})
 	}
 	return c.JSON(http.StatusOK, Problem{Detail: "good"})
@@ -99,7 +99,7 @@
 
 // getHistory returns the changes of a path, oldest first.
 func (s *Server) getHistory(c echo.Context) error {
-	history, err := s.seams.Store.History(c.Request().Context(), c.QueryParam("path"))
+	history, err := s.deps.Store.History(c.Request().Context(), c.QueryParam("path"))
 	if err != nil {
 		return c.JSON(http.StatusServiceUnavailable, Problem{Detail: err.Error()})
 	}
--- a/peer/client.go
+++ b/peer/client.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	dialTimeout  = time.Second
-	helloTimeout = 2 * time.Second
-	// usualSilence is after which time without a byte a connection with calls in flight is held silent, where the
+	dialTimeout         = time.Second
+	defaultHelloTimeout = 2 * time.Second
+	// defaultSilenceTimeout is after which time without a byte a connection with calls in flight is held silent, where the
 	// client is not told another.
-	usualSilence = 1500 * time.Millisecond
+	defaultSilenceTimeout = 1500 * time.Millisecond
 )
 
-// ErrRefused is returned where the peer refused the token.
-var ErrRefused = errors.New("peer: the token was refused")
+// ErrTokenRefused is returned where the peer refused the token.
+var ErrTokenRefused = errors.New("peer: the token was refused")
 
 type (
 	// Client calls peers. It opens a connection to a peer when one is needed and is safe for
@@ -31,12 +31,12 @@
 		mu    sync.Mutex
 		conns map[string]*clientConn
 		// dialing keeps concurrent calls from opening several connections to one peer.
-		dialing map[string]*sync.Mutex
-		closed  bool
-		// silentAfter is after which time without a byte a connection with calls in flight is
-		// held silent; helloAfter bounds the first exchange on a new one.
-		silentAfter time.Duration
-		helloAfter  time.Duration
+		dialLocks map[string]*sync.Mutex
+		closed    bool
+		// silenceTimeout is after which time without a byte a connection with calls in flight is
+		// held silent; helloTimeout bounds the first exchange on a new one.
+		silenceTimeout time.Duration
+		helloTimeout   time.Duration
 	}
 
 	// CallError is the error of a call that got no reply.
@@ -62,38 +62,38 @@
 // NewClient returns a client that introduces itself as a node.
 func NewClient(node, token string) *Client {
 	return &Client{
-		hello:   Hello{Token: token, Node: node, Unpacks: true},
-		conns:   map[string]*clientConn{},
-		dialing: map[string]*sync.Mutex{},
+		hello:     Hello{Token: token, Node: node, Unpacks: true},
+		conns:     map[string]*clientConn{},
+		dialLocks: map[string]*sync.Mutex{},
 
-		silentAfter: usualSilence,
-		helloAfter:  helloTimeout,
+		silenceTimeout: defaultSilenceTimeout,
+		helloTimeout:   defaultHelloTimeout,
 	}
 }
 
-// SetSilence sets after which time without a byte a connection with calls in flight is held silent. It
+// SetSilenceTimeout sets after which time without a byte a connection with calls in flight is held silent. It
 // is to be called before the first call.
-func (c *Client) SetSilence(after time.Duration) {
-	c.silentAfter = after
-	c.helloAfter = after
+func (c *Client) SetSilenceTimeout(after time.Duration) {
+	c.silenceTimeout = after
+	c.helloTimeout = after
 }
 
 // Call sends a message to the peer at an address and decodes its reply. The error is a
 // *CallError.
 func (c *Client) Call(ctx context.Context, address string, kind Kind, message, reply any) error {
-	return c.callHearing(ctx, nil, address, kind, message, reply)
+	return c.callWithSilence(ctx, nil, address, kind, message, reply)
 }
 
 // CallUnlessSilent is Call for a reply that may be large: it ends where nothing comes from the peer for a
 // time, and with ctx.
 func (c *Client) CallUnlessSilent(ctx context.Context, after time.Duration, address string, kind Kind, message, reply any) error {
-	ctx, silence := clock.WithSilence(ctx, after, after)
+	ctx, silence := clock.WithIdleTimeout(ctx, after, after)
 	defer silence.Stop()
-	return c.callHearing(ctx, silence, address, kind, message, reply)
+	return c.callWithSilence(ctx, silence, address, kind, message, reply)
 }
 
-// callHearing carries a call out; silence, where there is one, hears what comes from the peer meanwhile.
-func (c *Client) callHearing(ctx context.Context, silence *clock.Silence, address string, kind Kind, message, reply any) error {
+// callWithSilence carries a call out; silence, where there is one, hears what comes from the peer meanwhile.
+func (c *Client) callWithSilence(ctx context.Context, silence *clock.IdleTimeout, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	replyBody, err := frame.body()
+	replyBody, err := frame.decompressedBody()
 	if err != nil {
 		return &CallError{Verdict: model.MayHaveRun, Err: err}
 	}
@@ -132,7 +132,7 @@
 	lock := c.dialLock(address)
 	lock.Lock()
 	defer lock.Unlock()
-	if conn := c.open(address); conn != nil {
+	if conn := c.cachedConn(address); conn != nil {
 		return conn, nil
 	}
 	conn, err := c.dial(ctx, address)
@@ -152,15 +152,15 @@
 func (c *Client) dialLock(address string) *sync.Mutex {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lock := c.dialing[address]
+	lock := c.dialLocks[address]
 	if lock == nil {
 		lock = &sync.Mutex{}
-		c.dialing[address] = lock
+		c.dialLocks[address] = lock
 	}
 	return lock
 }
 
-func (c *Client) open(address string) *clientConn {
+func (c *Client) cachedConn(address string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn := c.conns[address]
@@ -177,13 +177,13 @@
 }
 
 func (c *Client) dial(ctx context.Context, address string) (*clientConn, error) {
-	dialer := net.Dialer{Timeout: min(dialTimeout, c.silentAfter)}
+	dialer := net.Dialer{Timeout: min(dialTimeout, c.silenceTimeout)}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn := newClientConn(raw, c.silentAfter)
-	helloCtx, cancel := context.WithTimeout(ctx, c.helloAfter)
+	conn := newClientConn(raw, c.silenceTimeout)
+	helloCtx, cancel := context.WithTimeout(ctx, c.helloTimeout)
 	defer cancel()
 	body, err := EncodeBody(c.hello)
 	if err != nil {
@@ -202,7 +202,7 @@
 	}
 	if reply.Refused {
 		conn.close()
-		return nil, ErrRefused
+		return nil, ErrTokenRefused
 	}
 	return conn, nil
 }
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -12,28 +12,28 @@
 	"basilstall.example/basilstall/model"
 )
 
-// pingShare is how often a connection with calls in flight is tried, as a share of the time
+// pingIntervalRatio is how often a connection with calls in flight is tried, as a share of the time
 // after which one without a byte is held silent and closed, with all its calls.
-const pingShare = 1.0 / 3
+const pingIntervalRatio = 1.0 / 3
 
 // clientConn is a connection to a peer, with the calls that wait for replies on it.
 type clientConn struct {
 	conn net.Conn
-	// silentAfter is as for the client.
-	silentAfter time.Duration
-	mu          sync.Mutex
-	calls       map[uint64]chan Frame
+	// silenceTimeout is as for the client.
+	silenceTimeout time.Duration
+	mu             sync.Mutex
+	calls          map[uint64]chan Frame
 	// listening holds the calls that end with silence; each is among calls, too.
-	listening map[uint64]*clock.Silence
-	number    uint64
-	writing   sync.Mutex
+	silences   map[uint64]*clock.IdleTimeout
+	lastNumber uint64
+	writeMu    sync.Mutex
 	// heard is when a byte last came, in Unix nanoseconds. A frame that is long under way over a slow
 	// link is no silence: closing for it would end all other calls, and begin it anew.
-	heard atomic.Int64
+	lastReadAt atomic.Int64
 	// received is how many bytes came.
-	received atomic.Int64
-	done     chan struct{}
-	once     sync.Once
+	bytesRead atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 // readerFunc is a function as an io.Reader.
@@ -45,8 +45,8 @@
 }
 
 func newClientConn(raw net.Conn, silentAfter time.Duration) *clientConn {
-	c := &clientConn{conn: raw, silentAfter: silentAfter, calls: map[uint64]chan Frame{}, listening: map[uint64]*clock.Silence{}, done: make(chan struct{})}
-	c.heard.Store(time.Now().UnixNano())
+	c := &clientConn{conn: raw, silenceTimeout: silentAfter, calls: map[uint64]chan Frame{}, silences: map[uint64]*clock.IdleTimeout{}, done: make(chan struct{})}
+	c.lastReadAt.Store(time.Now().UnixNano())
 	go func() {
 		defer c.close()
 		c.readFrames()
@@ -79,24 +79,24 @@
 func (c *clientConn) read(p []byte) (int, error) {
 	n, err := c.conn.Read(p)
 	if n > 0 {
-		c.heard.Store(time.Now().UnixNano())
-		c.received.Add(int64(n))
-		c.tellListening()
+		c.lastReadAt.Store(time.Now().UnixNano())
+		c.bytesRead.Add(int64(n))
+		c.resetSilences()
 	}
 	return n, err
 }
 
-func (c *clientConn) tellListening() {
+func (c *clientConn) resetSilences() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, silence := range c.listening {
-		silence.Heard()
+	for _, silence := range c.silences {
+		silence.Reset()
 	}
 }
 
 // watchSilence pings while calls are in flight and returns once the peer went silent.
 func (c *clientConn) watchSilence() {
-	pingEvery := time.Duration(pingShare * float64(c.silentAfter))
+	pingEvery := time.Duration(pingIntervalRatio * float64(c.silenceTimeout))
 	ticker := time.NewTicker(pingEvery)
 	defer ticker.Stop()
 	body, _ := EncodeBody(Empty{})
@@ -109,7 +109,7 @@
 		case now := <-ticker.C:
 			// A tick that comes late tells that this process stood still: the peer may have answered.
 			// Where silence counts soon, that would else be taken for it.
-			stoodStill := c.silentAfter < usualSilence && now.Sub(lastTick) > 2*pingEvery
+			stoodStill := c.silenceTimeout < defaultSilenceTimeout && now.Sub(lastTick) > 2*pingEvery
 			lastTick = now
 			if !c.busy() || stoodStill {
 				idleUntil = now
@@ -117,8 +117,8 @@
 			if !c.busy() {
 				continue
 			}
-			heard := time.Unix(0, c.heard.Load())
-			if now.Sub(heard) > c.silentAfter && now.Sub(idleUntil) > c.silentAfter {
+			heard := time.Unix(0, c.lastReadAt.Load())
+			if now.Sub(heard) > c.silenceTimeout && now.Sub(idleUntil) > c.silenceTimeout {
 				return
 			}
 			if c.write(Frame{Kind: KindPing, Body: body}) != nil {
@@ -134,21 +134,21 @@
 	return len(c.calls) > 0
 }
 
-func (c *clientConn) call(ctx context.Context, silence *clock.Silence, kind Kind, body []byte) (Frame, error) {
+func (c *clientConn) call(ctx context.Context, silence *clock.IdleTimeout, kind Kind, body []byte) (Frame, error) {
 	reply := make(chan Frame, 1)
-	before := c.received.Load()
+	before := c.bytesRead.Load()
 	c.mu.Lock()
-	c.number++
-	number := c.number
+	c.lastNumber++
+	number := c.lastNumber
 	c.calls[number] = reply
 	if silence != nil {
-		c.listening[number] = silence
+		c.silences[number] = silence
 	}
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
 		delete(c.calls, number)
-		delete(c.listening, number)
+		delete(c.silences, number)
 		c.mu.Unlock()
 	}()
 	select {
@@ -169,10 +169,10 @@
 		case frame := <-reply:
 			return frame, nil
 		default:
-			return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: net.ErrClosed, Received: c.received.Load() - before}
+			return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: net.ErrClosed, Received: c.bytesRead.Load() - before}
 		}
 	case <-ctx.Done():
-		return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: context.Cause(ctx), Received: c.received.Load() - before}
+		return Frame{}, &CallError{Verdict: model.MayHaveRun, Err: context.Cause(ctx), Received: c.bytesRead.Load() - before}
 	}
 }
 
@@ -181,13 +181,13 @@
 	if err != nil {
 		return err
 	}
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	return writePieces(c.conn, data)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return writeChunks(c.conn, data)
 }
 
 func (c *clientConn) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.conn.Close()
 	})
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// MaxFrame bounds a frame's length in bytes, so that a stranger cannot make a node
+	// MaxFrameBytes bounds a frame's length in bytes, so that a stranger cannot make a node
 	// allocate without end.
-	MaxFrame    = 8 << 20
-	frameHeader = 4
-	// writePiece is how many bytes of a frame are written at once, and writeWait how long that may take: a
+	MaxFrameBytes    = 8 << 20
+	frameHeaderBytes = 4
+	// writeChunkBytes is how many bytes of a frame are written at once, and writeChunkTimeout how long that may take: a
 	// large frame goes on for as long as the other side takes it, at 32 kB a second or more.
-	writePiece = 64 << 10
-	writeWait  = 2 * time.Second
+	writeChunkBytes   = 64 << 10
+	writeChunkTimeout = 2 * time.Second
 )
 
-// ErrFrameTooLong is returned for a frame above MaxFrame.
+// ErrFrameTooLong is returned for a frame above MaxFrameBytes.
 var ErrFrameTooLong = errors.New("peer: frame too long")
 
 // Frame is one message on the wire.
@@ -42,21 +42,21 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "peer: unable to encode a frame")
 	}
-	if len(body) > MaxFrame {
+	if len(body) > MaxFrameBytes {
 		return nil, ErrFrameTooLong
 	}
-	out := make([]byte, frameHeader, frameHeader+len(body))
+	out := make([]byte, frameHeaderBytes, frameHeaderBytes+len(body))
 	binary.BigEndian.PutUint32(out, uint32(len(body)))
 	return append(out, body...), nil
 }
 
-// writePieces writes a frame's bytes to a connection for as long as the other side takes them.
-func writePieces(conn net.Conn, data []byte) error {
+// writeChunks writes a frame's bytes to a connection for as long as the other side takes them.
+func writeChunks(conn net.Conn, data []byte) error {
 	for len(data) > 0 {
-		if err := conn.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+		if err := conn.SetWriteDeadline(time.Now().Add(writeChunkTimeout)); err != nil {
 			return err
 		}
-		n, err := conn.Write(data[:min(writePiece, len(data))])
+		n, err := conn.Write(data[:min(writeChunkBytes, len(data))])
 		if err != nil {
 			return err
 		}
@@ -67,15 +67,15 @@
 
 // ReadFrame reads one frame.
 func ReadFrame(r io.Reader) (Frame, error) {
-	var header [frameHeader]byte
+	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Frame{}, err
 	}
 	length := binary.BigEndian.Uint32(header[:])
-	if length > MaxFrame {
+	if length > MaxFrameBytes {
 		return Frame{}, ErrFrameTooLong
 	}
-	// The buffer grows with what arrives: a header alone must not cost MaxFrame.
+	// The buffer grows with what arrives: a header alone must not cost MaxFrameBytes.
 	body, err := io.ReadAll(io.LimitReader(r, int64(length)))
 	if err != nil {
 		return Frame{}, err
--- a/peer/message.go
+++ b/peer/message.go
@@ -27,12 +27,12 @@
 	KindRelease
 	KindProbe
 	KindFeed
-	KindReturn
+	KindCallerWait
 	KindTakeOver
 	KindCrash
 	KindTrial
 	KindClear
-	KindHold
+	KindStoreQuarantine
 	KindCapPermit
 	KindRatePermit
 )
@@ -231,14 +231,14 @@
 
 	// Return asks how long the caller of a request has waited since its first attempt, or, with
 	// Refused, tells that an attempt was refused after the caller had waited for a time.
-	Return struct {
+	CallerWait struct {
 		Identity string
 		Refused  bool
 		Waited   time.Duration
 	}
 
-	// ReturnReply answers Return; Waited is zero for a request that is not known.
-	ReturnReply struct {
+	// CallerWaitReply answers Return; Waited is zero for a request that is not known.
+	CallerWaitReply struct {
 		Waited time.Duration
 	}
 
@@ -296,7 +296,7 @@
 
 	// Hold has another node write into the store which requests are held back, and which no longer: the sender
 	// can't reach it.
-	Hold struct {
+	StoreQuarantine struct {
 		Change kernel.QuarantineChange
 	}
 
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// packFrom is from how many bytes on a reply is sent compressed: less takes a link of 10 Mbit/s under 2 ms.
+	// minCompressBytes is from how many bytes on a reply is sent compressed: less takes a link of 10 Mbit/s under 2 ms.
 	// What changed at many endpoints at once, as at a common start, shrinks to a fifth.
-	packFrom = 2 << 10
-	// mostUnpacked bounds what a compressed message may become, so that a stranger cannot make a node allocate
+	minCompressBytes = 2 << 10
+	// maxDecompressedBytes bounds what a compressed message may become, so that a stranger cannot make a node allocate
 	// without end.
-	mostUnpacked = 16 << 20
+	maxDecompressedBytes = 16 << 20
 )
 
 var (
-	errUnpackedTooLong = errors.New("peer: a compressed message is too long")
+	errDecompressedTooLong = errors.New("peer: a compressed message is too long")
 	// flateWriters are kept: a new one takes 0.6 MB.
 	flateWriters = sync.Pool{New: func() any { return newFlateWriter() }}
 )
@@ -35,7 +35,7 @@
 }
 
 // Pack compresses bytes (DEFLATE, fastest).
-func Pack(data []byte) ([]byte, error) {
+func Compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
@@ -50,23 +50,23 @@
 }
 
 // Unpack returns what Pack was given.
-func Unpack(packed []byte) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostUnpacked+1))
+func Decompress(packed []byte) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "peer: unable to decompress")
 	}
-	if len(data) > mostUnpacked {
-		return nil, errUnpackedTooLong
+	if len(data) > maxDecompressedBytes {
+		return nil, errDecompressedTooLong
 	}
 	return data, nil
 }
 
 // packed returns a frame with a long body compressed.
-func (f Frame) packed() (Frame, error) {
-	if len(f.Body) < packFrom {
+func (f Frame) compressed() (Frame, error) {
+	if len(f.Body) < minCompressBytes {
 		return f, nil
 	}
-	data, err := Pack(f.Body)
+	data, err := Compress(f.Body)
 	if err != nil {
 		return f, err
 	}
@@ -76,7 +76,7 @@
 }
 
 // body returns a frame's body as it was before it was compressed.
-func (f Frame) body() (msgpack.RawMessage, error) {
+func (f Frame) decompressedBody() (msgpack.RawMessage, error) {
 	if !f.Packed {
 		return f.Body, nil
 	}
@@ -84,5 +84,5 @@
 	if err := DecodeBody(f.Body, &data); err != nil {
 		return nil, err
 	}
-	return Unpack(data)
+	return Decompress(data)
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-func TestManyCallsShareAConnectionAndGetTheirOwnReplies(t *testing.T) {
+func TestConcurrentCallsOnOneConnectionGetTheirReplies(t *testing.T) {
 	s := newServer(t, func(_ context.Context, body []byte) (any, error) {
 		var pull peer.SettingsPull
 		if err := peer.DecodeBody(body, &pull); err != nil {
@@ -52,18 +52,18 @@
 	wg.Wait()
 }
 
-func TestAWrongTokenIsRefusedAndCounted(t *testing.T) {
+func TestWrongTokenIsRefusedAndReported(t *testing.T) {
 	refused := make(chan string, 1)
 	s := newServer(t, nil)
-	s.OnRefused = func(remote string) { refused <- remote }
+	s.OnTokenRefused = func(remote string) { refused <- remote }
 	c := peer.NewClient("a", "wrong")
 	defer c.Close()
 	err := c.Call(t.Context(), s.Address(), peer.KindSettings, peer.SettingsPull{}, &peer.SettingsReply{})
-	must.ErrorIs(t, err, peer.ErrRefused)
+	must.ErrorIs(t, err, peer.ErrTokenRefused)
 	<-refused
 }
 
-func TestTheVerdictRestsOnWhetherAnythingWasWritten(t *testing.T) {
+func TestVerdictIsNotRunOnlyIfNothingWasWritten(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, closed.Close())
@@ -83,9 +83,9 @@
 	return call.Verdict
 }
 
-// TestASilentPeerEndsItsCalls: a peer that took the connection and then says nothing ends the
+// TestCallsToSilentPeerFail: a peer that took the connection and then says nothing ends the
 // calls on it long before their own deadline.
-func TestASilentPeerEndsItsCalls(t *testing.T) {
+func TestCallsToSilentPeerFail(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer listener.Close()
@@ -117,7 +117,7 @@
 	must.NoError(t, ctx.Err())
 }
 
-func TestFramesSurviveTheWire(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	frame := peer.Frame{Kind: peer.KindForward, Number: 7, Reply: true, Body: []byte{0x80}}
 	data, err := peer.EncodeFrame(frame)
 	must.NoError(t, err)
@@ -147,7 +147,7 @@
 
 // Nodes that ask for what the store holds are mostly told that nothing is new, twice a second each: the
 // answer says how old its proofs are and hardly more.
-func TestAnAnswerWithoutNewsIsSmall(t *testing.T) {
+func TestReplyWithoutChangesIsSmall(t *testing.T) {
 	reply := peer.FeedReply{Tables: map[string]kernel.Delta{}}
 	for _, table := range []string{"op", "servers", "basilstall_nodes"} {
 		reply.Tables[table] = kernel.Delta{Version: 70_000, Age: 1234 * time.Millisecond}
@@ -182,29 +182,29 @@
 			}
 			reply.Tables["servers"] = delta
 			s := newServer(t, func(context.Context, []byte) (any, error) { return reply, nil })
-			counted := newCounter(t, s.Address())
+			counted := newCountingProxy(t, s.Address())
 			c := peer.NewClient("a", "secret")
 			defer c.Close()
 			var back peer.FeedReply
 			must.NoError(t, c.Call(t.Context(), counted.address, peer.KindSettings, peer.SettingsPull{}, &back))
 			must.Eq(t, reply, back)
-			must.LessEq(t, tc.most, counted.back.Load())
+			must.LessEq(t, tc.most, counted.bytesReturned.Load())
 		})
 	}
 }
 
 // counter passes connections on and counts the bytes that come back.
-type counter struct {
-	address string
-	back    atomic.Int64
+type countingProxy struct {
+	address       string
+	bytesReturned atomic.Int64
 }
 
-func newCounter(t *testing.T, to string) *counter {
+func newCountingProxy(t *testing.T, to string) *countingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	c := &counter{address: listener.Addr().String()}
+	c := &countingProxy{address: listener.Addr().String()}
 	go func() {
 		near, err := listener.Accept()
 		if err != nil {
@@ -225,7 +225,7 @@
 }
 
 // Write implements io.Writer.
-func (c *counter) Write(p []byte) (int, error) {
-	c.back.Add(int64(len(p)))
+func (c *countingProxy) Write(p []byte) (int, error) {
+	c.bytesReturned.Add(int64(len(p)))
 	return len(p), nil
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -21,11 +21,11 @@
 	Server struct {
 		// Handlers has one entry a kind; it is not changed once the server runs.
 		Handlers map[Kind]Handler
-		// EndWithConn lists the kinds whose handlers' contexts end with the connection: work that
+		// CancelOnDisconnect lists the kinds whose handlers' contexts end with the connection: work that
 		// is of no use without its caller.
-		EndWithConn map[Kind]bool
-		// OnRefused is called for each wrong token.
-		OnRefused func(remote string)
+		CancelOnDisconnect map[Kind]bool
+		// OnTokenRefused is called for each wrong token.
+		OnTokenRefused func(remote string)
 
 		token    string
 		member   kernel.Member
@@ -45,12 +45,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{
-		OnRefused: func(string) {},
-		token:     token,
-		listener:  listener,
-		ctx:       ctx,
-		cancel:    cancel,
-		conns:     map[net.Conn]struct{}{},
+		OnTokenRefused: func(string) {},
+		token:          token,
+		listener:       listener,
+		ctx:            ctx,
+		cancel:         cancel,
+		conns:          map[net.Conn]struct{}{},
 	}, nil
 }
 
@@ -73,7 +73,7 @@
 			s.conns[conn] = struct{}{}
 			s.mu.Unlock()
 			go func() {
-				defer s.drop(conn)
+				defer s.closeConn(conn)
 				s.serveConn(conn)
 			}()
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (s *Server) drop(conn net.Conn) {
+func (s *Server) closeConn(conn net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.mu.Unlock()
@@ -101,7 +101,7 @@
 func (s *Server) serveConn(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	w := &replyWriter{conn: conn}
-	if !s.greet(conn, reader, w) {
+	if !s.handshake(conn, reader, w) {
 		return
 	}
 	connCtx, cancel := context.WithCancel(s.ctx)
@@ -120,7 +120,7 @@
 			return
 		}
 		ctx := s.ctx
-		if s.EndWithConn[frame.Kind] {
+		if s.CancelOnDisconnect[frame.Kind] {
 			ctx = connCtx
 		}
 		go func() {
@@ -135,8 +135,8 @@
 }
 
 // greet checks the first frame, which must be a Hello with the right token.
-func (s *Server) greet(conn net.Conn, reader *bufio.Reader, w *replyWriter) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
+func (s *Server) handshake(conn net.Conn, reader *bufio.Reader, w *replyWriter) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(defaultHelloTimeout))
 	frame, err := ReadFrame(reader)
 	if err != nil || frame.Kind != KindHello {
 		return false
@@ -145,11 +145,11 @@
 	if DecodeBody(frame.Body, &hello) != nil {
 		return false
 	}
-	w.packs = hello.Unpacks
+	w.compress = hello.Unpacks
 	refused := subtle.ConstantTimeCompare([]byte(hello.Token), []byte(s.token)) != 1
 	w.reply(frame, HelloReply{Refused: refused, Member: s.member})
 	if refused {
-		s.OnRefused(conn.RemoteAddr().String())
+		s.OnTokenRefused(conn.RemoteAddr().String())
 		return false
 	}
 	return conn.SetReadDeadline(time.Time{}) == nil
@@ -159,7 +159,7 @@
 	mu   sync.Mutex
 	conn net.Conn
 	// packs tells that the caller understands compressed replies; it is set by the first frame.
-	packs bool
+	compress bool
 }
 
 func (w *replyWriter) reply(call Frame, message any) {
@@ -169,8 +169,8 @@
 		return
 	}
 	frame := Frame{Kind: call.Kind, Number: call.Number, Reply: true, Body: body}
-	if w.packs {
-		if frame, err = frame.packed(); err != nil {
+	if w.compress {
+		if frame, err = frame.compressed(); err != nil {
 			_ = w.conn.Close()
 			return
 		}
@@ -186,7 +186,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := writePieces(w.conn, data); err != nil {
+	if err := writeChunks(w.conn, data); err != nil {
 		_ = w.conn.Close()
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -9,29 +9,29 @@
 	"basilstall.example/basilstall/model"
 )
 
-var errEmpty = errors.New("pool: empty reply")
+var errEmptyReply = errors.New("pool: empty reply")
 
 func init() {
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Encode,
-		Path:    "/encode",
-		Prepare: prepareEncode,
-		Accept:  acceptEncode,
-		Check:   checkNoOperation,
+		Kind:       model.Encode,
+		Path:       "/encode",
+		Prepare:    prepareEncode,
+		ParseReply: acceptEncode,
+		Check:      checkNoOperation,
 	})
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Retrieve,
-		Path:    "/retrieve",
-		Prepare: prepareItems,
-		Accept:  acceptItems,
-		Check:   checkNoOperation,
+		Kind:       model.Retrieve,
+		Path:       "/retrieve",
+		Prepare:    prepareItems,
+		ParseReply: acceptItems,
+		Check:      checkNoOperation,
 	})
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Rerank,
-		Path:    "/rerank",
-		Prepare: prepareItems,
-		Accept:  acceptItems,
-		Check:   checkNoOperation,
+		Kind:       model.Rerank,
+		Path:       "/rerank",
+		Prepare:    prepareItems,
+		ParseReply: acceptItems,
+		Check:      checkNoOperation,
 	})
 }
 
@@ -39,9 +39,9 @@
 	return model.StageCall{Text: w.Request.Input.Text}
 }
 
-func acceptEncode(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
+func acceptEncode(w kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
-		return w.Carry, errEmpty
+		return w.Carry, errEmptyReply
 	}
 	carry := w.Carry
 	carry.Text = r.Text
@@ -52,9 +52,9 @@
 	return model.StageCall{Text: w.Carry.Text, Items: w.Carry.Items}
 }
 
-func acceptItems(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
+func acceptItems(w kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if len(r.Items) == 0 {
-		return w.Carry, errEmpty
+		return w.Carry, errEmptyReply
 	}
 	carry := w.Carry
 	carry.Items = r.Items
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -38,7 +38,7 @@
 		Listed func(incarnation string) bool
 		// Part returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
 		// size. It is nil if the whole cap may always be used.
-		Part func(incarnation string) float64
+		Fraction func(incarnation string) float64
 		// Publish informs all nodes of the cap that an endpoint states, or that it states none.
 		Publish func(ctx context.Context, incarnation string, stated model.RateCap) error
 		// RequestPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
@@ -73,7 +73,7 @@
 		rank     int
 		rankedAt time.Time
 		// permits tells which of the nodes that share the cap, as of sharersAt, may be asked for a permit.
-		permits   kernel.Permits
+		permits   kernel.PermitRequester
 		sharersAt time.Time
 		// issuer grants permits to other nodes.
 		issuer kernel.PermitIssuer
@@ -119,17 +119,17 @@
 	return kernel.CapView{}
 }
 
-// PartialView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
+// FractionalView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
 // together may use a part of the same size.
-func (l *Limiter) PartialView(incarnation string) kernel.CapView {
-	return l.partialView(incarnation, l.View(incarnation))
+func (l *Limiter) FractionalView(incarnation string) kernel.CapView {
+	return l.fractionalView(incarnation, l.View(incarnation))
 }
 
-func (l *Limiter) partialView(incarnation string, view kernel.CapView) kernel.CapView {
-	if !view.Cap.Stated || l.deps.Part == nil {
+func (l *Limiter) fractionalView(incarnation string, view kernel.CapView) kernel.CapView {
+	if !view.Cap.Stated || l.deps.Fraction == nil {
 		return view
 	}
-	return view.WithPart(l.deps.Part(incarnation))
+	return view.WithFraction(l.deps.Fraction(incarnation))
 }
 
 // HasCap reports whether an endpoint states a cap.
@@ -139,7 +139,7 @@
 
 // Admits reports whether this node may send to an endpoint now, given when it last did.
 func (l *Limiter) Admits(now time.Time, e model.Endpoint, sentAt time.Time) bool {
-	view := l.PartialView(e.Incarnation())
+	view := l.FractionalView(e.Incarnation())
 	return !view.Cap.Stated || view.Due(now, sentAt, l.Rank(now, e.Incarnation()))
 }
 
@@ -152,13 +152,13 @@
 			continue
 		}
 		incarnation := e.Incarnation()
-		view := l.PartialView(incarnation)
+		view := l.FractionalView(incarnation)
 		if !view.Cap.Stated {
 			return nil
 		}
 		at, ok := l.permitRequestAt(now, incarnation)
 		capped = append(capped, kernel.CappedEndpoint{
-			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), Asks: ok, AskAt: at,
+			View: view, SentAt: sentAt(incarnation), Rank: l.Rank(now, incarnation), MayRequestPermit: ok, NextPermitRequestAt: at,
 		})
 	}
 	return kernel.AdmitCapped(now, pool, capped)
@@ -167,7 +167,7 @@
 // RecordSend counts the requests and calls for pieces that are sent to endpoints with caps.
 func (l *Limiter) RecordSend(e model.Endpoint) {
 	if l.HasCap(e.Incarnation()) {
-		l.metrics.Event("SentUnderRateCap")
+		l.metrics.CountEvent("SentUnderRateCap")
 	}
 }
 
@@ -211,7 +211,7 @@
 	if before.Cap == after.Cap {
 		return
 	}
-	l.metrics.Event("RateCapChanged")
+	l.metrics.CountEvent("RateCapChanged")
 	l.log.Info().Str("Endpoint", incarnation).Str("From", from).Bool("Stated", after.Cap.Stated).
 		Float64("PerSecond", after.Cap.PerSecond).Float64("Before", before.Cap.PerSecond).Msg("rate cap of an endpoint")
 	l.deps.Changed()
@@ -275,7 +275,7 @@
 	defer cancel()
 	err := l.deps.Publish(ctx, incarnation, stated)
 	if err != nil {
-		l.metrics.Event("RateCapNotPublished")
+		l.metrics.CountEvent("RateCapNotPublished")
 	}
 	l.update(incarnation, func(c *endpointCap) {
 		c.publishing = false
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -39,7 +39,7 @@
 		c.permits = c.permits.WithSharers(kernel.CapSharers(now, l.nodes, incarnation), l.name)
 		c.sharersAt = now
 	}
-	return c.permits.Next()
+	return c.permits.NextRequestAt()
 }
 
 // RequestPermit asks a node that shares an endpoint's cap for a permit to send one request in its place, and reports
@@ -55,12 +55,12 @@
 	granted, wait, err := l.deps.RequestPermit(ctx, sharer, e.Pool, incarnation)
 	switch {
 	case err != nil:
-		l.metrics.Event("CapPermitUnanswered")
+		l.metrics.CountEvent("CapPermitUnanswered")
 	case granted:
-		l.metrics.Event("CapPermitGranted")
+		l.metrics.CountEvent("CapPermitGranted")
 		return true
 	default:
-		l.metrics.Event("CapPermitDenied")
+		l.metrics.CountEvent("CapPermitDenied")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,6 +91,6 @@
 	if c == nil {
 		c = &endpointCap{}
 	}
-	c.issuer, granted, wait = c.issuer.Permit(now, l.partialView(incarnation, c.publisher.View), sentAt, rank)
+	c.issuer, granted, wait = c.issuer.Decide(now, l.fractionalView(incarnation, c.publisher.View), sentAt, rank)
 	return granted, wait
 }
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -41,7 +41,7 @@
 		// localityWait is how long the pieces wait for an endpoint in domain.
 		localityWait time.Duration
 		rank         int
-		askedAt      time.Time
+		firstSentAt  time.Time
 		due          time.Time
 		until        time.Time
 		// excluded names the nodes that did not answer, are leaving, or named another batcher.
@@ -80,9 +80,9 @@
 			b.setCurrentBatcher(node)
 			b.recordReport(result.report)
 			done := result.stageResult(req)
-			done.time.Batcher = node
+			done.timing.Batcher = node
 			if done.refusal == nil {
-				r.metrics.WaitEstimated(req.pool, done.time.Estimate, done.time.Waited)
+				r.metrics.ObserveWaitError(req.pool, done.timing.Estimate, done.timing.Waited)
 			}
 			return done
 		}
@@ -96,7 +96,7 @@
 		case result.leaving:
 			r.suspects.suspect(node)
 		default:
-			r.metrics.Event("BatcherMoved")
+			r.metrics.CountEvent("BatcherMoved")
 		}
 		switch {
 		case err != nil:
@@ -136,15 +136,15 @@
 	}
 	done := stageResult{results: result.outcome.Made}
 	done.inputsFreed = result.outcome.InputsFreed
-	done.time.Waited = result.outcome.Waited
-	done.time.Estimate = result.report.wait
+	done.timing.Waited = result.outcome.Waited
+	done.timing.Estimate = result.report.wait
 	fault := result.outcome.Fault
 	if fault == "" && len(done.results) != len(req.pieces) {
 		// An incomplete set of results must not be used as an input.
 		fault = model.PieceFailed
 	}
 	if fault != "" {
-		done.time.Fault = fault
+		done.timing.Fault = fault
 		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusalRetryAfter)),
 			fmt.Sprintf("pool %s: pieces not made: %s", pool, fault))
 	}
@@ -187,7 +187,7 @@
 	message.OnlyAsk = true
 	var reply peer.BatchReply
 	if r.peers.Call(ctx, r.addressOf(node), peer.KindBatch, message, &reply) != nil || reply.Leaving {
-		r.metrics.Event("QueueReportUnknown")
+		r.metrics.CountEvent("QueueReportUnknown")
 		return queueReport{}
 	}
 	last := queueReport{wait: reply.Wait, roomTaken: reply.RoomTaken}
@@ -197,7 +197,7 @@
 
 func (r *Relay) recordBatcherFailure(node string, req batchRequest, err error) {
 	r.suspects.suspect(node)
-	r.metrics.Event("BatcherFailed")
+	r.metrics.CountEvent("BatcherFailed")
 	r.log.Info().Str("Request", req.pieces[0].Request).Str("Pool", req.pool).Str("Batcher", node).Err(err).Msg("batcher did not answer")
 }
 
@@ -212,7 +212,7 @@
 		Domain:       req.domain,
 		LocalityWait: req.localityWait,
 		Rank:         req.rank,
-		AskedAt:      req.askedAt,
+		FirstSentAt:  req.firstSentAt,
 		Due:          req.due,
 		Until:        req.until,
 	}
@@ -246,7 +246,7 @@
 		var empty peer.Empty
 		if r.peers.Call(ctx, address, peer.KindRelease, peer.Release{Pool: queue, Made: made}, &empty) != nil {
 			// The batcher was not reached: free the results at their workers from this node.
-			r.metrics.Event("ReleaseFailed")
+			r.metrics.CountEvent("ReleaseFailed")
 			b.freeResults(made)
 		}
 	}()
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// pumpInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
+	// startCallsInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
 	// a piece waits for an endpoint in its failure domain.
-	pumpInterval = 30 * time.Millisecond
+	startCallsInterval = 30 * time.Millisecond
 	// A call for pieces times out after callTimeoutFactor times its expected duration plus callGrace; its pieces
 	// are then requested from another endpoint.
 	callTimeoutFactor = 2.5
@@ -79,7 +79,7 @@
 func (b *batcher) updateRateCaps() {
 	b.mu.Lock()
 	for _, worker := range b.workers(b.relay.Registry()) {
-		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.PartialView(worker.Incarnation()).Cap)
+		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.FractionalView(worker.Incarnation()).Cap)
 	}
 	b.mu.Unlock()
 	b.startCalls()
@@ -144,7 +144,7 @@
 	}
 	b.mu.Unlock()
 	if !accepted {
-		b.relay.metrics.Event("PiecesRefused")
+		b.relay.metrics.CountEvent("PiecesRefused")
 		return batchResult{refused: true, retryAfter: retry, report: report}
 	}
 	b.startCalls()
@@ -190,7 +190,7 @@
 		time.AfterFunc(batch.FetchTime(), b.freeFetchedInputs)
 	}
 	if pieces, _ := b.queue.Pending(); pieces > 0 {
-		b.timer.Reset(min(pumpInterval, max(time.Millisecond, b.queue.Spacing()/2)))
+		b.timer.Reset(min(startCallsInterval, max(time.Millisecond, b.queue.Spacing()/2)))
 	}
 }
 
@@ -250,9 +250,9 @@
 func (b *batcher) handleOverdue(batch kernel.PieceBatch) {
 	r := b.relay
 	b.mu.Lock()
-	requeued := b.queue.Overdue(r.now(), batch)
+	requeued := b.queue.RequeueOverdue(r.now(), batch)
 	b.mu.Unlock()
-	r.metrics.Event("PieceCallOverdue")
+	r.metrics.CountEvent("PieceCallOverdue")
 	r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 		Str("Request", batch.Pieces[0].Request).Int("Again", requeued).Msg("call for pieces overdue")
 	b.startCalls()
@@ -260,12 +260,12 @@
 
 func (b *batcher) logCall(batch kernel.PieceBatch, reply PieceReply, err error) {
 	r := b.relay
-	r.metrics.Event("PieceCalls")
+	r.metrics.CountEvent("PieceCalls")
 	faults := map[model.PieceFault]int{}
 	for _, res := range reply.Results {
 		if res.Fault != "" {
 			faults[res.Fault]++
-			r.metrics.Event("PieceFault" + string(res.Fault))
+			r.metrics.CountEvent("PieceFault" + string(res.Fault))
 		}
 	}
 	if len(faults) > 0 {
@@ -278,11 +278,11 @@
 	}
 	switch {
 	case err != nil:
-		r.metrics.Event("PieceCallFailed")
+		r.metrics.CountEvent("PieceCallFailed")
 		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Err(err).Msg("call for pieces failed")
 	case reply.NotRun:
-		r.metrics.Event("PieceCallRefused")
+		r.metrics.CountEvent("PieceCallRefused")
 		r.log.Info().Str("Pool", b.queueName).Str("Endpoint", batch.Endpoint.Name).Int("Pieces", len(batch.Pieces)).
 			Str("Request", batch.Pieces[0].Request).Msg("call for pieces refused")
 	}
@@ -310,7 +310,7 @@
 	b.mu.Unlock()
 	for _, o := range ended {
 		if o.Fault == model.PieceStarved {
-			b.relay.metrics.Event("PiecesStarved")
+			b.relay.metrics.CountEvent("PiecesStarved")
 		}
 	}
 	b.deliverOutcomes(ended)
--- a/relay/evacuation_test.go
+++ b/relay/evacuation_test.go
@@ -39,7 +39,7 @@
 	must.Nil(t, outcome.Refusal)
 	must.True(t, outcome.Complete)
 	must.SliceLen(t, 1, sent)
-	must.False(t, b.relay.Registry().Evacuations().Holds(sent[0]))
+	must.False(t, b.relay.Registry().Evacuations().Contains(sent[0]))
 	b.relay.ApplyEvacuationChange(kernel.EvacuationChange{Restored: b.relay.Registry().Evacuations().Domains()})
 	must.Nil(t, b.serve("/get/two").Refusal)
 }
--- a/relay/hub.go
+++ b/relay/hub.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		for _, region := range s.regions {
-			s.applyPool(s.queueName(name, region), region, pool, table.Share(name))
+			s.applyPool(s.queueName(name, region), region, pool, table.CapacityShare(name))
 		}
 	}
 }
--- a/relay/incarnations.go
+++ b/relay/incarnations.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		restarted = true
-		r.metrics.Event("EndpointStartedAgain")
+		r.metrics.CountEvent("EndpointStartedAgain")
 		ended, digests := r.activeCalls.cancelCalls(c.Before.Incarnation())
 		if len(digests) > 0 {
 			r.recordDisconnect(c.Before, digests...)
--- a/relay/panic.go
+++ b/relay/panic.go
@@ -12,7 +12,7 @@
 	if v == nil {
 		return
 	}
-	r.metrics.Event("Panic")
+	r.metrics.CountEvent("Panic")
 	r.log.Error().Str("Panic", fmt.Sprint(v)).Str("Stack", string(debug.Stack())).Msg("panic while a request was handled; the request fails")
 	onPanic()
 }
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -25,18 +25,18 @@
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
-		Part:          r.capPart,
+		Fraction:      r.rateCapShare,
 		Publish:       r.deps.PublishRateCap,
 		RequestPermit: r.requestCapPermit,
 		Changed:       r.batchers.updateRateCaps,
 	}, r.now, r.metrics, r.log)
 }
 
-// capPart returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
+// rateCapShare returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
 // size.
-func (r *Relay) capPart(incarnation string) float64 {
+func (r *Relay) rateCapShare(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
-	return r.View().Table.Share(e.Pool)
+	return r.View().Table.CapacityShare(e.Pool)
 }
 
 // requestCapPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
@@ -71,7 +71,7 @@
 
 // admitRateCaps refuses a request if all endpoints of its pool are at their rate caps. It returns nil otherwise.
 func (r *Relay) admitRateCaps(a kernel.Admission) *model.Refusal {
-	endpoints := a.Homes.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
+	endpoints := a.Regions.AllowedEndpoints(r.Registry().Endpoints(a.Pool))
 	return r.rateCaps.AdmitPool(r.now(), a.Pool, endpoints, r.pool(a.Pool).lastSentAt)
 }
 
@@ -97,7 +97,7 @@
 	return reply, err
 }
 
-// recordRateCap records the rate cap in an answer to a request that was sent at sentAt. The absence of a cap counts
+// recordRateCap records the rate cap in an answer to a request that was sent at lastSentAt. The absence of a cap counts
 // only in a complete answer: a damaged one may have lost it.
 func (r *Relay) recordRateCap(sentAt time.Time, e model.Endpoint, stated model.RateCap, complete bool) {
 	if stated.Stated || complete {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -63,7 +63,7 @@
 		// refusedRequests holds the refused requests of the pools that this node coordinates.
 		refusedRequests *refusedRequests
 		// quarantine holds back requests that crash the endpoints that run them.
-		quarantine *quarantine.Coordinator
+		quarantine *quarantine.Agent
 		// rateCaps limits what is sent to endpoints that state a rate cap.
 		rateCaps *ratecap.Limiter
 
@@ -101,13 +101,13 @@
 		peers:          peer.NewClient(options.Name, ""),
 		pools:          map[string]*pool{},
 	}
-	r.peers.SetSilence(peerSilenceTimeout)
+	r.peers.SetSilenceTimeout(peerSilenceTimeout)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.batchers = newBatcherSet(r)
 	r.remoteGroups = newRemoteGroups()
 	r.activeCalls = newCallTracker()
 	r.refusedRequests = newRefusedRequests()
-	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
+	r.quarantine = quarantine.NewAgent(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: deps.Connect, Store: deps.StoreQuarantine,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
@@ -195,7 +195,7 @@
 	if view.Table == old.Table {
 		return
 	}
-	r.metrics.Event("RoutingChanged")
+	r.metrics.CountEvent("RoutingChanged")
 	r.log.Info().Uint64("Version", view.Table.Version()).Uint64("Before", old.Table.Version()).Msg("routing in force")
 	r.batchers.applyRouting(view.Table)
 	r.batchers.setEndpoints(r.Registry())
@@ -223,11 +223,11 @@
 	}
 	r.UpdateRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
 	for _, domain := range news.Evacuated {
-		r.metrics.Event("DomainEvacuated")
+		r.metrics.CountEvent("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
 	}
 	for _, domain := range news.Restored {
-		r.metrics.Event("DomainTakenBack")
+		r.metrics.CountEvent("DomainTakenBack")
 		r.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
 }
@@ -270,24 +270,24 @@
 	} else {
 		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stageTimes
+	outcome.Stages = job.stageTimings
 	f = job.forward
 	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimings) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
 	case outcome.Refusal != nil:
-		r.metrics.Refused(outcome.Refusal)
-		r.metrics.RefusedAfter(outcome.Refusal, r.now().Sub(f.ReceivedAt))
+		r.metrics.CountRefusal(outcome.Refusal)
+		r.metrics.ObserveRefusalTime(outcome.Refusal, r.now().Sub(f.ReceivedAt))
 		if outcome.Refusal.Verdict == model.NotRun && outcome.Refusal.RetryAfter > 0 {
 			r.recordRefused(job.forward, admission)
 		}
 	case !outcome.Complete:
-		r.metrics.Event("AnswerBrokenOff")
+		r.metrics.CountEvent("AnswerBrokenOff")
 	default:
 		r.quarantine.RecordAnswer(f.Digest)
-		r.metrics.Answered(admission.Route.Name, r.now().Sub(f.ReceivedAt))
+		r.metrics.ObserveAnswer(admission.Route.Name, r.now().Sub(f.ReceivedAt))
 	}
 	if trial && outcome.Refusal != nil && outcome.Refusal.Verdict == model.NotRun {
 		r.quarantine.CancelTrial(f.Digest)
@@ -298,8 +298,8 @@
 
 // refuseUnstarted refuses a request before any work on it has started.
 func (r *Relay) refuseUnstarted(f model.Forward, a kernel.Admission, view kernel.RoutingView, refusal *model.Refusal) Outcome {
-	r.metrics.Refused(refusal)
-	r.metrics.RefusedAfter(refusal, r.now().Sub(f.ReceivedAt))
+	r.metrics.CountRefusal(refusal)
+	r.metrics.ObserveRefusalTime(refusal, r.now().Sub(f.ReceivedAt))
 	r.logOutcome(f, a, view, Outcome{Refusal: refusal})
 	return Outcome{Refusal: refusal}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -110,7 +110,7 @@
 			{Name: "gen", Host: "h", Prefix: "/gen/", Kind: model.Stream, Timeout: time.Minute, Objective: objective, MaxAttempts: 1, Split: []model.WeightedPool{{Pool: "engines"}}, Stages: stages},
 		}...),
 		Pools: map[string]model.Pool{"workers": {Name: "workers", ColdRate: 4, Pieces: &model.PieceTraits{
-			Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, Room: 18_000_000, Keep: time.Minute,
+			Slots: 1, MaxBatch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, Room: 18_000_000, ResultTTL: time.Minute,
 		}}},
 	}))
 }
@@ -208,7 +208,7 @@
 
 // A batcher may answer late because a call takes long. Only a silent batcher counts as lost. Guards against a second
 // node that batches for the same pool at the same time.
-func TestLateGroupDoesNotSuspectBatcher(t *testing.T) {
+func TestLateBatcherIsNotSuspected(t *testing.T) {
 	b := newTestBed(t)
 	batcher, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
--- a/relay/resume.go
+++ b/relay/resume.go
@@ -38,6 +38,6 @@
 	if state.headerSent {
 		reason = model.RetryResume
 	}
-	j.relay.metrics.Retried(reason, p.name)
+	j.relay.metrics.CountRetry(reason, p.name)
 	return true
 }
--- a/relay/retry.go
+++ b/relay/retry.go
@@ -59,7 +59,7 @@
 	if j.attempts >= j.admission.Route.MaxAttempts || !j.takeRetry(p, res.err) {
 		return false
 	}
-	j.relay.metrics.Retried(reason, p.name)
+	j.relay.metrics.CountRetry(reason, p.name)
 	return true
 }
 
@@ -80,7 +80,7 @@
 	if !j.takeRetry(p, nil) || !j.startAttempt(ctx, p, results) {
 		return false
 	}
-	j.relay.metrics.Retried(model.RetryHedge, p.name)
+	j.relay.metrics.CountRetry(model.RetryHedge, p.name)
 	return true
 }
 
@@ -96,7 +96,7 @@
 	}
 	chosenAt, permitUntil := j.relay.now(), j.permitUntil
 	send.BeforeSend = func() error {
-		refusal := kernel.StillAdmitted(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
+		refusal := kernel.RecheckAdmission(j.relay.now(), j.relay.View(), j.relay.options.MaxRoutingAge, j.forward, j.admission)
 		if refusal == nil && !j.trial {
 			refusal = j.relay.quarantine.Check(j.forward.Digest)
 		}
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -47,13 +47,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queueReportTimeout)
 	defer cancel()
-	var reply peer.ReturnReply
-	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindReturn, peer.Return{Identity: identity}, &reply) != nil {
-		r.metrics.Event("ReturnUnknown")
+	var reply peer.CallerWaitReply
+	if r.peers.Call(ctx, r.addressOf(coordinator), peer.KindCallerWait, peer.CallerWait{Identity: identity}, &reply) != nil {
+		r.metrics.CountEvent("ReturnUnknown")
 		return 0
 	}
 	if reply.Waited > 0 {
-		r.metrics.Event("CallerReturned")
+		r.metrics.CountEvent("CallerReturned")
 	}
 	return reply.Waited
 }
@@ -75,9 +75,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(r.ctx, notifyTimeout)
 		defer cancel()
-		var reply peer.ReturnReply
-		if r.peers.Call(ctx, address, peer.KindReturn, peer.Return{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
-			r.metrics.Event("ReturnNotNoted")
+		var reply peer.CallerWaitReply
+		if r.peers.Call(ctx, address, peer.KindCallerWait, peer.CallerWait{Identity: identity, Refused: true, Waited: waited}, &reply) != nil {
+			r.metrics.CountEvent("ReturnNotNoted")
 		}
 	}()
 }
@@ -87,15 +87,15 @@
 	return kernel.NodesByHash(stages[0].Pool, r.Reachable())[0]
 }
 
-// handleReturn handles a peer.Return: it records a refused request, or returns how long a caller has waited.
-func (r *Relay) handleReturn(_ context.Context, body []byte) (any, error) {
-	var message peer.Return
+// handleCallerWait handles a peer.Return: it records a refused request, or returns how long a caller has waited.
+func (r *Relay) handleCallerWait(_ context.Context, body []byte) (any, error) {
+	var message peer.CallerWait
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
 	if message.Refused {
 		r.refusedRequests.add(r.now(), message.Identity, message.Waited)
-		return peer.ReturnReply{}, nil
+		return peer.CallerWaitReply{}, nil
 	}
-	return peer.ReturnReply{Waited: r.refusedRequests.takeWaited(r.now(), message.Identity)}, nil
+	return peer.CallerWaitReply{Waited: r.refusedRequests.takeWaited(r.now(), message.Identity)}, nil
 }
--- a/relay/room.go
+++ b/relay/room.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	if err := b.relay.deps.FreeResults(ctx, worker, resultHandles(made)); err != nil {
 		// The worker drops them by itself after a while, and so does the queue.
-		b.relay.metrics.Event("FreeFailed")
+		b.relay.metrics.CountEvent("FreeFailed")
 		return
 	}
 	b.mu.Lock()
@@ -110,7 +110,7 @@
 	defer cancel()
 	free, err := b.relay.deps.FreeRoom(ctx, worker)
 	if err != nil {
-		b.relay.metrics.Event("RoomUnknown")
+		b.relay.metrics.CountEvent("RoomUnknown")
 		return
 	}
 	b.mu.Lock()
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -103,7 +103,7 @@
 	claim := b.claims
 	pollRoom := b.traits.Room >= minPolledRoom
 	b.mu.Unlock()
-	r.metrics.Event("BatcherTookOver")
+	r.metrics.CountEvent("BatcherTookOver")
 	r.log.Info().Str("Pool", b.queueName).Bool("Yielded", yielded).Msg("batching begins here")
 	if pollRoom {
 		go b.pollFreeRoom()
@@ -167,7 +167,7 @@
 	for i, node := range nodes {
 		calls.Go(func() {
 			if r.peers.Call(ctx, r.addressOf(node), peer.KindTakeOver, request, &replies[i]) != nil {
-				r.metrics.Event("TakeOverUnanswered")
+				r.metrics.CountEvent("TakeOverUnanswered")
 			}
 		})
 	}
@@ -194,9 +194,9 @@
 	return nodes
 }
 
-// answerTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
+// handleTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
 // node that batches.
-func (b *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
+func (b *batcher) handleTakeOver(m peer.TakeOver) peer.TakeOverReply {
 	r := b.relay
 	b.mu.Lock()
 	active := b.active && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
@@ -204,9 +204,9 @@
 	if !active {
 		return peer.TakeOverReply{MovedTo: b.knownBatcher([]string{m.Node})}
 	}
-	own := kernel.PoolClaim{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
-	other := kernel.PoolClaim{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
-	switch kernel.AnswerClaim(b.queueName, own, other) {
+	own := kernel.BatcherCandidate{Peer: kernel.Peer{Name: r.options.Name, Capacity: r.options.Capacity}, Batching: true, Leaving: r.Leaving()}
+	other := kernel.BatcherCandidate{Peer: kernel.Peer{Name: m.Node, Capacity: m.Capacity}, Batching: m.Batches, Leaving: m.Leaving}
+	switch kernel.DecideTakeOver(b.queueName, own, other) {
 	case kernel.KeepPool:
 		return peer.TakeOverReply{MovedTo: r.options.Name, Stays: true}
 	case kernel.SharePool:
@@ -226,11 +226,11 @@
 	moved := b.queue.HandOver()
 	b.mu.Unlock()
 	b.deliverOutcomes(moved)
-	r.metrics.Event("BatcherYielded")
+	r.metrics.CountEvent("BatcherYielded")
 	r.log.Info().Str("Pool", b.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
-func (r *Relay) answerTakeOver(_ context.Context, body []byte) (any, error) {
+func (r *Relay) handleTakeOver(_ context.Context, body []byte) (any, error) {
 	var m peer.TakeOver
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -239,5 +239,5 @@
 	if b == nil {
 		return peer.TakeOverReply{}, nil
 	}
-	return b.answerTakeOver(m), nil
+	return b.handleTakeOver(m), nil
 }
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -47,8 +47,8 @@
 		// permitUntil is when the other node's permit for the chosen endpoint expires; zero if no permit is needed.
 		permitUntil time.Time
 		// trial is true for a request that is held back and may run once.
-		trial      bool
-		stageTimes []StageTiming
+		trial        bool
+		stageTimings []StageTiming
 		// estimates are the estimates for the stages' pools at the arrival of the request.
 		estimates []StageEstimate
 	}
@@ -221,7 +221,7 @@
 
 // allowedEndpoints returns the endpoints of the request's pool in the regions that may serve the request.
 func (j *job) allowedEndpoints() []model.Endpoint {
-	return j.admission.Homes.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
+	return j.admission.Regions.AllowedEndpoints(j.relay.Registry().Endpoints(j.admission.Pool))
 }
 
 // refuseNoEndpoint refuses a request that may not be sent to any endpoint now.
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// graceAfterDeadline is how long the replay waits for an answer that is already late.
-	graceAfterDeadline = 3 * time.Second
-	idleConnections    = 512
+	// lateAnswerTimeout is how long the replay waits for an answer that is already late.
+	lateAnswerTimeout   = 3 * time.Second
+	maxIdleConnsPerHost = 512
 )
 
 type (
 	// sent is one request that was sent, and how it ended.
-	sent struct {
+	sentRequest struct {
 		entry   Entry
 		result  caller.Result
 		err     error
 		latency time.Duration
 		// whole is true if the answer is whole and its request's own.
-		whole bool
+		correct bool
 	}
 
 	// Replay sends one trace to one set-up.
@@ -46,7 +46,7 @@
 
 // NewReplay returns a replay of a trace on a set-up.
 func NewReplay(trace Trace, setup *Setup) *Replay {
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}
 	return &Replay{
 		trace:  trace,
 		setup:  setup,
@@ -59,7 +59,7 @@
 func (r *Replay) Run(ctx context.Context) Report {
 	defer r.client.CloseIdleConnections()
 	before := r.setup.Standin.Usage()
-	all := make([]sent, len(r.trace.Entries))
+	all := make([]sentRequest, len(r.trace.Entries))
 	var wg sync.WaitGroup
 	start := time.Now()
 	for i, entry := range r.trace.Entries {
@@ -73,26 +73,26 @@
 	}
 	wg.Wait()
 	report := newReport(all, r.trace.Length())
-	report.check(all, r.setup.Standin.Journal.Summary())
-	report.charge(before, r.setup.Standin.Usage())
+	report.checkJournal(all, r.setup.Standin.Journal.Summary())
+	report.recordUsage(before, r.setup.Standin.Usage())
 	return report
 }
 
-func (r *Replay) send(ctx context.Context, i int, entry Entry, planned time.Time) sent {
-	s := sent{entry: entry}
+func (r *Replay) send(ctx context.Context, i int, entry Entry, planned time.Time) sentRequest {
+	s := sentRequest{entry: entry}
 	deadline := planned.Add(time.Duration(entry.Deadline))
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(graceAfterDeadline))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateAnswerTimeout))
 	defer cancel()
 	call := caller.Call{Pipeline: entry.Pipeline, Key: r.key(entry.Key)}
-	call.Body = caller.Body{
+	call.Body = caller.RequestBody{
 		Input:    model.Input{Text: entry.text(i), Prefix: entry.Prefix, MaxTokens: entry.Tokens},
 		Deadline: deadline.Format(time.RFC3339Nano),
 	}
-	client := &caller.Client{Base: "http://" + r.setup.address(), Token: r.setup.tokens[entry.Customer], HTTP: r.client}
+	client := &caller.Client{BaseURL: "http://" + r.setup.nextAddress(), Token: r.setup.tokens[entry.Customer], HTTP: r.client}
 	s.result, s.err = client.Send(ctx, call)
 	s.latency = time.Since(planned)
 	if s.result.Answer != nil {
-		s.whole = r.isWhole(call, s.result.Answer)
+		s.correct = r.isCorrect(call, s.result.Answer)
 	}
 	return s
 }
@@ -117,17 +117,17 @@
 	return uuid.Must(uuid.NewV7()).String()
 }
 
-func (r *Replay) isWhole(call caller.Call, answer *caller.AnswerBody) bool {
+func (r *Replay) isCorrect(call caller.Call, answer *caller.AnswerBody) bool {
 	pipeline, ok := r.setup.Pipeline(call.Pipeline)
 	return ok && answer.Output == standin.ExpectedOutput(pipeline, call.Body.Input, call.Body.MaxTokens)
 }
 
-func (s sent) attained() bool {
-	return s.result.Answer != nil && s.whole && s.latency <= time.Duration(s.entry.Deadline)
+func (s sentRequest) attained() bool {
+	return s.result.Answer != nil && s.correct && s.latency <= time.Duration(s.entry.Deadline)
 }
 
 // charge takes the endpoints' work during the replay from the stand-in's counts.
-func (r *Report) charge(before, after standin.Usage) {
+func (r *Report) recordUsage(before, after standin.Usage) {
 	r.TableReads = after.TableReads - before.TableReads
 	r.TableWrites = after.TableWrites - before.TableWrites
 	r.Pools = map[string]standin.PoolUsage{}
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -10,12 +10,12 @@
 	"basilstall.example/basilstall/replay"
 )
 
-func TestTheTracesKeepTheirPromises(t *testing.T) {
+func TestReplayedTracesMeetGuarantees(t *testing.T) {
 	for _, name := range []string{"bilbao", "moravia"} {
 		t.Run(name, func(t *testing.T) {
 			trace, err := replay.ReadTrace("../traces/" + name + ".jsonl")
 			must.NoError(t, err)
-			setup, err := replay.NewSetup(t.Context(), trace.Head, false, zerolog.Nop())
+			setup, err := replay.NewSetup(t.Context(), trace.Header, false, zerolog.Nop())
 			must.NoError(t, err)
 			defer setup.Close()
 			// A tenth of the load: what is checked here does not depend on the machine's speed.
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestTraceLinesAreCheckedStrictly(t *testing.T) {
+func TestParseTraceRejectsInvalidInput(t *testing.T) {
 	head := `{"Sample":"Bilbao","Nodes":3}` + "\n"
 	cases := map[string]string{
 		`{"At":"1s","Customr":"x"}`: "t.jsonl:2: ",
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestLoadIsMultipliedEvenlyAndKeysStayApart(t *testing.T) {
+func TestWithLoadScalesEvenlyAndKeepsKeysDistinct(t *testing.T) {
 	trace := replay.Trace{}
 	for i := range 100 {
 		trace.Entries = append(trace.Entries, replay.Entry{At: replay.Duration(time.Duration(i) * time.Second), Key: "k"})
@@ -56,7 +56,7 @@
 	must.EqOp(t, "k-2", tripled[2].Key)
 }
 
-func TestMissedOutcomesAreNamed(t *testing.T) {
+func TestMissedListsEachMissedOutcome(t *testing.T) {
 	none := 0
 	o := replay.Outcomes{Attainment: 0.9, MostRunsPerKey: 1, MostRefusals: &none, AttainmentByPipeline: map[string]float64{"renewal": 0.5}}
 	report := replay.Report{Attainment: 0.8, MostRunsPerKey: 2, Refused: 3, Wrong: 1, NotRunUntrue: 1}
--- a/replay/report.go
+++ b/replay/report.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	histogramMost   = int64(time.Minute / time.Microsecond)
-	histogramDigits = 3
+	maxLatencyMicros           = int64(time.Minute / time.Microsecond)
+	histogramSignificantDigits = 3
 )
 
 type (
@@ -89,34 +89,34 @@
 }
 
 func newGroup() *Group {
-	return &Group{histogram: hdrhistogram.New(1, histogramMost, histogramDigits)}
+	return &Group{histogram: hdrhistogram.New(1, maxLatencyMicros, histogramSignificantDigits)}
 }
 
-func (g *Group) add(s sent) {
+func (g *Group) add(s sentRequest) {
 	g.Requests++
 	if s.attained() {
 		g.Attained++
 	}
 	if s.result.Answer != nil {
-		_ = g.histogram.RecordValue(min(histogramMost, s.latency.Microseconds()))
+		_ = g.histogram.RecordValue(min(maxLatencyMicros, s.latency.Microseconds()))
 	}
 }
 
-func (g *Group) close() {
+func (g *Group) computeQuantiles() {
 	g.P50 = time.Duration(g.histogram.ValueAtQuantile(50)) * time.Microsecond
 	g.P99 = time.Duration(g.histogram.ValueAtQuantile(99)) * time.Microsecond
 }
 
-func newReport(all []sent, length time.Duration) Report {
+func newReport(all []sentRequest, length time.Duration) Report {
 	r := Report{Requests: len(all), Pipelines: map[string]*Group{}, Customers: map[string]*Group{}, Reasons: map[string]int{}}
 	for _, s := range all {
-		groupOf(r.Pipelines, s.entry.Pipeline).add(s)
-		groupOf(r.Customers, s.entry.Customer).add(s)
+		groupNamed(r.Pipelines, s.entry.Pipeline).add(s)
+		groupNamed(r.Customers, s.entry.Customer).add(s)
 		r.count(s)
 	}
 	for _, groups := range []map[string]*Group{r.Pipelines, r.Customers} {
 		for _, g := range groups {
-			g.close()
+			g.computeQuantiles()
 		}
 	}
 	r.Attainment = float64(r.Attained) / float64(max(1, r.Requests))
@@ -124,14 +124,14 @@
 	return r
 }
 
-func groupOf(groups map[string]*Group, name string) *Group {
+func groupNamed(groups map[string]*Group, name string) *Group {
 	if groups[name] == nil {
 		groups[name] = newGroup()
 	}
 	return groups[name]
 }
 
-func (r *Report) count(s sent) {
+func (r *Report) count(s sentRequest) {
 	switch {
 	case s.attained():
 		r.Attained++
@@ -141,7 +141,7 @@
 	case s.result.Refusal != nil:
 		r.Refused++
 		r.Reasons[string(s.result.Refusal.Reason)+"/"+string(s.result.Refusal.Verdict)]++
-	case !s.whole:
+	case !s.correct:
 		r.Wrong++
 	default:
 		r.Late++
@@ -150,7 +150,7 @@
 }
 
 // check reads the journal: runs by key, and calls of requests that were refused as NotRun.
-func (r *Report) check(all []sent, journal standin.JournalSummary) {
+func (r *Report) checkJournal(all []sentRequest, journal standin.JournalSummary) {
 	for _, n := range journal.Keys {
 		r.MostRunsPerKey = max(r.MostRunsPerKey, n)
 	}
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	setupWait    = 20 * time.Second
-	setupPoll    = 20 * time.Millisecond
-	balanceEvery = 100 * time.Millisecond
+	setupTimeout      = 20 * time.Second
+	setupPollInterval = 20 * time.Millisecond
+	readinessInterval = 100 * time.Millisecond
 )
 
 // Setup is a sample's stand-in with nodes in this process, and the balancer's view of them.
@@ -31,17 +31,17 @@
 	Team     string
 
 	// domain is the first failure domain.
-	domain string
-	nodes  []*node.Node
-	tokens map[string]string
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	ready  []string
-	turn   int
+	firstDomain    string
+	nodes          []*node.Node
+	tokens         map[string]string
+	cancel         context.CancelFunc
+	mu             sync.Mutex
+	readyAddresses []string
+	requestCount   int
 }
 
 // NewSetup starts a sample with nodes and waits until they own keys together.
-func NewSetup(ctx context.Context, head Head, plain bool, log zerolog.Logger) (*Setup, error) {
+func NewSetup(ctx context.Context, head Header, plain bool, log zerolog.Logger) (*Setup, error) {
 	s := &Setup{tokens: map[string]string{}}
 	var c standin.Config
 	var domains []string
@@ -55,7 +55,7 @@
 	default:
 		return nil, errors.Errorf("replay: unknown sample %q", head.Sample)
 	}
-	s.domain = domains[0]
+	s.firstDomain = domains[0]
 	for _, team := range s.Settings.Teams() {
 		for _, customer := range team.Customers {
 			s.tokens[customer.Name] = customer.Token
@@ -82,8 +82,8 @@
 	}
 	balance, cancel := context.WithCancel(ctx)
 	s.cancel = cancel
-	go s.balance(balance)
-	return s, s.await(ctx)
+	go s.trackReadiness(balance)
+	return s, s.awaitReady(ctx)
 }
 
 // Pipeline returns a pipeline of the sample.
@@ -96,11 +96,11 @@
 	s.nodes[i].Close()
 }
 
-// LoseDomain ends what stands in the first failure domain: its endpoints and its node.
-func (s *Setup) LoseDomain() {
+// FailFirstDomain ends what stands in the first failure domain: its endpoints and its node.
+func (s *Setup) FailFirstDomain() {
 	for _, e := range s.Standin.Endpoints() {
-		if e.FailureDomain == s.domain {
-			s.Standin.Fault(standin.Fault{Target: e.Pool + "/" + e.Name, Kind: standin.FaultDown})
+		if e.FailureDomain == s.firstDomain {
+			s.Standin.InjectFault(standin.Fault{Target: e.Pool + "/" + e.Name, Kind: standin.FaultDown})
 		}
 	}
 	s.KillNode(0)
@@ -118,18 +118,18 @@
 }
 
 // address returns a node for the next request, as the balancer picks it.
-func (s *Setup) address() string {
+func (s *Setup) nextAddress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.ready) == 0 {
+	if len(s.readyAddresses) == 0 {
 		return s.nodes[0].CallersAddress()
 	}
-	s.turn++
-	return s.ready[s.turn%len(s.ready)]
+	s.requestCount++
+	return s.readyAddresses[s.requestCount%len(s.readyAddresses)]
 }
 
 // balance follows the nodes' readiness as the platform's balancer does.
-func (s *Setup) balance(ctx context.Context) {
+func (s *Setup) trackReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
 		var ready []string
@@ -144,14 +144,14 @@
 			}
 		}
 		s.mu.Lock()
-		s.ready = ready
+		s.readyAddresses = ready
 		s.mu.Unlock()
-		time.Sleep(balanceEvery)
+		time.Sleep(readinessInterval)
 	}
 }
 
-func (s *Setup) await(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, setupWait)
+func (s *Setup) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		settled := 0
@@ -164,7 +164,7 @@
 		if settled == len(s.nodes) {
 			return nil
 		}
-		time.Sleep(setupPoll)
+		time.Sleep(setupPollInterval)
 	}
 	return errors.New("replay: the nodes did not settle")
 }
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -18,12 +18,12 @@
 type (
 	// Trace is a recorded trace: a head, then entries in order of their times.
 	Trace struct {
-		Head    Head
+		Header  Header
 		Entries []Entry
 	}
 
 	// Head is the first line: what the trace was recorded on.
-	Head struct {
+	Header struct {
 		// Sample names the set-up that the trace runs on: Bilbao or Moravia.
 		Sample string
 		// Nodes is how many nodes it runs on.
@@ -86,10 +86,10 @@
 	for line := 1; scanner.Scan(); line++ {
 		var err error
 		if line == 1 {
-			err = strict(scanner.Bytes(), &t.Head)
+			err = decodeStrict(scanner.Bytes(), &t.Header)
 		} else {
 			var e Entry
-			err = strict(scanner.Bytes(), &e)
+			err = decodeStrict(scanner.Bytes(), &e)
 			t.Entries = append(t.Entries, e)
 		}
 		if err != nil {
@@ -102,7 +102,7 @@
 	return t, scanner.Err()
 }
 
-func strict(data []byte, into any) error {
+func decodeStrict(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(into)
--- a/sample/sample.go
+++ b/sample/sample.go
@@ -13,8 +13,8 @@
 const (
 	// BilbaoToken is the token of the first customer of team bilbao.
 	BilbaoToken = "token-bar-arriaga"
-	// BilbaoAccount is that customer's account.
-	BilbaoAccount = "bilbao/bar-arriaga"
+	// BilbaoCustomer is that customer's account.
+	BilbaoCustomer = "bilbao/bar-arriaga"
 	// MoraviaToken is the token of the first customer of team moravia.
 	MoraviaToken = "token-kiosk-brno"
 )
--- a/scenario/encodings_test.go
+++ b/scenario/encodings_test.go
@@ -56,13 +56,13 @@
 		"Heartbeat":           peer.Heartbeat{},
 		"Hello":               peer.Hello{},
 		"HelloReply":          peer.HelloReply{},
-		"Hold":                peer.Hold{},
+		"Hold":                peer.StoreQuarantine{},
 		"ProbeReply":          peer.ProbeReply{},
 		"RatePermit":          peer.RatePermit{},
 		"RatePermitReply":     peer.RatePermitReply{},
 		"Release":             peer.Release{},
-		"Return":              peer.Return{},
-		"ReturnReply":         peer.ReturnReply{},
+		"Return":              peer.CallerWait{},
+		"ReturnReply":         peer.CallerWaitReply{},
 		"Seal":                peer.Seal{},
 		"SealReply":           peer.SealReply{},
 		"SettingsPull":        peer.SettingsPull{},
@@ -91,7 +91,7 @@
 func TestEncodingsForCallersOperatorsAndEndpointsStay(t *testing.T) {
 	compareEncodings(t, "http.json", encodeJSON, map[string]any{
 		"Answer":         caller.AnswerBody{},
-		"Body":           caller.Body{},
+		"Body":           caller.RequestBody{},
 		"Change":         operator.Change{},
 		"ChangeResult":   operator.ChangeResult{},
 		"Committed":      table.Committed{},
@@ -103,7 +103,7 @@
 		"JournalSummary": standin.JournalSummary{},
 		"LogLine":        blame.Line{},
 		"Order":          engine.OrderMessage{},
-		"OrderRun":       standin.OrderRun{},
+		"OrderRun":       standin.OrderRecord{},
 		"Problem":        operator.Problem{},
 		"Record":         model.Record{},
 		"Refusal":        caller.RefusalBody{},
@@ -118,7 +118,7 @@
 		"Token":          caller.TokenBody{},
 		"TokenEvent":     model.TokenEvent{},
 		"TraceEntry":     replay.Entry{},
-		"TraceHead":      replay.Head{},
+		"TraceHead":      replay.Header{},
 		"Transaction":    table.Transaction{},
 		"Usage":          standin.Usage{},
 	})
@@ -129,8 +129,8 @@
 	return []peer.Kind{
 		peer.KindHello, peer.KindPing, peer.KindHeartbeat, peer.KindForward, peer.KindSettings, peer.KindHandover,
 		peer.KindExplain, peer.KindDemand, peer.KindGrant, peer.KindSeal, peer.KindBatch, peer.KindBatchCancel,
-		peer.KindRelease, peer.KindProbe, peer.KindFeed, peer.KindReturn, peer.KindTakeOver, peer.KindCrash,
-		peer.KindTrial, peer.KindClear, peer.KindHold, peer.KindCapPermit, peer.KindRatePermit,
+		peer.KindRelease, peer.KindProbe, peer.KindFeed, peer.KindCallerWait, peer.KindTakeOver, peer.KindCrash,
+		peer.KindTrial, peer.KindClear, peer.KindStoreQuarantine, peer.KindCapPermit, peer.KindRatePermit,
 	}
 }
 
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -33,7 +33,7 @@
 // a later, at most MOST loads of one adapter on one engine, and at least HOLDERS holders:
 // orders MOST HOLDERS.
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
-	var orders []standin.OrderRun
+	var orders []standin.OrderRecord
 	ts.Check(fleetOf(ts).platformGet("/journal/orders", &orders))
 	most, err := strconv.Atoi(args[0])
 	ts.Check(err)
--- a/service/service.go
+++ b/service/service.go
@@ -9,15 +9,15 @@
 	"basilstall.example/basilstall/model"
 )
 
-var errEmpty = errors.New("service: empty reply")
+var errEmptyReply = errors.New("service: empty reply")
 
 func init() {
 	kernel.Register(kernel.Plugin{
-		Kind:    model.Call,
-		Path:    "/call",
-		Prepare: prepare,
-		Accept:  accept,
-		Check:   check,
+		Kind:       model.Call,
+		Path:       "/call",
+		Prepare:    prepare,
+		ParseReply: accept,
+		Check:      check,
 	})
 }
 
@@ -33,9 +33,9 @@
 	}
 }
 
-func accept(w kernel.StageContext, r model.StageReply) (model.Carry, error) {
+func accept(w kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
-		return w.Carry, errEmpty
+		return w.Carry, errEmptyReply
 	}
 	carry := w.Carry
 	carry.Output = r.Text
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// cachedPrefixes is how many prompt prefixes an engine keeps.
-	cachedPrefixes = 8
-	// cachedSpeedup is how much less time a prompt takes with a cached prefix.
-	cachedSpeedup = 5
-	bytesPerKiB   = 1024
-	// prefixTokens is what a cached prefix counts for.
-	prefixTokens = 512
+	// maxCachedPrefixes is how many prompt prefixes an engine keeps.
+	maxCachedPrefixes = 8
+	// cachedPrefixSpeedup is how much less time a prompt takes with a cached prefix.
+	cachedPrefixSpeedup = 5
+	bytesPerKiB         = 1024
+	// tokensPerCachedPrefix is what a cached prefix counts for.
+	tokensPerCachedPrefix = 512
 )
 
 type (
 	// prefixCache keeps the prefixes last used.
 	prefixCache struct {
-		mu    sync.Mutex
-		order []string
+		mu       sync.Mutex
+		prefixes []string
 	}
 
 	// engineState is what orders change.
@@ -36,7 +36,7 @@
 		mu       sync.Mutex
 		adapters []string
 		// fencing is the highest fencing number of any order that was obeyed.
-		fencing uint64
+		highestFencing uint64
 	}
 )
 
@@ -48,75 +48,75 @@
 func (c *prefixCache) use(prefix string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := slices.Index(c.order, prefix)
+	i := slices.Index(c.prefixes, prefix)
 	if i >= 0 {
-		c.order = slices.Delete(c.order, i, i+1)
+		c.prefixes = slices.Delete(c.prefixes, i, i+1)
 	}
-	c.order = append(c.order, prefix)
-	if len(c.order) > cachedPrefixes {
-		c.order = c.order[1:]
+	c.prefixes = append(c.prefixes, prefix)
+	if len(c.prefixes) > maxCachedPrefixes {
+		c.prefixes = c.prefixes[1:]
 	}
 	return i >= 0
 }
 
 // stream is one answer of an engine on its way.
-type stream struct {
-	encoder *json.Encoder
-	flush   func()
-	double  bool
-	reorder bool
-	held    *model.TokenEvent
+type tokenStream struct {
+	encoder   *json.Encoder
+	flush     func()
+	duplicate bool
+	reorder   bool
+	delayed   *model.TokenEvent
 }
 
-func (s *stream) send(event model.TokenEvent) {
-	if s.reorder && s.held == nil && !event.Final {
-		s.held = &event
+func (s *tokenStream) send(event model.TokenEvent) {
+	if s.reorder && s.delayed == nil && !event.Final {
+		s.delayed = &event
 		return
 	}
 	s.write(event)
-	if s.held != nil {
-		s.write(*s.held)
-		s.held = nil
+	if s.delayed != nil {
+		s.write(*s.delayed)
+		s.delayed = nil
 	}
 }
 
-func (s *stream) write(event model.TokenEvent) {
+func (s *tokenStream) write(event model.TokenEvent) {
 	_ = s.encoder.Encode(event)
-	if s.double {
+	if s.duplicate {
 		_ = s.encoder.Encode(event)
 	}
 	s.flush()
 }
 
-func (e *endpoint) generate(w http.ResponseWriter, r *http.Request) {
-	call, ok := e.begin(w, r)
+func (e *endpoint) handleGenerate(w http.ResponseWriter, r *http.Request) {
+	call, ok := e.admit(w, r)
 	if !ok {
 		return
 	}
-	if !e.engine.loaded(call) {
+	if !e.engine.adapterLoaded(call) {
 		http.Error(w, "adapter not loaded", http.StatusFailedDependency)
 		return
 	}
-	vacate := e.occupy(r.Context())
+	vacate := e.acquireSlot(r.Context())
 	if vacate == nil {
 		return
 	}
 	defer vacate()
-	e.record(call)
-	e.crash(call)
+	e.recordRun(call)
+	e.crashIfMatched(call)
 	cached := call.Prefix != "" && e.cache.use(call.Prefix)
 	prompt := time.Duration(len(call.Text)) * e.pool.PromptTime / bytesPerKiB
 	if cached {
-		prompt /= cachedSpeedup
+		prompt /= cachedPrefixSpeedup
 	}
-	if !e.work(r.Context(), e.pool.ServiceTime+prompt) {
+	if !e.simulateWork(r.Context(), e.pool.ServiceTime+prompt) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
-	s := &stream{encoder: json.NewEncoder(w), flush: w.(http.Flusher).Flush}
-	_, s.double = e.faults.strike(e.target(), FaultDouble)
-	_, s.reorder = e.faults.strike(e.target(), FaultReorder)
+	s := &tokenStream{encoder: json.NewEncoder(w), flush: w.(http.Flusher).Flush}
+	_, s.duplicate = e.faults.trigger(e.target(), FaultDouble)
+	_, s.reorder = e.faults.trigger(e.target(), FaultReorder)
 	if !e.sendTokens(r.Context(), s, call) {
 		return
 	}
@@ -126,9 +126,9 @@
 		Index: call.MaxTokens, Final: true, Count: call.MaxTokens, Load: &load,
 	}
 	if cached {
-		final.CachedTokens = prefixTokens
+		final.CachedTokens = tokensPerCachedPrefix
 	}
-	if _, hit := e.faults.strike(e.target(), FaultSwap); hit {
+	if _, hit := e.faults.trigger(e.target(), FaultSwap); hit {
 		final.Request = "another-request"
 	}
 	s.send(final)
@@ -136,9 +136,9 @@
 
 // sendTokens sends the tokens that were asked for; it reports false where the caller went
 // away. The first one carries the load.
-func (e *endpoint) sendTokens(ctx context.Context, s *stream, call model.StageCall) bool {
-	cut, hasCut := e.faults.strike(e.target(), FaultCutAfter)
-	hang, hasHang := e.faults.strike(e.target(), FaultHangAfter)
+func (e *endpoint) sendTokens(ctx context.Context, s *tokenStream, call model.StageCall) bool {
+	cut, hasCut := e.faults.trigger(e.target(), FaultCutAfter)
+	hang, hasHang := e.faults.trigger(e.target(), FaultHangAfter)
 	load := e.load()
 	event := model.TokenEvent{Request: call.Request, Stage: call.Stage, Attempt: call.Attempt, Load: &load}
 	for i := call.From; i < call.MaxTokens; i++ {
@@ -154,7 +154,7 @@
 		s.send(event)
 		event.Load = nil
 		e.tokens.Add(1)
-		if i+1 < call.MaxTokens && !e.work(ctx, e.pool.TokenTime) {
+		if i+1 < call.MaxTokens && !e.simulateWork(ctx, e.pool.TokenTime) {
 			return false
 		}
 	}
@@ -166,23 +166,23 @@
 }
 
 // loaded tells whether the engine has what a call needs.
-func (s *engineState) loaded(call model.StageCall) bool {
+func (s *engineState) adapterLoaded(call model.StageCall) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoint.pool.MostAdapters == 0 || slices.Contains(s.adapters, call.Model+"/"+call.Adapter)
 }
 
-func (s *engineState) order(w http.ResponseWriter, r *http.Request) {
+func (s *engineState) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.OrderMessage
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCallBytes)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if _, hit := s.endpoint.faults.strike(s.endpoint.target(), FaultDown); hit {
+	if _, hit := s.endpoint.faults.trigger(s.endpoint.target(), FaultDown); hit {
 		panic(http.ErrAbortHandler)
 	}
-	accepted := s.accept(o)
-	s.endpoint.journal.addOrder(OrderRun{
+	accepted := s.checkFencing(o)
+	s.endpoint.journal.addOrder(OrderRecord{
 		Endpoint: s.endpoint.name, Kind: o.Kind, Adapter: o.Adapter, Fencing: o.Fencing,
 		Accepted: accepted, At: time.Now(),
 	})
@@ -193,25 +193,25 @@
 	if o.Kind == "Load" {
 		clock.Sleep(r.Context(), s.endpoint.pool.LoadTime)
 	}
-	s.obey(o)
-	if _, hit := s.endpoint.faults.strike(s.endpoint.target(), FaultLostAnswer); hit {
+	s.applyOrder(o)
+	if _, hit := s.endpoint.faults.trigger(s.endpoint.target(), FaultLostAnswer); hit {
 		panic(http.ErrAbortHandler)
 	}
-	s.report(w, r)
+	s.handleState(w, r)
 }
 
 // accept checks the fencing number, if the engine is one that does.
-func (s *engineState) accept(o engine.OrderMessage) bool {
+func (s *engineState) checkFencing(o engine.OrderMessage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.endpoint.pool.HonoursFencing && o.Fencing < s.fencing {
+	if s.endpoint.pool.HonoursFencing && o.Fencing < s.highestFencing {
 		return false
 	}
-	s.fencing = max(s.fencing, o.Fencing)
+	s.highestFencing = max(s.highestFencing, o.Fencing)
 	return true
 }
 
-func (s *engineState) obey(o engine.OrderMessage) {
+func (s *engineState) applyOrder(o engine.OrderMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := slices.Index(s.adapters, o.Adapter)
@@ -223,9 +223,9 @@
 	}
 }
 
-func (s *engineState) report(w http.ResponseWriter, _ *http.Request) {
+func (s *engineState) handleState(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	report := engine.StateMessage{Adapters: slices.Clone(s.adapters), Most: s.endpoint.pool.MostAdapters, Fencing: s.fencing}
+	report := engine.StateMessage{Adapters: slices.Clone(s.adapters), Most: s.endpoint.pool.MostAdapters, Fencing: s.highestFencing}
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(report)
--- a/standin/expected.go
+++ b/standin/expected.go
@@ -10,8 +10,8 @@
 	"basilstall.example/basilstall/model"
 )
 
-// itemCount is how many items a retriever returns; a reranker keeps half of them.
-const itemCount = 4
+// retrievedItems is how many items a retriever returns; a reranker keeps half of them.
+const retrievedItems = 4
 
 // EncodeText is what an encoder answers.
 func EncodeText(text string) string {
@@ -20,7 +20,7 @@
 
 // RetrieveItems is what a retriever answers.
 func RetrieveItems(vector string) []string {
-	items := make([]string, itemCount)
+	items := make([]string, retrievedItems)
 	for i := range items {
 		items[i] = fmt.Sprintf("doc-%d-of-%s", i, vector)
 	}
@@ -37,8 +37,8 @@
 	return " " + strconv.FormatUint(xxhash.Sum64String(prompt+"#"+strconv.Itoa(index)), 36)
 }
 
-// TicketText is what a plain service answers.
-func TicketText(operation, text string) string {
+// CallText is what a plain service answers.
+func CallText(operation, text string) string {
 	return operation + "-" + strconv.FormatUint(xxhash.Sum64String(text), 16)
 }
 
@@ -56,19 +56,19 @@
 		case model.Rerank:
 			items = RerankItems(items)
 		case model.Generate:
-			output = generated(strings.Join(append([]string{in.Text}, items...), "\n"), maxTokens)
+			output = generatedText(strings.Join(append([]string{in.Text}, items...), "\n"), maxTokens)
 		case model.Call:
 			text := output
 			if text == "" {
 				text = in.Text
 			}
-			output = TicketText(s.Operation, text)
+			output = CallText(s.Operation, text)
 		}
 	}
 	return output
 }
 
-func generated(prompt string, count int) string {
+func generatedText(prompt string, count int) string {
 	var b strings.Builder
 	for i := range count {
 		b.WriteString(TokenText(prompt, i))
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -74,41 +74,41 @@
 		Text string `json:",omitempty"`
 	}
 
-	faults struct {
-		mu sync.Mutex
-		on []*Fault
+	faultSet struct {
+		mu     sync.Mutex
+		active []*Fault
 	}
 )
 
 // add switches a fault on.
-func (f *faults) add(fault Fault) {
+func (f *faultSet) add(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.on = append(f.on, &fault)
+	f.active = append(f.active, &fault)
 }
 
 // clear switches all faults of a target off; all faults for an empty target.
-func (f *faults) clear(target string) {
+func (f *faultSet) clear(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.on = slices.DeleteFunc(f.on, func(fault *Fault) bool {
+	f.active = slices.DeleteFunc(f.active, func(fault *Fault) bool {
 		return target == "" || fault.Target == target
 	})
 }
 
 // strike returns the first fault of one of the kinds that is on for a target and counts it.
-func (f *faults) strike(target string, kinds ...FaultKind) (Fault, bool) {
+func (f *faultSet) trigger(target string, kinds ...FaultKind) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, fault := range f.on {
-		if !slices.Contains(kinds, fault.Kind) || !covers(fault.Target, target) {
+	for i, fault := range f.active {
+		if !slices.Contains(kinds, fault.Kind) || !matchesTarget(fault.Target, target) {
 			continue
 		}
 		hit := *fault
 		if fault.Times > 0 {
 			fault.Times--
 			if fault.Times == 0 {
-				f.on = slices.Delete(f.on, i, i+1)
+				f.active = slices.Delete(f.active, i, i+1)
 			}
 		}
 		return hit, true
@@ -116,7 +116,7 @@
 	return Fault{}, false
 }
 
-func covers(fault, target string) bool {
+func matchesTarget(fault, target string) bool {
 	if fault == target {
 		return true
 	}
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// journalMost bounds the journal; what comes later is counted only.
-const journalMost = 500_000
+// maxJournalRuns bounds the journal; what comes later is counted only.
+const maxJournalRuns = 500_000
 
 type (
 	// Run is one call that an endpoint worked on.
@@ -21,8 +21,8 @@
 		At        time.Time
 	}
 
-	// OrderRun is one order that an engine received.
-	OrderRun struct {
+	// OrderRecord is one order that an engine received.
+	OrderRecord struct {
 		Endpoint string
 		Kind     string
 		Adapter  string
@@ -33,11 +33,11 @@
 
 	// Journal is what ran, for tests to check.
 	Journal struct {
-		mu     sync.Mutex
-		runs   []Run
-		orders []OrderRun
-		keys   map[string]int
-		calls  map[string]int
+		mu             sync.Mutex
+		runs           []Run
+		orders         []OrderRecord
+		runsByKey      map[string]int
+		callsByRequest map[string]int
 	}
 
 	// JournalSummary counts what ran.
@@ -50,22 +50,22 @@
 )
 
 func newJournal() *Journal {
-	return &Journal{keys: map[string]int{}, calls: map[string]int{}}
+	return &Journal{runsByKey: map[string]int{}, callsByRequest: map[string]int{}}
 }
 
-func (j *Journal) add(r Run) {
+func (j *Journal) addRun(r Run) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls[r.Request]++
+	j.callsByRequest[r.Request]++
 	if r.Key != "" {
-		j.keys[r.Customer+"/"+r.Key]++
+		j.runsByKey[r.Customer+"/"+r.Key]++
 	}
-	if len(j.runs) < journalMost {
+	if len(j.runs) < maxJournalRuns {
 		j.runs = append(j.runs, r)
 	}
 }
 
-func (j *Journal) addOrder(o OrderRun) {
+func (j *Journal) addOrder(o OrderRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.orders = append(j.orders, o)
@@ -79,10 +79,10 @@
 }
 
 // Orders returns the orders that engines received, in order.
-func (j *Journal) Orders() []OrderRun {
+func (j *Journal) Orders() []OrderRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]OrderRun(nil), j.orders...)
+	return append([]OrderRecord(nil), j.orders...)
 }
 
 // Summary counts the runs by key and by request.
@@ -90,10 +90,10 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := JournalSummary{Keys: map[string]int{}, Requests: map[string]int{}}
-	for key, n := range j.keys {
+	for key, n := range j.runsByKey {
 		s.Keys[key] = n
 	}
-	for request, n := range j.calls {
+	for request, n := range j.callsByRequest {
 		s.Requests[request] = n
 	}
 	return s
--- a/standin/link.go
+++ b/standin/link.go
@@ -8,26 +8,26 @@
 
 // Link is a slow link to an address: what comes back shares so many bytes in so much time, over all connections. What
 // callers send passes at once.
-type Link struct {
+type ThrottledProxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	// piece is in bytes; pause is the time that each takes.
-	piece int
-	pause time.Duration
+	chunkBytes int
+	chunkDelay time.Duration
 	// line is held while a piece is under way.
-	line sync.Mutex
+	transmitMu sync.Mutex
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// NewLink opens a link to an address, HOST:PORT, over which a piece of so many bytes takes so long to come back.
-func NewLink(to string, piece int, pause time.Duration) *Link {
+// NewThrottledProxy opens a link to an address, HOST:PORT, over which a piece of so many bytes takes so long to come back.
+func NewThrottledProxy(to string, piece int, pause time.Duration) *ThrottledProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	l := &Link{listener: listener, to: to, piece: piece, pause: pause}
+	l := &ThrottledProxy{listener: listener, target: to, chunkBytes: piece, chunkDelay: pause}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -35,7 +35,7 @@
 				return
 			}
 			go func() {
-				l.pass(conn)
+				l.forward(conn)
 			}()
 		}
 	}()
@@ -43,10 +43,10 @@
 }
 
 // Address returns where the link begins.
-func (l *Link) Address() string { return l.listener.Addr().String() }
+func (l *ThrottledProxy) Address() string { return l.listener.Addr().String() }
 
 // Close ends the link with all connections over it.
-func (l *Link) Close() {
+func (l *ThrottledProxy) Close() {
 	_ = l.listener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,9 +55,9 @@
 	}
 }
 
-func (l *Link) pass(caller net.Conn) {
+func (l *ThrottledProxy) forward(caller net.Conn) {
 	defer caller.Close()
-	callee, err := net.Dial("tcp", l.to)
+	callee, err := net.Dial("tcp", l.target)
 	if err != nil {
 		return
 	}
@@ -67,20 +67,20 @@
 	l.mu.Unlock()
 	go func() {
 		defer callee.Close()
-		copyAll(callee, caller, l.piece, func(int) {})
+		copyChunks(callee, caller, l.chunkBytes, func(int) {})
 	}()
-	copyAll(caller, callee, l.piece, l.wait)
+	copyChunks(caller, callee, l.chunkBytes, l.throttle)
 }
 
 // wait takes the time that a piece takes.
-func (l *Link) wait(size int) {
-	l.line.Lock()
-	defer l.line.Unlock()
-	time.Sleep(l.pause * time.Duration(size) / time.Duration(l.piece))
+func (l *ThrottledProxy) throttle(size int) {
+	l.transmitMu.Lock()
+	defer l.transmitMu.Unlock()
+	time.Sleep(l.chunkDelay * time.Duration(size) / time.Duration(l.chunkBytes))
 }
 
-// copyAll passes pieces of at most so many bytes on, with a pause before each.
-func copyAll(to, from net.Conn, piece int, pause func(size int)) {
+// copyChunks passes pieces of at most so many bytes on, with a pause before each.
+func copyChunks(to, from net.Conn, piece int, pause func(size int)) {
 	buffer := make([]byte, piece)
 	for {
 		n, err := from.Read(buffer)
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -11,41 +11,41 @@
 type (
 	// silencer is a listener whose open connections can be made silent: nothing that is
 	// written to them arrives and nothing comes back, while new connections work.
-	silencer struct {
+	faultListener struct {
 		net.Listener
 		mu sync.Mutex
 		// current is what listens now, after each end another one.
 		current net.Listener
-		ended   bool
-		conns   map[*silentConn]struct{}
+		stopped bool
+		conns   map[*faultConn]struct{}
 	}
 
-	silentConn struct {
+	faultConn struct {
 		net.Conn
-		owner  *silencer
-		silent atomic.Bool
+		listener *faultListener
+		silent   atomic.Bool
 	}
 )
 
-func listen(address string) (*silencer, error) {
+func listen(address string) (*faultListener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "standin: unable to listen")
 	}
-	return &silencer{Listener: l, current: l, conns: map[*silentConn]struct{}{}}, nil
+	return &faultListener{Listener: l, current: l, conns: map[*faultConn]struct{}{}}, nil
 }
 
 // Accept implements net.Listener.
-func (s *silencer) Accept() (net.Conn, error) {
+func (s *faultListener) Accept() (net.Conn, error) {
 	return s.accept(s.Listener)
 }
 
-func (s *silencer) accept(from net.Listener) (net.Conn, error) {
+func (s *faultListener) accept(from net.Listener) (net.Conn, error) {
 	conn, err := from.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &silentConn{Conn: conn, owner: s}
+	c := &faultConn{Conn: conn, listener: s}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // silence makes all open connections silent and returns how many there were.
-func (s *silencer) silence() int {
+func (s *faultListener) silenceConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -63,43 +63,43 @@
 }
 
 // end stops listening and cuts all open connections; it tells whether it listened.
-func (s *silencer) end() bool {
+func (s *faultListener) stop() bool {
 	s.mu.Lock()
-	ended, listener := s.ended, s.current
-	s.ended = true
+	ended, listener := s.stopped, s.current
+	s.stopped = true
 	s.mu.Unlock()
 	if !ended {
 		_ = listener.Close()
 	}
-	s.cut()
+	s.closeConns()
 	return !ended
 }
 
 // again listens once more at the same address.
-func (s *silencer) again() (net.Listener, error) {
+func (s *faultListener) restart() (net.Listener, error) {
 	listener, err := net.Listen("tcp", s.Addr().String())
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.current, s.ended = listener, false
-	return restarted{Listener: listener, of: s}, nil
+	s.current, s.stopped = listener, false
+	return restartedListener{Listener: listener, parent: s}, nil
 }
 
 // restarted is what listens after an end.
-type restarted struct {
+type restartedListener struct {
 	net.Listener
-	of *silencer
+	parent *faultListener
 }
 
 // Accept implements net.Listener.
-func (r restarted) Accept() (net.Conn, error) { return r.of.accept(r.Listener) }
+func (r restartedListener) Accept() (net.Conn, error) { return r.parent.accept(r.Listener) }
 
 // cut closes all open connections.
-func (s *silencer) cut() {
+func (s *faultListener) closeConns() {
 	s.mu.Lock()
-	conns := make([]*silentConn, 0, len(s.conns))
+	conns := make([]*faultConn, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Read implements net.Conn; what arrives on a silent connection is lost.
-func (c *silentConn) Read(p []byte) (int, error) {
+func (c *faultConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil || !c.silent.Load() {
@@ -120,7 +120,7 @@
 }
 
 // Write implements net.Conn; what is written to a silent connection is lost.
-func (c *silentConn) Write(p []byte) (int, error) {
+func (c *faultConn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
 	}
@@ -128,9 +128,9 @@
 }
 
 // Close implements net.Conn.
-func (c *silentConn) Close() error {
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+func (c *faultConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -10,12 +10,12 @@
 
 // objectService is the platform's object store.
 type objectService struct {
-	faults  *faults
+	faults  *faultSet
 	mu      sync.Mutex
 	objects map[string][]byte
 }
 
-func newObjectService(f *faults) *objectService {
+func newObjectService(f *faultSet) *objectService {
 	return &objectService{faults: f, objects: map[string][]byte{}}
 }
 
@@ -25,7 +25,7 @@
 }
 
 func (o *objectService) get(w http.ResponseWriter, r *http.Request) {
-	if _, hit := o.faults.strike("objects", FaultDown); hit {
+	if _, hit := o.faults.trigger("objects", FaultDown); hit {
 		panic(http.ErrAbortHandler)
 	}
 	o.mu.Lock()
@@ -39,7 +39,7 @@
 }
 
 func (o *objectService) put(w http.ResponseWriter, r *http.Request) {
-	if _, hit := o.faults.strike("objects", FaultDown); hit {
+	if _, hit := o.faults.trigger("objects", FaultDown); hit {
 		panic(http.ErrAbortHandler)
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -21,10 +21,10 @@
 	// Journal tells what ran.
 	Journal *Journal
 
-	faults    *faults
+	faults    *faultSet
 	table     *tableService
 	endpoints []*endpoint
-	listener  *silencer
+	listener  *faultListener
 	server    *http.Server
 }
 
@@ -50,7 +50,7 @@
 
 // NewStandin starts a stand-in; Close ends it.
 func NewStandin(c Config) (*Standin, error) {
-	s := &Standin{Journal: newJournal(), faults: &faults{}}
+	s := &Standin{Journal: newJournal(), faults: &faultSet{}}
 	s.table = newTableService(s.faults, c.TableDelay)
 	if err := s.seed(c.Settings); err != nil {
 		return nil, err
@@ -81,25 +81,25 @@
 func (s *Standin) Endpoints() []model.Endpoint {
 	out := make([]model.Endpoint, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
-		out = append(out, e.model())
+		out = append(out, e.toModel())
 	}
 	return out
 }
 
 // Fault switches a fault on.
-func (s *Standin) Fault(f Fault) {
+func (s *Standin) InjectFault(f Fault) {
 	switch f.Kind {
 	case FaultSilent:
-		for _, l := range s.listeners(f.Target) {
-			l.silence()
+		for _, l := range s.listenersOf(f.Target) {
+			l.silenceConns()
 		}
 	case FaultCut:
-		for _, l := range s.listeners(f.Target) {
-			l.cut()
+		for _, l := range s.listenersOf(f.Target) {
+			l.closeConns()
 		}
 	case FaultLeave:
 		for _, e := range s.endpoints {
-			if covers(f.Target, e.target()) {
+			if matchesTarget(f.Target, e.target()) {
 				e.leaving.Store(true)
 			}
 		}
@@ -113,7 +113,7 @@
 func (s *Standin) ClearFaults(target string) {
 	s.faults.clear(target)
 	for _, e := range s.endpoints {
-		if target == "" || covers(target, e.target()) {
+		if target == "" || matchesTarget(target, e.target()) {
 			e.leaving.Store(false)
 		}
 	}
@@ -126,7 +126,7 @@
 	for _, e := range s.endpoints {
 		pool := u.Pools[e.pool.Name]
 		pool.Calls += int(e.calls.Load())
-		pool.BusySeconds += time.Duration(e.busy.Load()).Seconds()
+		pool.BusySeconds += time.Duration(e.busyNanos.Load()).Seconds()
 		pool.Crashes += int(e.crashes.Load())
 		pool.Tokens += int(e.tokens.Load())
 		u.Pools[e.pool.Name] = pool
@@ -144,13 +144,13 @@
 	}
 }
 
-func (s *Standin) listeners(target string) []*silencer {
+func (s *Standin) listenersOf(target string) []*faultListener {
 	if target == "table" || target == "list" || target == "platform" {
-		return []*silencer{s.listener}
+		return []*faultListener{s.listener}
 	}
-	var out []*silencer
+	var out []*faultListener
 	for _, e := range s.endpoints {
-		if covers(target, e.target()) {
+		if matchesTarget(target, e.target()) {
 			out = append(out, e.listener)
 		}
 	}
@@ -161,7 +161,7 @@
 	for i := range pool.Endpoints {
 		host := pool.Host
 		if host == "" {
-			host = NewHost()
+			host = NewLoopbackHost()
 		}
 		port := 0
 		if pool.FirstPort > 0 {
@@ -179,13 +179,13 @@
 }
 
 // listed returns the endpoints as the list shows them before its lag.
-func (s *Standin) listed() []model.Endpoint {
+func (s *Standin) listedEndpoints() []model.Endpoint {
 	out := s.Endpoints()
 	for i, e := range s.endpoints {
-		if _, hit := s.faults.strike(e.target(), FaultLeave, FaultLeaveList); hit {
+		if _, hit := s.faults.trigger(e.target(), FaultLeave, FaultLeaveList); hit {
 			out[i].State = model.Leaving
 		}
-		if fault, hit := s.faults.strike(e.target(), FaultCold); hit {
+		if fault, hit := s.faults.trigger(e.target(), FaultCold); hit {
 			out[i].ColdFor = fault.Delay
 		}
 	}
@@ -215,7 +215,7 @@
 func (s *Standin) routes(c Config) http.Handler {
 	mux := http.NewServeMux()
 	s.table.register(mux)
-	newListService(s.faults, c.ListLag, s.listed).register(mux)
+	newListService(s.faults, c.ListLag, s.listedEndpoints).register(mux)
 	newObjectService(s.faults).register(mux)
 	mux.HandleFunc("POST /faults", s.postFault)
 	mux.HandleFunc("DELETE /faults", s.deleteFaults)
@@ -232,7 +232,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Fault(f)
+	s.InjectFault(f)
 }
 
 func (s *Standin) deleteFaults(_ http.ResponseWriter, r *http.Request) {
--- a/standin/table.go
+++ b/standin/table.go
@@ -12,33 +12,33 @@
 	"basilstall.example/basilstall/table"
 )
 
-// staleStates bounds how many old states of the table are kept for stale reads.
-const staleStates = 256
+// minUndoRecords bounds how many old states of the table are kept for stale reads.
+const minUndoRecords = 256
 
 type (
 	// tableService is the platform's table: rows in memory, one lock, old states for stale
 	// reads.
 	tableService struct {
-		faults *faults
-		delay  time.Duration
-		mu     sync.Mutex
-		rows   map[string]table.Row
-		number uint64
-		past   []pastWrite
-		reads  uint64
-		writes uint64
+		faults           *faultSet
+		delay            time.Duration
+		mu               sync.Mutex
+		rows             map[string]table.Row
+		lastVersion      uint64
+		undoLog          []undoRecord
+		readCount        uint64
+		transactionCount uint64
 	}
 
-	// pastWrite undoes one write.
-	pastWrite struct {
-		at     time.Time
-		key    string
-		before table.Row
-		was    bool
+	// undoRecord undoes one write.
+	undoRecord struct {
+		at      time.Time
+		key     string
+		before  table.Row
+		existed bool
 	}
 )
 
-func newTableService(f *faults, delay time.Duration) *tableService {
+func newTableService(f *faultSet, delay time.Duration) *tableService {
 	return &tableService{faults: f, delay: delay, rows: map[string]table.Row{}}
 }
 
@@ -48,16 +48,16 @@
 }
 
 // begin applies the faults that strike before any work.
-func (t *tableService) begin(r *http.Request) {
-	if _, hit := t.faults.strike("table", FaultDown); hit {
+func (t *tableService) applyFaults(r *http.Request) {
+	if _, hit := t.faults.trigger("table", FaultDown); hit {
 		panic(http.ErrAbortHandler)
 	}
-	if _, hit := t.faults.strike("table", FaultHang); hit {
+	if _, hit := t.faults.trigger("table", FaultHang); hit {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 	d := t.delay
-	if delay, hit := t.faults.strike("table", FaultDelay); hit {
+	if delay, hit := t.faults.trigger("table", FaultDelay); hit {
 		d += delay.Delay
 	}
 	if d > 0 {
@@ -66,13 +66,13 @@
 }
 
 func (t *tableService) get(w http.ResponseWriter, r *http.Request) {
-	t.begin(r)
-	if _, hit := t.faults.strike("table", FaultRefuse); hit {
+	t.applyFaults(r)
+	if _, hit := t.faults.trigger("table", FaultRefuse); hit {
 		http.Error(w, "not available", http.StatusServiceUnavailable)
 		return
 	}
 	var before time.Time
-	if stale, hit := t.faults.strike("table", FaultStale); hit {
+	if stale, hit := t.faults.trigger("table", FaultStale); hit {
 		before = time.Now().Add(-stale.Delay)
 	}
 	key, prefix := r.URL.Query().Get("key"), r.URL.Query().Get("prefix")
@@ -86,10 +86,10 @@
 func (t *tableService) read(wanted func(string) bool, before time.Time) []table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reads++
+	t.readCount++
 	view := t.rows
 	if !before.IsZero() {
-		view = t.stateAt(before)
+		view = t.rowsAt(before)
 	}
 	rows := []table.Row{}
 	for key, row := range view {
@@ -101,16 +101,16 @@
 	return rows
 }
 
-func (t *tableService) stateAt(before time.Time) map[string]table.Row {
+func (t *tableService) rowsAt(before time.Time) map[string]table.Row {
 	view := make(map[string]table.Row, len(t.rows))
 	for k, v := range t.rows {
 		view[k] = v
 	}
-	for _, p := range slices.Backward(t.past) {
+	for _, p := range slices.Backward(t.undoLog) {
 		if p.at.Before(before) {
 			break
 		}
-		if p.was {
+		if p.existed {
 			view[p.key] = p.before
 		} else {
 			delete(view, p.key)
@@ -120,8 +120,8 @@
 }
 
 func (t *tableService) commit(w http.ResponseWriter, r *http.Request) {
-	t.begin(r)
-	if _, hit := t.faults.strike("table", FaultRefuse); hit {
+	t.applyFaults(r)
+	if _, hit := t.faults.trigger("table", FaultRefuse); hit {
 		http.Error(w, "not available", http.StatusServiceUnavailable)
 		return
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	version, failed := t.apply(tx)
-	if _, hit := t.faults.strike("table", FaultLostAnswer); hit {
+	if _, hit := t.faults.trigger("table", FaultLostAnswer); hit {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -146,7 +146,7 @@
 func (t *tableService) apply(tx table.Transaction) (version uint64, failed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writes++
+	t.transactionCount++
 	for _, c := range tx.Conditions {
 		if t.rows[c.Key].Version != c.Version {
 			failed = append(failed, c.Key)
@@ -155,21 +155,21 @@
 	if len(failed) > 0 {
 		return 0, failed
 	}
-	t.number++
+	t.lastVersion++
 	for _, write := range tx.Writes {
 		before, was := t.rows[write.Key]
-		t.past = append(t.past, pastWrite{at: time.Now(), key: write.Key, before: before, was: was})
-		t.rows[write.Key] = table.Row{Key: write.Key, Version: t.number, Value: write.Value}
+		t.undoLog = append(t.undoLog, undoRecord{at: time.Now(), key: write.Key, before: before, existed: was})
+		t.rows[write.Key] = table.Row{Key: write.Key, Version: t.lastVersion, Value: write.Value}
 	}
-	if len(t.past) > 2*staleStates {
-		t.past = slices.Clone(t.past[len(t.past)-staleStates:])
+	if len(t.undoLog) > 2*minUndoRecords {
+		t.undoLog = slices.Clone(t.undoLog[len(t.undoLog)-minUndoRecords:])
 	}
-	return t.number, nil
+	return t.lastVersion, nil
 }
 
 // usage returns how many reads and transactions the table has served.
 func (t *tableService) usage() (reads, writes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.reads, t.writes
+	return t.readCount, t.transactionCount
 }
--- a/table/store.go
+++ b/table/store.go
@@ -139,7 +139,7 @@
 func (s *Store) read(ctx context.Context, parameter, value string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
-	ctx, silence := clock.WithSilence(ctx, callTimeout, callTimeout)
+	ctx, silence := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
 	defer silence.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.baseURL+RowsPath+"?"+url.Values{parameter: {value}}.Encode(), nil)
 	if err != nil {
--- a/table/store_test.go
+++ b/table/store_test.go
@@ -41,11 +41,11 @@
 
 func TestLostAnswerToInsertIsReadBack(t *testing.T) {
 	store, s := newStore(t)
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
 	got, err := store.InsertKeys(t.Context(), []table.KeyRow{keyRow("a", "1")})
 	must.NoError(t, err)
 	must.EqOp(t, "1", got[0].Writer)
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultDown})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultDown})
 	_, err = store.InsertKeys(t.Context(), []table.KeyRow{keyRow("b", "1")})
 	must.Error(t, err)
 }
@@ -58,7 +58,7 @@
 	must.NoError(t, err)
 	must.EqOp(t, 0, empty.Number)
 	claims := kernel.NewClaims(start, start, start.Add(time.Second), members, "w1")
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
 	_, err = store.CompareAndSwapClaims(t.Context(), version, empty, claims)
 	must.NoError(t, err, must.Sprint("the write is recognised by its writer"))
 	_, err = store.CompareAndSwapClaims(t.Context(), version, empty, kernel.NewClaims(start, start, start, members, "w2"))
@@ -91,7 +91,7 @@
 	outcome, doc := change("op1", "Horizon: 1s", 0)
 	must.EqOp(t, table.Applied, outcome)
 	must.EqOp(t, 1, doc.Revision)
-	s.Fault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
+	s.InjectFault(standin.Fault{Target: "table", Kind: standin.FaultLostAnswer, Times: 1})
 	outcome, doc = change("op2", "Horizon: 2s", 1)
 	must.EqOp(t, table.Applied, outcome, must.Sprint("the outcome is resolved by the history row"))
 	must.EqOp(t, 2, doc.Revision)
@@ -117,7 +117,7 @@
 	must.NoError(t, err)
 	must.EqOp(t, table.Applied, outcome)
 	// The document of 1 MB takes 3 s over this link.
-	link := standin.NewLink(s.Address(), 32<<10, 100*time.Millisecond)
+	link := standin.NewThrottledProxy(s.Address(), 32<<10, 100*time.Millisecond)
 	t.Cleanup(link.Close)
 	store := table.NewStore(link.Address())
 	t.Cleanup(store.Close)
--- a/yamldoc/yamldoc.go
+++ b/yamldoc/yamldoc.go
@@ -42,12 +42,12 @@
 	if err == nil {
 		return nil
 	}
-	return &Error{Document: document, Line: lineOf(err, data), Reason: reasonOf(err)}
+	return &Error{Document: document, Line: errorLine(err, data), Reason: errorReason(err)}
 }
 
-// lineOf returns the line that the error names. Errors of time.ParseDuration come without
+// errorLine returns the line that the error names. Errors of time.ParseDuration come without
 // one: they quote the value, which is looked for.
-func lineOf(err error, data []byte) int {
+func errorLine(err error, data []byte) int {
 	var withToken yaml.Error
 	if errors.As(err, &withToken) && withToken.GetToken() != nil {
 		return withToken.GetToken().Position.Line
@@ -64,7 +64,7 @@
 	return 1 + bytes.Count(data[:at], []byte("\n"))
 }
 
-func reasonOf(err error) string {
+func errorReason(err error) string {
 	var withToken yaml.Error
 	if errors.As(err, &withToken) {
 		return firstLine(withToken.GetMessage())
