--- a/cli/cli.go
+++ b/cli/cli.go
@@ -23,8 +23,8 @@
 // The exit codes.
 const (
 	ExitOK = 0
-	// ExitFailed: the command ran and failed: a refusal, a conflicting change or an outcome that was
-	// not reached.
+	// ExitFailed: the command ran and failed: a refusal, a conflicting change, or an outcome that a replay did
+	// not reach.
 	ExitFailed = 1
 	// ExitUsage: the command line or a file is invalid; nothing was done.
 	ExitUsage = 2
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -77,7 +77,7 @@
 	return nodes, nil
 }
 
-// awaitReady waits until all nodes are ready and key intervals are assigned.
+// awaitReady waits until all nodes are ready and know an era (see kernel.Era), so that idempotency keys have owners.
 func awaitReady(ctx context.Context, nodes []*node.Node) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
--- a/cli/edge.go
+++ b/cli/edge.go
@@ -17,7 +17,8 @@
 
 const (
 	// logBufferLines is how many lines are buffered for a slow reader of the log. Further lines are dropped and counted.
-	logBufferLines  = 4096
+	logBufferLines = 4096
+	// logPollInterval is how often the buffer is checked for lines to write.
 	logPollInterval = 100 * time.Millisecond
 )
 
--- a/clock/silence.go
+++ b/clock/silence.go
@@ -24,8 +24,8 @@
 	timeout time.Duration
 }
 
-// WithIdleTimeout returns a context that ends with the cause ErrIdleTimeout if no data arrives within the initial
-// timeout or, after the first data, within the other one. Stop must be called at the end of the call.
+// WithIdleTimeout returns a context that ends with the cause ErrIdleTimeout if no data arrives within initial, or
+// within timeout after the last data. Stop must be called at the end of the call.
 func WithIdleTimeout(ctx context.Context, initial, timeout time.Duration) (context.Context, *IdleTimeout) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return ctx, &IdleTimeout{
--- a/clock/silence_test.go
+++ b/clock/silence_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// io.ReadAll reads a body that arrives in one chunk with ever larger buffers, and each read returns only when its buffer
-// is full. Over a slow link, data must still be noticed before the idle timeout.
+// io.ReadAll reads a body that arrives in one chunk with ever larger buffers, and each read returns only when its
+// buffer is full. Over a slow link, data must still be noticed before the idle timeout.
 func TestReaderThatFillsLargeBufferResetsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timeout := clock.WithIdleTimeout(context.Background(), initialTimeout, idleTimeout)
--- a/config/config.go
+++ b/config/config.go
@@ -26,11 +26,12 @@
 type (
 	// Options are the options of one node.
 	Options struct {
-		// Name is unique among the entry hosts.
+		// Name is the name of the node, unique among the entry hosts.
 		Name string
 		// FailureDomain is the failure domain of the host.
 		FailureDomain string
-		// Platform is the address of the platform's table and list, HOST:PORT.
+		// Platform is the address, HOST:PORT, of the platform's table (a store of versioned rows) and its list of hosts
+		// and endpoints.
 		Platform string
 		// CallersListen, OperatorsListen and PeersListen are the listen addresses, HOST:PORT.
 		CallersListen   string
@@ -46,7 +47,7 @@
 		DrainDelay time.Duration
 		// DrainLimit is the maximum time that a draining node waits for requests in flight.
 		DrainLimit time.Duration
-		// Plain selects the baseline policies, for comparisons.
+		// Plain selects the baseline policies, for comparisons: round robin, no admission control and naive retries.
 		Plain bool
 		// LogLevel is debug, info, warn or error.
 		LogLevel string
@@ -103,7 +104,7 @@
 func ParseFile(name string, r io.Reader, set func(name, value string) error) error {
 	data, err := io.ReadAll(r)
 	if err != nil {
-		return errors.Wrap(err, "config: unable to read")
+		return errors.Wrap(err, "config: unable to read the file")
 	}
 	var f file
 	if err := yamldoc.Decode(name, data, &f); err != nil {
--- a/engine/client.go
+++ b/engine/client.go
@@ -30,6 +30,8 @@
 		// Kind is "Load" or "Evict".
 		Kind    string
 		Adapter string
+		// Fencing is the number of the lease under which the order is sent. It increases with each holder of the lease,
+		// so that engines can reject orders of an earlier holder.
 		Fencing uint64
 	}
 
@@ -37,7 +39,8 @@
 	StateMessage struct {
 		Adapters []string
 		// Most is the maximum number of loaded adapters.
-		Most    int
+		Most int
+		// Fencing is the highest fencing number of the accepted orders.
 		Fencing uint64
 	}
 
@@ -81,7 +84,7 @@
 	}
 	body, err := json.Marshal(message)
 	if err != nil {
-		return errors.Wrap(err, "engine: unable to encode")
+		return errors.Wrap(err, "engine: unable to encode the order")
 	}
 	ctx, cancel := context.WithTimeout(ctx, kernel.OrderTimeout)
 	defer cancel()
@@ -89,6 +92,7 @@
 	if err != nil {
 		return errors.Wrap(err, "engine: unable to make a request")
 	}
+	// Without GetBody, the transport can't send the order again on another connection.
 	req.GetBody = nil
 	res, err := c.client.Do(req)
 	if err != nil {
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -53,14 +53,15 @@
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_wait_error_seconds{pool=%q,side=%q}`, pool, side)).Update(deviation.Seconds())
 }
 
-// ObserveFeed records the size in bytes of an answer about the store's tables, from the store or from another node,
-// and the time since it was requested.
+// ObserveFeed records a complete answer to a read of the store's tables: its size in bytes and the time since it was
+// requested. from is the kind of its source, "store" or "node".
 func (s *Set) ObserveFeed(from string, size int64, elapsed time.Duration) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="taken"}`, from)).AddInt64(size)
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_feed_seconds{from=%q}`, from)).Update(elapsed.Seconds())
 }
 
-// CountAbandonedFeed counts the bytes of such an answer that had been received when it was abandoned.
+// CountAbandonedFeed counts the bytes that had been received of an answer to a read of the store's tables when the read
+// was abandoned.
 func (s *Set) CountAbandonedFeed(from string, received int64) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="given up"}`, from)).AddInt64(received)
 }
--- a/model/endpoint.go
+++ b/model/endpoint.go
@@ -13,12 +13,13 @@
 const (
 	Live    HostState = "Live"
 	Leaving HostState = "Leaving"
-	// Evacuated is the state of an endpoint while operators have its failure domain evacuated, so that it gets no work.
+	// Evacuated is the state of an endpoint in a failure domain that operators have evacuated, so that it gets no work.
 	Evacuated HostState = "Evacuated"
 )
 
 type (
-	// Endpoint is a process of a pool that carries out stage calls.
+	// Endpoint is a process of a pool that serves calls. It is cold for some time after its start, and after its failure
+	// domain is no longer evacuated: it can then handle fewer requests than later.
 	Endpoint struct {
 		// Name stays the same when the process restarts.
 		Name string
@@ -30,12 +31,13 @@
 		// Region is the region of the failure domain; empty if the settings define none.
 		Region string
 		State  HostState
-		// ColdFor is the remaining cold time when the endpoint wrote its entry. ColdUntil is when it is warm at the latest.
+		// ColdFor is how much longer the endpoint was cold when it wrote its entry in the list. ColdUntil is the time
+		// from which it is certainly no longer cold.
 		ColdFor   time.Duration
 		ColdUntil time.Time
 	}
 
-	// Host is an entry host and the node that runs on it.
+	// Host is an entry host, one that receives callers' requests, and the node that runs on it.
 	Host struct {
 		Name          string
 		Incarnation   string
--- a/model/forward.go
+++ b/model/forward.go
@@ -34,7 +34,7 @@
 		Prompt   Prompt
 		// Pieces is the number of pieces of each stage of the route.
 		Pieces []int
-		// PieceKey names the input of the stages that depend on no other stage.
+		// PieceKey is sent by the caller and names the input of the stages that depend on no other stage.
 		PieceKey string
 	}
 
@@ -69,27 +69,29 @@
 		Authentic bool
 		// Load is the load that the endpoint reports; nil if it reports none.
 		Load *Load
-		// RateCap limits the requests that the endpoint accepts.
+		// RateCap limits the requests that the endpoint accepts from all nodes together.
 		RateCap RateCap
 		// Close ends the exchange. The connection is reused only if the body was read to its end.
 		Close func()
 	}
 
-	// Piece is one unit of a stage's work.
+	// Piece is one unit of a stage's work. It may be processed more than once.
 	Piece struct {
 		Request string
 		// Digest is that of the request.
 		Digest Digest
+		// Stage is the index of the stage in its route; Number counts the pieces of the stage from 0.
 		Stage  int
 		Number int
-		// Key is set for stages that depend on no other stage, Inputs for all others.
+		// Key is the request's PieceKey, for stages that depend on no other stage. Inputs are the handles of the results
+		// that the pieces of all other stages need.
 		Key    string
 		Inputs []string
 		// Deadline is when the result stops being useful.
 		Deadline time.Time
 	}
 
-	// PieceResult is the outcome of a piece. Handle names its result and is empty if there is none.
+	// PieceResult is the outcome of a piece. Handle names the result that the endpoint keeps; empty if there is none.
 	PieceResult struct {
 		Handle string
 		Fault  PieceFault
@@ -126,7 +128,7 @@
 	PieceInputGone PieceFault = "InputGone"
 	// PieceNoRoom: the endpoint had no memory left for its result.
 	PieceNoRoom PieceFault = "NoRoom"
-	// PieceMoved: another node batches for the pool now; the piece must be sent there.
+	// PieceMoved: another node is the pool's batcher now; the piece must be sent there.
 	PieceMoved PieceFault = "Moved"
 	// PieceFailed: the endpoint failed to process it, or the call failed.
 	PieceFailed PieceFault = "Failed"
--- a/model/record.go
+++ b/model/record.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Record is what a node keeps of a request that it received, for operators.
+// Record describes the outcome of a request, for operators. A node stores records of the requests that it ran and of
+// those that it received and another node handled.
 type Record struct {
 	Request  string
 	Node     string
@@ -11,7 +12,7 @@
 	Team     string
 	Pipeline string
 	Key      string
-	// Forwarded names the node that ran the request, if it was another one.
+	// Forwarded names the node that ran the request or owns its key, if that is another one; its record has the details.
 	Forwarded string
 	Began     time.Time
 	Elapsed   time.Duration
--- a/model/request.go
+++ b/model/request.go
@@ -23,9 +23,11 @@
 
 // Input is what a caller sends.
 type Input struct {
-	Text      string `json:"Text"`
-	Prefix    string `json:"Prefix,omitempty"`
-	MaxTokens int    `json:"MaxTokens,omitempty"`
+	Text string `json:"Text"`
+	// Prefix names the prompt's prefix, so that engines can reuse its cached state.
+	Prefix string `json:"Prefix,omitempty"`
+	// MaxTokens lowers the limit of generated tokens of Generate stages; 0 does not.
+	MaxTokens int `json:"MaxTokens,omitempty"`
 }
 
 // StageTiming is the time and the calls that one stage of a request took.
@@ -64,12 +66,12 @@
 	Text  string
 }
 
-// Digest returns the digest of the request. Key and deadline are not part of it, since they belong to one attempt.
+// Digest returns the digest of the request. Key and deadline are not part of it, since a retry may have others.
 func (r Request) Digest() Digest {
 	return NewDigest(r.Account(), r.Pipeline, r.Input.Text, r.Input.Prefix, strconv.Itoa(r.Input.MaxTokens))
 }
 
-// Account returns a name of the customer that is unique among all teams.
+// Account returns TEAM/CUSTOMER, which names the customer uniquely across all teams.
 func (r Request) Account() string {
 	return r.Team + "/" + r.Customer
 }
--- a/model/routing.go
+++ b/model/routing.go
@@ -64,7 +64,7 @@
 		Weight int
 	}
 
-	// StageNode is a stage that must be completed before a request of the route can run.
+	// StageNode is a stage that must be completed before a request of the route can run. Its work is split into pieces.
 	StageNode struct {
 		Pool string
 		// After lists the indexes of the stages whose results this one needs.
@@ -88,6 +88,7 @@
 
 	// EngineTraits describes the model engines of a pool. Each value applies to one endpoint.
 	EngineTraits struct {
+		// Slots is how many requests run concurrently.
 		Slots int
 		// KVCapacity is how many tokens fit into the KV cache.
 		KVCapacity int
@@ -121,7 +122,8 @@
 		AllowedRegions []string
 	}
 
-	// CallerLimits limit what callers may send and how long they may take.
+	// CallerLimits limit what callers may send and how long they may take, as the routing states it. Nodes enforce only
+	// MaxBodyBytes.
 	CallerLimits struct {
 		MaxHeaderBytes int
 		MaxBodyBytes   int64
--- a/model/settings.go
+++ b/model/settings.go
@@ -19,7 +19,8 @@
 
 // The key modes.
 const (
-	// Claims is for UUIDv7 keys: the node that owns the key's time interval decides from memory.
+	// Claims is for UUIDv7 keys, which contain their time of issue. The claims row of the table (see kernel.Claims)
+	// assigns each key to a node, its owner, which decides from memory.
 	Claims KeyMode = "Claims"
 	// Durable is for all other keys: a conditional insert into the table decides.
 	Durable KeyMode = "Durable"
@@ -72,16 +73,16 @@
 
 	// FleetSettings is the settings document that applies to the whole fleet.
 	FleetSettings struct {
-		// Horizon is how far ahead key intervals are assigned to nodes: the longest outage of the table
-		// during which requests with keys are still accepted.
+		// Horizon is how far ahead of their issue keys are assigned to nodes: the longest outage of the table during
+		// which requests with UUIDv7 keys are still accepted.
 		Horizon time.Duration `yaml:"Horizon" validate:"gte=1s,lte=1h"`
-		// FirmHorizon is how far ahead the assignment of key intervals is final: how long the keys of a
-		// node stay closed after it crashes.
+		// FirmHorizon is how far ahead the assignment of keys is final: how long after its crash a node still owns a
+		// part of the newly issued keys, whose requests are refused.
 		FirmHorizon time.Duration `yaml:"FirmHorizon" validate:"gte=1s,lte=1h"`
 		// Retention is how long a key and its answer are kept.
 		Retention time.Duration `yaml:"Retention" validate:"gte=10s,lte=24h"`
-		// WeightLoadEvery is the minimum time between two load orders to the engines of one pool. It
-		// matches the rate at which the weight store can serve loads.
+		// WeightLoadEvery is the minimum time between two orders that the holder of a pool's lease sends to the pool's
+		// engines to load adapters. It limits the load on the weight store, from which engines load adapters.
 		WeightLoadEvery time.Duration `yaml:"WeightLoadEvery" validate:"gte=10ms,lte=10m"`
 		// Evacuated lists the failure domains whose endpoints get no work.
 		Evacuated []string `yaml:"Evacuated" validate:"unique,dive,required"`
--- a/model/verdict.go
+++ b/model/verdict.go
@@ -15,7 +15,8 @@
 
 // The three verdicts.
 const (
-	// NotRun: no endpoint has run or will run any part of the request.
+	// NotRun: no endpoint has run or will run this attempt, so that it may be retried. Of a pipeline, no stage has run;
+	// of a forwarded request, pieces of its route's stages may have been processed, which may be repeated.
 	NotRun Verdict = "NotRun"
 	// MayHaveRun: a part of the request ran, or it is not known whether it did.
 	MayHaveRun Verdict = "MayHaveRun"
@@ -25,27 +26,40 @@
 
 // The reasons for refusals.
 const (
-	BadRequest       Reason = "BadRequest"
-	Unauthorized     Reason = "Unauthorized"
-	UnknownPipeline  Reason = "UnknownPipeline"
-	DeadlinePassed   Reason = "DeadlinePassed"
-	CannotFinish     Reason = "CannotFinish"
-	Overloaded       Reason = "Overloaded"
-	CustomerLimit    Reason = "CustomerLimit"
-	Draining         Reason = "Draining"
-	NotReady         Reason = "NotReady"
-	NoEndpoint       Reason = "NoEndpoint"
-	StageFailed      Reason = "StageFailed"
-	StageTimeout     Reason = "StageTimeout"
-	CallerGone       Reason = "CallerGone"
+	BadRequest   Reason = "BadRequest"
+	Unauthorized Reason = "Unauthorized"
+	// UnknownPipeline: no pipeline has the name, or no route matches.
+	UnknownPipeline Reason = "UnknownPipeline"
+	DeadlinePassed  Reason = "DeadlinePassed"
+	// CannotFinish: the request would not finish before its deadline, as estimated on arrival.
+	CannotFinish Reason = "CannotFinish"
+	// Overloaded: no slot of a pool became free in time.
+	Overloaded    Reason = "Overloaded"
+	CustomerLimit Reason = "CustomerLimit"
+	Draining      Reason = "Draining"
+	// NotReady: the node has no routing yet.
+	NotReady     Reason = "NotReady"
+	NoEndpoint   Reason = "NoEndpoint"
+	StageFailed  Reason = "StageFailed"
+	StageTimeout Reason = "StageTimeout"
+	CallerGone   Reason = "CallerGone"
+	// OwnerUnreachable: the node that decides on the key, or on the customer's rate, does not answer.
 	OwnerUnreachable Reason = "OwnerUnreachable"
-	OwnerUnknown     Reason = "OwnerUnknown"
-	KeyAhead         Reason = "KeyAhead"
-	KeyTooOld        Reason = "KeyTooOld"
-	KeyClosed        Reason = "KeyClosed"
-	KeyMismatch      Reason = "KeyMismatch"
-	OutcomeUnknown   Reason = "OutcomeUnknown"
+	// OwnerUnknown: the node that the key was sent to does not own it.
+	OwnerUnknown Reason = "OwnerUnknown"
+	// KeyAhead: the key was issued later than the time up to which nodes may run keys now.
+	KeyAhead Reason = "KeyAhead"
+	// KeyTooOld: the key was issued longer ago than keys are kept.
+	KeyTooOld Reason = "KeyTooOld"
+	// KeyClosed: an attempt with this number or a higher one was refused with the key.
+	KeyClosed Reason = "KeyClosed"
+	// KeyMismatch: the key was used for a different request.
+	KeyMismatch Reason = "KeyMismatch"
+	// OutcomeUnknown: the key was used before, and it is not known whether its request ran.
+	OutcomeUnknown Reason = "OutcomeUnknown"
+	// TableUnavailable: the table does not answer whether a durable key was used.
 	TableUnavailable Reason = "TableUnavailable"
+	// AdapterNotLoaded: no engine had loaded the adapter in time.
 	AdapterNotLoaded Reason = "AdapterNotLoaded"
 	// StaleRouting: the known routes and API keys are too old for a decision.
 	StaleRouting Reason = "StaleRouting"
@@ -69,13 +83,20 @@
 
 // The reasons for retries of stage calls.
 const (
-	RetryRefused  Reason = "RetryRefused"
-	RetryCut      Reason = "RetryCut"
-	RetrySilent   Reason = "RetrySilent"
-	RetryStatus   Reason = "RetryStatus"
+	// RetryRefused: no connection could be opened.
+	RetryRefused Reason = "RetryRefused"
+	// RetryCut: the connection broke after it was opened, or the call failed in a way that has no reason of its own.
+	RetryCut Reason = "RetryCut"
+	// RetrySilent: the call made no progress within its timeout.
+	RetrySilent Reason = "RetrySilent"
+	// RetryStatus: the endpoint answered with an error or an invalid reply.
+	RetryStatus Reason = "RetryStatus"
+	// RetryMismatch: the reply belongs to another call, or tokens of a stream are missing.
 	RetryMismatch Reason = "RetryMismatch"
-	RetryHedge    Reason = "RetryHedge"
-	RetryResume   Reason = "RetryResume"
+	// RetryHedge: a slow call was repeated at another endpoint while it still ran.
+	RetryHedge Reason = "RetryHedge"
+	// RetryResume: a stream was continued at another endpoint.
+	RetryResume Reason = "RetryResume"
 	// RetryNotRun: the endpoint reported that it did not run the call.
 	RetryNotRun Reason = "RetryNotRun"
 	// RetryWithdrawn: the endpoint became ineligible for work after it was chosen; nothing was sent.
@@ -89,7 +110,7 @@
 	// Verdict is never Ran.
 	Verdict Verdict
 	Reason  Reason
-	// RetryAfter is how long the caller should wait before it retries; zero if a retry is of no use.
+	// RetryAfter is how long the caller should wait before it retries; zero if no retry is advised.
 	RetryAfter time.Duration
 	// Detail is an explanation for the caller.
 	Detail string
--- a/replay/measure.go
+++ b/replay/measure.go
@@ -120,11 +120,11 @@
 
 // minCustomerAttainment returns the lowest attainment of all customers.
 func (r Report) minCustomerAttainment() float64 {
-	least := 1.0
+	lowest := 1.0
 	for _, g := range r.Customers {
-		least = min(least, g.Attainment())
+		lowest = min(lowest, g.Attainment())
 	}
-	return least
+	return lowest
 }
 
 // callPipelineP99 returns the 99th percentile of the latency of the sample's short pipeline that ends in a call of a
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -30,14 +30,14 @@
 }
 
 func TestParseTraceRejectsInvalidInput(t *testing.T) {
-	head := `{"Sample":"Bilbao","Nodes":3}` + "\n"
+	header := `{"Sample":"Bilbao","Nodes":3}` + "\n"
 	cases := map[string]string{
 		`{"At":"1s","Customr":"x"}`: "t.jsonl:2: ",
 		`{"At":"1"}`:                "t.jsonl:2: ",
 		"":                          "no entries",
 	}
 	for line, wantError := range cases {
-		_, err := replay.ParseTrace("t.jsonl", []byte(head+line))
+		_, err := replay.ParseTrace("t.jsonl", []byte(header+line))
 		must.ErrorContains(t, err, wantError)
 	}
 }
--- a/replay/report.go
+++ b/replay/report.go
@@ -21,14 +21,14 @@
 	// Report holds the results of a replay.
 	Report struct {
 		Requests int
-		// Attained counts correct answers within their deadlines.
+		// Attained counts complete answers of the right request within their deadlines.
 		Attained int
 		// Attainment is Attained divided by Requests.
 		Attainment float64
 		Refused    int
 		// Failed counts requests that received neither an answer nor a refusal.
 		Failed int
-		// Late counts correct answers after the deadline.
+		// Late counts such answers after the deadline.
 		Late int
 		// Wrong counts answers that are incomplete or belong to another request.
 		Wrong int
@@ -42,7 +42,7 @@
 		Reasons map[string]int
 		// Pools is the work of each pool during the replay, as counted by the stand-in.
 		Pools map[string]standin.PoolUsage
-		// TableReads and TableWrites count the calls to the table during the replay.
+		// TableReads and TableWrites count the reads and transactions of the table during the replay.
 		TableReads  uint64
 		TableWrites uint64
 		// Goodput is Attained per second of the trace's length.
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -43,8 +43,8 @@
 	requestCount   int
 }
 
-// NewSetup starts a sample with nodes and waits until all are ready and members of an era in force. plain selects the
-// baseline policies.
+// NewSetup starts a sample with nodes and waits until all are ready and own keys: they are members of an era (see
+// kernel.Era) that has begun. plain selects the baseline policies.
 func NewSetup(ctx context.Context, header Header, plain bool, log zerolog.Logger) (*Setup, error) {
 	s := &Setup{tokens: map[string]string{}}
 	var c standin.Config
--- a/sample/sample.go
+++ b/sample/sample.go
@@ -13,7 +13,7 @@
 const (
 	// BilbaoToken is the token of the first customer of team bilbao.
 	BilbaoToken = "token-bar-arriaga"
-	// BilbaoCustomer is the same customer, as TEAM/CUSTOMER.
+	// BilbaoCustomer is the account (TEAM/CUSTOMER) of the same customer.
 	BilbaoCustomer = "bilbao/bar-arriaga"
 	// MoraviaToken is the token of the first customer of team moravia.
 	MoraviaToken = "token-kiosk-brno"
--- a/standin/config.go
+++ b/standin/config.go
@@ -46,8 +46,8 @@
 		TokenTime time.Duration `yaml:"TokenTime"`
 		// HonoursFencing makes the pool's engines refuse orders with a fencing number below the highest accepted one.
 		HonoursFencing bool `yaml:"HonoursFencing"`
-		// MostAdapters is the number of adapters for which an engine reports room. With 0, calls need no loaded
-		// adapter.
+		// MostAdapters is the maximum number of loaded adapters that an engine reports; it accepts load orders beyond it.
+		// With 0, calls need no loaded adapter.
 		MostAdapters int `yaml:"MostAdapters" validate:"gte=0"`
 		// LoadTime is how long an engine takes to load an adapter from the weight store.
 		LoadTime time.Duration `yaml:"LoadTime"`
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -15,7 +15,7 @@
 
 const maxCallBytes = 4 << 20
 
-// endpoint is one simulated endpoint of a pool. It processes as many calls concurrently as it has slots; further calls
+// endpoint is a simulated endpoint of a pool. It processes as many calls concurrently as it has slots; further calls
 // queue for a slot.
 type endpoint struct {
 	name     string
@@ -37,7 +37,7 @@
 	crashes atomic.Int64
 	cache   *prefixCache
 	engine  *engineState
-	// mu guards previousCall, an earlier call whose reply FaultSwap sends in place of the current call's.
+	// mu guards previousCall, the call on which FaultSwap was last triggered. Its reply is sent for the next such call.
 	mu           sync.Mutex
 	previousCall model.StageCall
 }
@@ -200,8 +200,9 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// swapCall returns the call of the last swap, so that the reply belongs to another request. If there is none or it is of
-// the same request, it returns a made-up call of another request.
+// swapCall returns the call on which FaultSwap was last triggered, so that the reply belongs to another request, and
+// stores call for the next time. If there is none or it is of the same request, it returns a made-up call of another
+// request.
 func (e *endpoint) swapCall(call model.StageCall) model.StageCall {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -24,7 +24,7 @@
 )
 
 type (
-	// prefixCache is an LRU cache of prompt prefixes.
+	// prefixCache is an LRU cache of the names of prompt prefixes.
 	prefixCache struct {
 		mu sync.Mutex
 		// prefixes are ordered from least to most recently used.
@@ -66,7 +66,8 @@
 	flush     func()
 	duplicate bool
 	reorder   bool
-	delayed   *model.TokenEvent
+	// delayed is the event that FaultReorder sends after the next one.
+	delayed *model.TokenEvent
 }
 
 func (s *tokenStream) send(event model.TokenEvent) {
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -9,7 +9,7 @@
 const maxJournalRuns = 500_000
 
 type (
-	// Run is a call that an endpoint began to process.
+	// Run is a call that an endpoint began to process. A call that was refused or never got a slot is not a run.
 	Run struct {
 		Endpoint  string
 		Stage     string
@@ -21,7 +21,7 @@
 		At        time.Time
 	}
 
-	// OrderRecord is an order that an engine received.
+	// OrderRecord is an order that an engine received, to load or evict an adapter.
 	OrderRecord struct {
 		Endpoint string
 		Kind     string
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -9,8 +9,8 @@
 )
 
 type (
-	// faultListener is a listener whose open connections can be made silent, in which they stay open and discard all
-	// data in both directions, while new connections work. It can also be stopped and restarted at the same address.
+	// faultListener is a listener whose open connections can be made silent: they stay open and discard all data in both
+	// directions, while new connections work. It can also be stopped and restarted at the same address.
 	faultListener struct {
 		net.Listener
 		mu sync.Mutex
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -31,7 +31,8 @@
 type (
 	// Usage holds totals since the start.
 	Usage struct {
-		TableReads  uint64
+		TableReads uint64
+		// TableWrites counts transactions, including those whose conditions failed.
 		TableWrites uint64
 		// Pools maps a pool's name to its usage.
 		Pools map[string]PoolUsage
--- a/standin/table.go
+++ b/standin/table.go
@@ -71,26 +71,26 @@
 		http.Error(w, "not available", http.StatusServiceUnavailable)
 		return
 	}
-	var before time.Time
+	var asOf time.Time
 	if stale, triggered := t.faults.trigger("table", FaultStale); triggered {
-		before = time.Now().Add(-stale.Delay)
+		asOf = time.Now().Add(-stale.Delay)
 	}
 	key, prefix := r.URL.Query().Get("key"), r.URL.Query().Get("prefix")
 	rows := t.read(func(k string) bool {
 		return k == key || (prefix != "" && strings.HasPrefix(k, prefix))
-	}, before)
+	}, asOf)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(rows)
 }
 
-// read returns the rows whose keys are wanted, sorted by key, as they were at the time before, or now if it is zero.
-func (t *tableService) read(wanted func(string) bool, before time.Time) []table.Row {
+// read returns the rows with the wanted keys, sorted by key, as they were at asOf, or as they are now if it is zero.
+func (t *tableService) read(wanted func(string) bool, asOf time.Time) []table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.readCount++
 	view := t.rows
-	if !before.IsZero() {
-		view = t.rowsAt(before)
+	if !asOf.IsZero() {
+		view = t.rowsAt(asOf)
 	}
 	rows := []table.Row{}
 	for key, row := range view {
@@ -102,14 +102,14 @@
 	return rows
 }
 
-// rowsAt returns the rows as they were at a time, by undoing later writes.
-func (t *tableService) rowsAt(before time.Time) map[string]table.Row {
+// rowsAt returns the rows as they were at asOf, by undoing later writes.
+func (t *tableService) rowsAt(asOf time.Time) map[string]table.Row {
 	view := make(map[string]table.Row, len(t.rows))
 	for k, v := range t.rows {
 		view[k] = v
 	}
 	for _, undo := range slices.Backward(t.undoLog) {
-		if undo.at.Before(before) {
+		if undo.at.Before(asOf) {
 			break
 		}
 		if undo.existed {
