--- a/cli/cli.go
+++ b/cli/cli.go
@@ -56,7 +56,7 @@
 	stderr io.Writer
 	// nodeConfigFile is the --config file of serve, which ff reads. Other commands read their files themselves.
 	nodeConfigFile *string
-	// signals receives SIGTERM and SIGINT.
+	// signals receives SIGTERM and SIGINT, and in the edge command also SIGHUP.
 	signals chan os.Signal
 }
 
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -38,13 +38,13 @@
 
 func (p *program) demo(ctx context.Context) error {
 	c := sample.Bilbao()
-	platform, err := standin.NewStandin(c)
+	standIn, err := standin.NewStandin(c)
 	if err != nil {
 		return err
 	}
-	defer platform.Close()
-	fmt.Fprintf(p.stdout, "stand-in: platform on %s, %d endpoints\n", platform.Address(), len(platform.Endpoints()))
-	nodes, err := p.startDemoNodes(platform.Address())
+	defer standIn.Close()
+	fmt.Fprintf(p.stdout, "stand-in: platform on %s, %d endpoints\n", standIn.Address(), len(standIn.Endpoints()))
+	nodes, err := p.startDemoNodes(standIn.Address())
 	for _, n := range nodes {
 		defer n.Close()
 	}
@@ -54,16 +54,16 @@
 	if err := awaitReady(ctx, nodes); err != nil {
 		return err
 	}
-	return p.sendDemoRequests(ctx, nodes, platform)
+	return p.sendDemoRequests(ctx, nodes, standIn)
 }
 
-func (p *program) startDemoNodes(platform string) ([]*node.Node, error) {
+func (p *program) startDemoNodes(platformAddress string) ([]*node.Node, error) {
 	var nodes []*node.Node
 	for i, domain := range sample.BilbaoDomains {
 		options := config.NewOptions()
 		options.Name = fmt.Sprintf("entry-%d", i+1)
 		options.FailureDomain = domain
-		options.Platform = platform
+		options.Platform = platformAddress
 		options.OperatorsToken = "demo-operator"
 		options.PeersToken = "demo-peers"
 		options.LogLevel = "warn"
@@ -100,7 +100,7 @@
 	}
 }
 
-func (p *program) sendDemoRequests(ctx context.Context, nodes []*node.Node, platform *standin.Standin) error {
+func (p *program) sendDemoRequests(ctx context.Context, nodes []*node.Node, standIn *standin.Standin) error {
 	client := func(i int) *caller.Client {
 		return &caller.Client{
 			BaseURL: "http://" + nodes[i].CallersAddress(),
@@ -128,7 +128,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(p.stdout, "\nthe service ran the ticket %d time(s)\n", platform.Journal.Summary().Keys[sample.BilbaoCustomer+"/"+key.String()])
+	fmt.Fprintf(p.stdout, "\nthe service ran the ticket %d time(s)\n", standIn.Journal.Summary().Keys[sample.BilbaoCustomer+"/"+key.String()])
 	late := renewal
 	late.Body.Timeout = "1ms"
 	late.Body.Stream = false
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -54,16 +54,16 @@
 }
 
 // ObserveFeed records a complete answer to a read of the store's tables: its size in bytes and the time since it was
-// requested. from is the kind of its source, "store" or "node".
-func (s *Set) ObserveFeed(from string, size int64, elapsed time.Duration) {
-	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="taken"}`, from)).AddInt64(size)
-	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_feed_seconds{from=%q}`, from)).Update(elapsed.Seconds())
+// requested. source is "store" or "node".
+func (s *Set) ObserveFeed(source string, size int64, elapsed time.Duration) {
+	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="taken"}`, source)).AddInt64(size)
+	s.set.GetOrCreateHistogram(fmt.Sprintf(`basilstall_feed_seconds{from=%q}`, source)).Update(elapsed.Seconds())
 }
 
 // CountAbandonedFeed counts the bytes that had been received of an answer to a read of the store's tables when the read
 // was abandoned.
-func (s *Set) CountAbandonedFeed(from string, received int64) {
-	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="given up"}`, from)).AddInt64(received)
+func (s *Set) CountAbandonedFeed(source string, received int64) {
+	s.set.GetOrCreateCounter(fmt.Sprintf(`basilstall_feed_bytes_total{from=%q,outcome="given up"}`, source)).AddInt64(received)
 }
 
 // AddStageUsage adds the endpoint time and the tokens of a stage to the usage of a pool and customer.
--- a/model/verdict.go
+++ b/model/verdict.go
@@ -18,7 +18,7 @@
 	// NotRun: no endpoint has run or will run this attempt, so that it may be retried. Of a pipeline, no stage has run;
 	// of a forwarded request, pieces of its route's stages may have been processed, which may be repeated.
 	NotRun Verdict = "NotRun"
-	// MayHaveRun: a part of the request ran, or it is not known whether it did.
+	// MayHaveRun: a part of the request ran, or it is not known that none did or will.
 	MayHaveRun Verdict = "MayHaveRun"
 	// Ran: the request ran to completion.
 	Ran Verdict = "Ran"
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -29,7 +29,8 @@
 type Setup struct {
 	Standin  *standin.Standin
 	Settings kernel.Settings
-	Team     string
+	// Team is the name of the sample's only team.
+	Team string
 
 	// firstDomain is the sample's first failure domain.
 	firstDomain string
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -61,6 +61,7 @@
 	return e
 }
 
+// target returns the endpoint's name as the target of a fault, POOL/ENDPOINT.
 func (e *endpoint) target() string {
 	return e.pool.Name + "/" + e.name
 }
