--- a/clock/silence.go
+++ b/clock/silence.go
@@ -13,7 +13,7 @@
 const maxReadSize = 16 << 10
 
 // ErrIdleTimeout is the cause of a context that ended because no data arrived in time.
-var ErrIdleTimeout = errors.New("clock: nothing came in time")
+var ErrIdleTimeout = errors.New("clock: no data arrived in time")
 
 // IdleTimeout ends a call that receives no data for some time. The total duration of the call is not limited: an
 // answer too large for its link would otherwise be aborted and requested again forever. It is safe for concurrent
--- a/engine/client.go
+++ b/engine/client.go
@@ -96,14 +96,14 @@
 	req.GetBody = nil
 	res, err := c.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "engine: unable to order")
+		return errors.Wrap(err, "engine: unable to send the order")
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusConflict {
 		return ErrStaleFencing
 	}
 	if res.StatusCode != http.StatusOK {
-		return errors.Errorf("engine: unable to order: %s", res.Status)
+		return errors.Errorf("engine: unable to send the order: %s", res.Status)
 	}
 	return nil
 }
--- a/model/verdict.go
+++ b/model/verdict.go
@@ -95,7 +95,7 @@
 	RetryMismatch Reason = "RetryMismatch"
 	// RetryHedge: a slow call was repeated at another endpoint while it still ran.
 	RetryHedge Reason = "RetryHedge"
-	// RetryResume: a stream was continued at another endpoint.
+	// RetryResume: a stream that had already begun was continued by another call.
 	RetryResume Reason = "RetryResume"
 	// RetryNotRun: the endpoint reported that it did not run the call.
 	RetryNotRun Reason = "RetryNotRun"
