--- a/replay/setup.go
+++ b/replay/setup.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	setupTimeout      = 20 * time.Second
-	setupPollInterval = 20 * time.Millisecond
-	readinessInterval = 100 * time.Millisecond
+	setupTimeout          = 20 * time.Second
+	setupPollInterval     = 20 * time.Millisecond
+	readinessPollInterval = 100 * time.Millisecond
 )
 
 // Setup runs a sample's stand-in and nodes in this process, and simulates the platform's load balancer in front of the
@@ -29,7 +29,8 @@
 type Setup struct {
 	Standin  *standin.Standin
 	Settings kernel.Settings
-	Team     string
+	// Team is the name of the sample's only team.
+	Team string
 
 	// firstDomain is the sample's first failure domain.
 	firstDomain string
@@ -43,8 +44,8 @@
 	requestCount   int
 }
 
-// NewSetup starts a sample with nodes and waits until all are ready and members of an era in force. plain selects the
-// baseline policies.
+// NewSetup starts a sample with nodes and waits until all are ready and own keys: they are members of an era (see
+// kernel.Era) that has begun. plain selects the baseline policies.
 func NewSetup(ctx context.Context, header Header, plain bool, log zerolog.Logger) (*Setup, error) {
 	s := &Setup{tokens: map[string]string{}}
 	var c standin.Config
@@ -151,7 +152,7 @@
 		s.mu.Lock()
 		s.readyAddresses = ready
 		s.mu.Unlock()
-		time.Sleep(readinessInterval)
+		time.Sleep(readinessPollInterval)
 	}
 }
 
