--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -26,8 +26,8 @@
 	f := fleetOf(ts)
 	p, err := f.start("standin", "standin", "--config", ts.MkAbs(args[0]))
 	ts.Check(err)
-	f.platform = p.addresses[0]
-	ts.Setenv("PLATFORM", f.platform)
+	f.platformAddress = p.addresses[0]
+	ts.Setenv("PLATFORM", f.platformAddress)
 }
 
 // cmdNode starts nodes: node NAMES DOMAINS [FLAGS...]. Both lists are separated by commas; domains repeat as needed.
@@ -36,7 +36,7 @@
 	domains := strings.Split(args[1], ",")
 	for i, name := range strings.Split(args[0], ",") {
 		flags := []string{
-			"serve", "--name", name, "--failure-domain", domains[i%len(domains)], "--platform", f.platform,
+			"serve", "--name", name, "--failure-domain", domains[i%len(domains)], "--platform", f.platformAddress,
 			"--operators-token", operatorsToken, "--peers-token", peersToken,
 		}
 		callers, operators, peers := f.listenAddresses(name)
@@ -149,7 +149,7 @@
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
-		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoCustomer,
+		pipeline: args[1], token: sample.BilbaoToken, customer: sample.BilbaoCustomer,
 		count: 100, workers: 8, maxAttempts: 1, maxTokens: 8,
 	}
 	addresses := f.callers
@@ -210,12 +210,12 @@
 	want, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
 	ts.Logf("%s: %s is %g, want %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
-	if !compare(got, args[2], want) {
+	if !compareNumbers(got, args[2], want) {
 		ts.Fatalf("%s: %s is %g, want %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
 	}
 }
 
-func compare(got float64, operator string, want float64) bool {
+func compareNumbers(got float64, operator string, want float64) bool {
 	switch operator {
 	case "==":
 		return got == want
@@ -231,7 +231,7 @@
 // statistics holds the statistics of a load. Each function reports whether a request counts.
 var statistics = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
 	"doubles": func(l *load, o *outcome, journal standin.JournalSummary) bool {
-		return journal.Keys[l.plan.account+"/"+o.key] > 1
+		return journal.Keys[l.plan.customer+"/"+o.key] > 1
 	},
 	"untrue": ranDespiteNotRun,
 	"wrong": func(l *load, o *outcome, _ standin.JournalSummary) bool {
@@ -288,7 +288,7 @@
 		return false
 	}
 	last := o.verdicts[len(o.verdicts)-1]
-	return last == model.NotRun && journal.Keys[l.plan.account+"/"+o.key] > 0
+	return last == model.NotRun && journal.Keys[l.plan.customer+"/"+o.key] > 0
 }
 
 func hasWrongAnswer(l *load, o *outcome) bool {
@@ -331,7 +331,7 @@
 	}
 	ts.Check(waitFor(func() bool {
 		for _, p := range f.nodes() {
-			if !f.nodeShows(p, args) {
+			if !f.nodeReports(p, args) {
 				return false
 			}
 		}
@@ -339,7 +339,7 @@
 	}))
 }
 
-func (f *fleet) nodeShows(p *process, args []string) bool {
+func (f *fleet) nodeReports(p *process, args []string) bool {
 	switch args[0] {
 	case "state":
 		if p.name == args[1] {
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -55,13 +55,13 @@
 
 	// fleet holds the processes and loads that a script has started.
 	fleet struct {
-		dir       string
-		env       []string
-		mu        sync.Mutex
-		platform  string
-		processes map[string]*process
-		loads     map[string]*load
-		client    *http.Client
+		dir             string
+		env             []string
+		mu              sync.Mutex
+		platformAddress string
+		processes       map[string]*process
+		loads           map[string]*load
+		client          *http.Client
 		// probeClient sends readiness probes. readyAddresses are the addresses to which the balancer sends callers.
 		probeClient    *http.Client
 		readyAddresses []string
@@ -254,7 +254,7 @@
 }
 
 func (f *fleet) platformGet(path string, result any) error {
-	res, err := f.client.Get("http://" + f.platform + path)
+	res, err := f.client.Get("http://" + f.platformAddress + path)
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	res, err := f.client.Post("http://"+f.platform+"/faults", "application/json", bytes.NewReader(body))
+	res, err := f.client.Post("http://"+f.platformAddress+"/faults", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/scenario/helpers_test.go
+++ b/scenario/helpers_test.go
@@ -37,7 +37,7 @@
 }
 
 func (f *fleet) clearFaults(target string) error {
-	req, err := http.NewRequest(http.MethodDelete, "http://"+f.platform+"/faults?target="+target, nil)
+	req, err := http.NewRequest(http.MethodDelete, "http://"+f.platformAddress+"/faults?target="+target, nil)
 	if err != nil {
 		return err
 	}
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -20,7 +20,7 @@
 	loadPlan struct {
 		pipeline string
 		token    string
-		account  string
+		customer string
 		// count is the number of requests, or of idempotency keys if requests have one. workers is the number of
 		// concurrent senders.
 		count   int
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -70,11 +70,11 @@
 	if random.IntN(20) == 0 {
 		return invalidKey
 	}
-	if revoked := len(cs.cluster.revokedKeys); revoked > 0 && random.IntN(5) == 0 {
-		keys := slices.Sorted(maps.Keys(cs.cluster.revokedKeys))
+	if revoked := len(cs.cluster.revokedAPIKeys); revoked > 0 && random.IntN(5) == 0 {
+		keys := slices.Sorted(maps.Keys(cs.cluster.revokedAPIKeys))
 		return keys[random.IntN(revoked)]
 	}
-	return cs.cluster.keys[random.IntN(len(cs.cluster.keys))]
+	return cs.cluster.apiKeys[random.IntN(len(cs.cluster.apiKeys))]
 }
 
 // send sends one request and records the answer.
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -51,13 +51,13 @@
 
 		callers *callers
 
-		mu      sync.Mutex
-		version int
+		mu             sync.Mutex
+		routingVersion int
 		// poisonSubjects are the subjects of the requests that crash endpoints.
 		poisonSubjects []string
-		keys           []string
-		// revokedKeys maps each revoked API key to the time of its revocation.
-		revokedKeys map[string]time.Time
+		apiKeys        []string
+		// revokedAPIKeys maps each revoked API key to the time of its revocation.
+		revokedAPIKeys map[string]time.Time
 		// evacuations holds the periods for which each failure domain was evacuated.
 		evacuations map[string][]period
 		// sequence numbers new endpoints and API keys. A routing version has as many added routes as its value was
@@ -167,8 +167,8 @@
 	c.routingMu.Lock()
 	defer c.routingMu.Unlock()
 	c.mu.Lock()
-	c.version += 2
-	routing := standin.Routing{Version: c.version, APIKeys: slices.Clone(c.keys), Routes: []standin.Route{
+	c.routingVersion += 2
+	routing := standin.Routing{Version: c.routingVersion, APIKeys: slices.Clone(c.apiKeys), Routes: []standin.Route{
 		{Name: "post", Kind: "unsafe", Pool: "plain", MaxAttempts: 2},
 		{Name: "get", Kind: "safe", Pool: "plain", MaxAttempts: 2},
 		{Name: "gen", Kind: "stream", Pool: "engines", MaxAttempts: 2, Stages: 2},
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -298,16 +298,16 @@
 	c.mu.Lock()
 	c.sequence++
 	key := fmt.Sprint("key-", c.sequence)
-	c.keys = append(c.keys, key)
+	c.apiKeys = append(c.apiKeys, key)
 	c.mu.Unlock()
 	c.writeRouting()
 	time.Sleep(duration)
 	c.mu.Lock()
-	c.keys = slices.DeleteFunc(c.keys, func(k string) bool { return k == key })
+	c.apiKeys = slices.DeleteFunc(c.apiKeys, func(k string) bool { return k == key })
 	c.mu.Unlock()
 	c.writeRouting()
 	c.mu.Lock()
-	c.revokedKeys[key] = time.Now()
+	c.revokedAPIKeys[key] = time.Now()
 	c.mu.Unlock()
 }
 
@@ -333,6 +333,6 @@
 func (c *cluster) revokedAt(key string) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, ok := c.revokedKeys[key]
+	at, ok := c.revokedAPIKeys[key]
 	return at, ok
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -88,7 +88,7 @@
 	random := rand.New(rand.NewPCG(seed, 0))
 	c := &cluster{
 		dir: t.TempDir(), binary: binary, store: standin.NewStore(),
-		endpoints: map[string]*endpoint{}, keys: []string{validKey}, revokedKeys: map[string]time.Time{}, evacuations: map[string][]period{},
+		endpoints: map[string]*endpoint{}, apiKeys: []string{validKey}, revokedAPIKeys: map[string]time.Time{}, evacuations: map[string][]period{},
 	}
 	defer c.close()
 	c.store.SetRewrite(c.replaceNodeAddress)
