--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -20,9 +20,11 @@
 	// the connection.
 	callerDeadline = 3 * time.Second
 	callerTimeout  = 4 * time.Second
-	streamEvents   = 5
-	validKey       = "key-good"
-	invalidKey     = "key-never-held"
+	// streamEvents is the number of events in the answer of an endpoint on a stream route.
+	streamEvents = 5
+	// validKey is an API key that is valid throughout the run, invalidKey one that is never valid.
+	validKey   = "key-good"
+	invalidKey = "key-never-held"
 )
 
 type (
@@ -64,6 +66,7 @@
 	}
 }
 
+// pickKey returns a valid API key, or sometimes one that was revoked or never valid.
 func (cs *callers) pickKey(random *rand.Rand) string {
 	cs.cluster.mu.Lock()
 	defer cs.cluster.mu.Unlock()
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -72,6 +72,7 @@
 	if s.Status == http.StatusOK && !s.Complete && !strings.HasPrefix(expectedBody(s), s.Answer.Body) {
 		c.reportViolation("%s received a truncated answer that is not a prefix of the expected one: %q", s.ID, s.Answer.Body)
 	}
+	// Requests on get and res may run more than once, so that one which has run may still be answered with 503.
 	if s.Status == http.StatusServiceUnavailable && s.Route != "get" && s.Route != "res" && len(runs) > 0 {
 		c.reportViolation("%s ran although its caller was told that it had not", s.ID)
 	}
@@ -80,6 +81,7 @@
 	}
 }
 
+// expectedBody returns the body of the complete answer to a request.
 func expectedBody(s *sentRequest) string {
 	if s.Route == "post" || s.Route == "get" || isAddedRoute(s.Route) {
 		return "answer " + s.ID
@@ -104,6 +106,7 @@
 	}
 }
 
+// checkEndpointRun checks one run of a request.
 func (c *cluster) checkEndpointRun(s *sentRequest, r endpointRun) {
 	if r.run.URI != s.URI() || r.run.Body != s.Call.Body() {
 		c.reportViolation("%s reached an endpoint with a different URI or body: %s %q", s.ID, r.run.URI, r.run.Body)
@@ -114,6 +117,7 @@
 	if s.APIKey == invalidKey {
 		c.reportViolation("%s ran with an API key that was never valid", s.ID)
 	}
+	// The last stage of a request on gen has three pieces (see sendCall); their results are the inputs of the run.
 	if s.Route == "gen" && len(r.run.Inputs()) != 3 {
 		c.reportViolation("%s ran with inputs %q, want 3", s.ID, r.run.Inputs())
 	}
@@ -132,7 +136,8 @@
 	return strings.HasPrefix(route, addedRoutePrefix)
 }
 
-// checkRecovery checks that every node serves again within the timeout, including the newest route.
+// checkRecovery checks that every node serves five requests in a row within the timeout, including some on the newest
+// route. The IDs of the requests begin with phase.
 func (c *cluster) checkRecovery(cs *callers, phase string, timeout time.Duration) {
 	routes := []string{"get", "gen"}
 	if c.addedRoutes > 0 {
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -18,12 +18,16 @@
 )
 
 const (
+	// gracePeriod, drainPeriod and revocationPeriod are settings of the nodes: how long a terminated node has until it is
+	// killed, how long an endpoint that is leaving may still receive requests, and how long a revoked API
+	// key may still be accepted.
 	gracePeriod      = 3 * time.Second
 	drainPeriod      = 2 * time.Second
 	revocationPeriod = 2500 * time.Millisecond
-	startTimeout     = 20 * time.Second
+	// startTimeout is the time within which all nodes must serve after their start.
+	startTimeout = 20 * time.Second
 	// replacementDelay is the time from the crash of an endpoint to the start of its replacement. lapseDelay is the time
-	// from the crash to the removal of its entry.
+	// from the crash to the removal of its entry from the endpoint list.
 	replacementDelay = 500 * time.Millisecond
 	lapseDelay       = 2 * time.Second
 	// failureDomainCount is the number of failure domains that the nodes are spread over.
@@ -40,7 +44,7 @@
 		endpoints map[string]*endpoint
 		nodes     []*node
 
-		// replacements waits for the replacement of crashed endpoints.
+		// replacements tracks the goroutines that replace crashed endpoints.
 		replacements sync.WaitGroup
 		// routingMu serializes the writing of routing versions.
 		routingMu sync.Mutex
@@ -51,24 +55,28 @@
 
 		callers *callers
 
+		// mu protects the fields below, and the fields of endpoints that change during the run.
 		mu             sync.Mutex
 		routingVersion int
-		// poisonSubjects are the subjects of the requests that crash endpoints.
+		// poisonSubjects holds the subject of each poison request, a text that all its repeats contain.
 		poisonSubjects []string
-		apiKeys        []string
+		// apiKeys are the valid API keys.
+		apiKeys []string
 		// revokedAPIKeys maps each revoked API key to the time of its revocation.
 		revokedAPIKeys map[string]time.Time
 		// evacuations holds the periods for which each failure domain was evacuated.
 		evacuations map[string][]period
-		// sequence numbers new endpoints and API keys. A routing version has as many added routes as its value was
-		// when the version was written.
+		// sequence is a counter from which new endpoints and API keys are named. The names of endpoints contain it plus
+		// 100, so that they differ from those of the first endpoints. Each routing version has as many added routes as
+		// the value of sequence when it was written.
 		sequence int
-		// addedRoutes is the number of routes of the newest version that were added during the run.
+		// addedRoutes is the number of routes in the newest routing version that were added during the run.
 		addedRoutes int
-		violations  []string
+		// violations describe the violated guarantees.
+		violations []string
 	}
 
-	// period is a time interval; both ends are zero if it has not begun.
+	// period is a time interval; both ends are zero if there was none.
 	period struct {
 		from, to time.Time
 	}
@@ -78,7 +86,7 @@
 		*standin.Endpoint
 		pool  string
 		proxy *proxy
-		// domain is its failure domain; if empty, that of the nodes.
+		// domain is its failure domain; empty if its entry names none.
 		domain string
 		// coldPeriod is the period in which it reports that it is cold.
 		coldPeriod period
@@ -102,10 +110,12 @@
 		process *exec.Cmd
 		// callerAddress is the address on which the running process listens for callers; empty until it is logged.
 		callerAddress string
-		exited        chan struct{}
+		// exited is closed when the process has exited.
+		exited chan struct{}
 		// shouldRun is true while the process is expected to run.
 		shouldRun bool
-		// disturbedAt is the time of the last fault that began or ended at the process or its connections.
+		// disturbances are the times at which faults began or ended at the process or its connections. disturbedAt is
+		// the last of them.
 		disturbedAt  time.Time
 		disturbances []time.Time
 		logFile      *os.File
@@ -124,6 +134,7 @@
 	return c.startEndpointIn("", name, pool)
 }
 
+// startEndpointIn starts an endpoint in a failure domain and writes its entry to the endpoint list.
 func (c *cluster) startEndpointIn(domain, name, pool string) error {
 	e := &endpoint{Endpoint: standin.NewEndpoint(name), pool: pool, domain: domain}
 	var err error
@@ -138,8 +149,8 @@
 	return nil
 }
 
-// replaceCrashed handles the crash of an endpoint that a poison request caused: a replacement starts after
-// replacementDelay, and the entry lapses after lapseDelay.
+// replaceCrashed handles the crash of an endpoint that a poison request caused, as the platform does: a replacement
+// starts after replacementDelay, and the entry of the crashed endpoint is removed after lapseDelay.
 func (c *cluster) replaceCrashed(e *endpoint) {
 	e.proxy.close()
 	c.mu.Lock()
@@ -157,12 +168,16 @@
 	})
 }
 
+// writeEntry writes the entry of an endpoint to the endpoint list.
 func (c *cluster) writeEntry(e *endpoint, draining bool) {
 	c.store.PutEndpoint(standin.Entry{Name: e.Name, Pool: e.pool, Address: e.proxy.address(), Domain: e.domain, Draining: draining, Cold: time.Until(e.coldPeriod.to), Started: e.Started()})
 }
 
-// writeRouting writes the next version of the routing. Versions are written in order, as on the platform. Otherwise
-// the store could end up with an older version, and nodes that read it after an outage would not learn of a newer one.
+// writeRouting writes the next version of the routing. It has four routes throughout: get is safe, so that its requests
+// may run again after a failure; requests on post run at most once; those on gen are streams with two stages of pieces;
+// those on res are streams that can be resumed on another endpoint. Versions are written in order, as on the platform.
+// Otherwise the store could end up with an older version, and nodes that read it after an outage would not learn of a
+// newer one.
 func (c *cluster) writeRouting() {
 	c.routingMu.Lock()
 	defer c.routingMu.Unlock()
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -21,10 +21,11 @@
 	// its calls are counted after that.
 	outageNoticeTime = 4 * time.Second
 	callCountTime    = 2 * time.Second
-	// maxDomainCallsPerSecond is how many calls per second the nodes of a failure domain may make: two nodes that ask
-	// four times, one attempt in each round, and the same number again for overlaps. maxUnsettledCallsPerSecond is the
-	// limit of a node that knows no others: three tables at first and its own row. A node counts as unsettled for
-	// settleTime after a disturbance.
+	// maxDomainCallsPerSecond is how many calls per second the nodes of a failure domain may make to a store that is
+	// down: four by each of the two designated readers (see kernel.SourceSelector), one attempt of another node each time
+	// that the readers were asked in vain, and the same number again for overlaps. maxUnsettledCallsPerSecond is the
+	// limit for a node that knows no other nodes: at first it calls for three tables and for its own row. A node counts
+	// as unsettled for settleTime after a disturbance.
 	maxDomainCallsPerSecond    = 20
 	maxUnsettledCallsPerSecond = 6
 	settleTime                 = 10 * time.Second
@@ -155,6 +156,7 @@
 	return unsettled
 }
 
+// disturbStoreLink disturbs the connections of one node to the store.
 func disturbStoreLink(c *cluster, random *rand.Rand, duration time.Duration) {
 	n := c.randomNode(random)
 	n.recordDisturbance()
@@ -170,8 +172,8 @@
 	n.recordDisturbance()
 }
 
-// cutOffReader cuts a node off from the store for a long time, while it still answers other nodes, and replaces an
-// endpoint meanwhile.
+// cutOffReader cuts a node off from the store for longer than drainPeriod, while it still answers other nodes, and
+// replaces an endpoint meanwhile. The node may be the one from which the others get the contents of the store.
 func cutOffReader(c *cluster, random *rand.Rand, duration time.Duration) {
 	n := c.randomNode(random)
 	n.recordDisturbance()
@@ -187,7 +189,7 @@
 	disturbLink(c.randomEndpoint(random).proxy, random, duration)
 }
 
-// disturbLink resets or silences the open connections of a proxy, or blocks or slows the proxy for a duration.
+// disturbLink resets or silences the open connections of a proxy, or blocks or slows all its connections for a duration.
 func disturbLink(p *proxy, random *rand.Rand, duration time.Duration) {
 	switch random.IntN(3) {
 	case 0:
@@ -201,6 +203,7 @@
 	}
 }
 
+// failEndpoint makes an endpoint fail requests in one of the ways that standin.EndpointFault lists.
 func failEndpoint(c *cluster, random *rand.Rand, duration time.Duration) {
 	e := c.randomEndpoint(random)
 	e.SetFault(standin.EndpointHealthy + 1 + standin.EndpointFault(random.IntN(int(standin.EndpointUnsigned))))
@@ -330,6 +333,7 @@
 	n.signal(syscall.SIGCONT)
 }
 
+// revokedAt returns the time at which an API key was revoked, and whether it was.
 func (c *cluster) revokedAt(key string) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// poisonMarker is the prefix of the subjects of poison requests, which crash the endpoints that begin to run them.
+	// poisonMarker is the prefix of the subjects of poison requests, which crash the endpoints that begin to run them. A
+	// subject is the text in the body that a poison request and its repeats share.
 	poisonMarker = "poison"
 	// repeatSeparator separates the subject from the number of the repeat in the ID of a poison request.
 	repeatSeparator = "#"
@@ -85,6 +86,7 @@
 	c.replacements.Wait()
 }
 
+// checkPoisonSubject sends repeats of one poison request to all nodes and checks how many of them crash an endpoint.
 func (c *cluster) checkPoisonSubject(cs *callers, subject string) {
 	route := strings.Split(subject, "-")[1]
 	before := c.crashCount(subject)
@@ -100,6 +102,6 @@
 	// A request is quarantined only after CrashThreshold crashes.
 	allowed := max(0, kernel.CrashThreshold-before) + maxFurtherCrashes
 	if after := c.crashCount(subject) - before; after > allowed {
-		c.reportViolation("%s had crashed endpoints in %d repeats and crashed more in %d repeats after all faults had ended", subject, before, after)
+		c.reportViolation("%s had crashed endpoints in %d repeats and crashed others in %d further repeats after all faults had ended", subject, before, after)
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,16 +11,17 @@
 
 const (
 	linkOK linkFault = iota
-	// linkSlow delays each part that is read by slowLinkDelay.
+	// linkSlow forwards each chunk that is read after slowLinkDelay.
 	linkSlow
 	// linkBlockedToServer forwards nothing to the server, linkBlockedFromServer nothing from it.
 	linkBlockedToServer
 	linkBlockedFromServer
+	// linkFaultCount is the number of the values above.
 	linkFaultCount
 )
 
 const (
-	// slowLinkDelay is how long a slow link delays a part.
+	// slowLinkDelay is how long a slow link delays a chunk.
 	slowLinkDelay = 80 * time.Millisecond
 	// narrowLinkRate is the rate at which a narrow link carries a server's answers, in bytes per second. It is 10 Mbit/s,
 	// the lowest bandwidth of a host. Answers that are large at this rate must arrive nevertheless.
@@ -30,14 +31,15 @@
 // proxy forwards connections to a server and injects faults into them.
 type proxy struct {
 	listener net.Listener
-	// narrow is true if all answers share narrowLinkRate. bandwidthMu is held while a part of an answer is transferred.
+	// narrow is true if all answers share narrowLinkRate. bandwidthMu is held while a chunk of an answer is transferred.
 	narrow      bool
 	bandwidthMu sync.Mutex
 
 	mu     sync.Mutex
 	target string
 	fault  linkFault
-	conns  map[net.Conn]*proxyConn
+	// conns holds the open connections by the client's end.
+	conns map[net.Conn]*proxyConn
 }
 
 // proxyConn is one connection through a proxy.
@@ -177,7 +179,8 @@
 	time.Sleep(time.Duration(bytes) * time.Second / narrowLinkRate)
 }
 
-// waitWhileBlocked waits while nothing may be forwarded. It returns false if the connection was closed.
+// waitWhileBlocked waits while the direction that blocking blocks may forward nothing, or for slowLinkDelay on a slow
+// link. It returns false if the connection was closed.
 func (p *proxy) waitWhileBlocked(pc *proxyConn, blocking linkFault) bool {
 	for {
 		p.mu.Lock()
--- a/soak/ratecap_test.go
+++ b/soak/ratecap_test.go
@@ -13,8 +13,8 @@
 	rateCapWindow = 4 * time.Second
 	rateCapExcess = 1.5
 	rateCapSlack  = 5
-	// rateCapLearnTime is the time after a request to the endpoint from which the node that sent it must know the cap,
-	// and the time after a disturbance of a node during which it need not know the cap.
+	// rateCapLearnTime is the time within which a node must learn the cap, counted from its first request to the
+	// endpoint in the period, and again from its first request after a disturbance.
 	rateCapLearnTime = 3 * time.Second
 	// rateCapDuration is how long a cap is stated: longer than nodes wait until all know which nodes share it.
 	rateCapDuration = 14 * time.Second
@@ -45,6 +45,7 @@
 	running.Wait()
 }
 
+// stateRateCaps makes an endpoint state each of the rates as its cap for rateCapDuration, one after another.
 func (c *cluster) stateRateCaps(e *endpoint, rates []float64) {
 	if !e.rateCapMu.TryLock() {
 		return
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -56,11 +56,13 @@
 }
 
 const (
-	// faultsPerSecond is the mean number of faults that begin per second. Each lasts up to maxFaultDuration.
+	// faultsPerSecond is the mean number of faults that begin per second. Each is given a duration of up to
+	// maxFaultDuration; some kinds last longer by a fixed time.
 	faultsPerSecond  = 2.0
 	maxFaultDuration = 2500 * time.Millisecond
 	callerCount      = 6
-	recoveryTimeout  = 30 * time.Second
+	// recoveryTimeout is the time within which all nodes must serve again once all faults have ended.
+	recoveryTimeout = 30 * time.Second
 )
 
 func TestSoak(t *testing.T) {
@@ -82,8 +84,8 @@
 	}
 }
 
-// runSeed runs one seed. The same seed gives the same faults at the same times, as far as the scheduling of processes
-// allows.
+// runSeed runs nodes and callers, injects the faults of one seed and checks the guarantees. The same seed gives the same
+// faults at the same times, as far as the scheduling of processes allows.
 func runSeed(t *testing.T, binary string, seed uint64, only string, duration time.Duration) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	c := &cluster{
@@ -115,7 +117,7 @@
 	calling.Wait()
 	c.checkRecovery(cs, "after", recoveryTimeout)
 	c.checkPoison(cs)
-	c.checkRecovery(cs, "beside", recoveryTimeout)
+	c.checkRecovery(cs, "after-repeats", recoveryTimeout)
 	c.check(cs)
 	t.Logf("seed %d: %d requests, faults %v", seed, len(cs.requests), injected)
 	if len(c.violations) > 0 {
