--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -21,7 +21,7 @@
 // logTailBytes is how much of the end of a log is printed if a process exits with an unexpected code.
 const logTailBytes = 6000
 
-// cmdStandin starts the stand-in: standin FILE.
+// cmdStandin starts the stand-in with a configuration file and sets $PLATFORM to its address: standin FILE.
 func cmdStandin(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	p, err := f.start("standin", "standin", "--config", ts.MkAbs(args[0]))
@@ -30,7 +30,8 @@
 	ts.Setenv("PLATFORM", f.platformAddress)
 }
 
-// cmdNode starts nodes: node NAMES DOMAINS [FLAGS...]. Both lists are separated by commas; domains repeat as needed.
+// cmdNode starts nodes: node NAMES DOMAINS [FLAGS...]. Both lists are separated by commas; domains repeat as needed. It
+// sets $NAME_CALLERS, $NAME_OPERATORS and $NAME_PEERS to the addresses of each node.
 func cmdNode(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	domains := strings.Split(args[1], ",")
@@ -107,7 +108,8 @@
 	}
 }
 
-// cmdFault injects a fault: fault TARGET KIND [Delay=1s] [Factor=10] [Count=3] [Times=1].
+// cmdFault injects a fault: fault TARGET KIND [Delay=1s] [Factor=10] [Count=3] [Times=1]. See standin.Fault for the
+// targets and arguments.
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
 	fault := standin.Fault{Target: args[0], Kind: standin.FaultKind(args[1])}
 	var err error
@@ -145,7 +147,8 @@
 }
 
 // cmdLoad starts a load: load NAME PIPELINE [count=N] [workers=N] [keys=v7|v4] [fan] [tries=N]
-// [tokens=N] [stream] [numbers] [pause=D] [via=NODES]. See loadPlan; via sends to the named nodes only.
+// [tokens=N] [stream] [numbers] [pause=D] [via=NODES]. The arguments set the fields of loadPlan: keys sets keyForm, fan
+// fanOut, tries maxAttempts, tokens maxTokens, and numbers numberAttempts. via sends to the named nodes only.
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
@@ -200,7 +203,8 @@
 	ts.Check(waitFor(func() bool { return l.ended.Load() >= int64(n) }))
 }
 
-// cmdExpect waits until a load has ended and checks one of its statistics: expect NAME STATISTIC OPERATOR NUMBER.
+// cmdExpect waits until a load has ended and checks one of its statistics: expect NAME STATISTIC OPERATOR NUMBER. The
+// operator is ==, >= or <=.
 func cmdExpect(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	l := f.loads[args[0]]
@@ -228,7 +232,15 @@
 	}
 }
 
-// statistics holds the statistics of a load. Each function reports whether a request counts.
+// statistics holds the statistics of a load. Each function reports whether a request counts:
+//
+//	doubles   its idempotency key ran more than once
+//	untrue    it ran although a refusal said that it had not
+//	wrong     an answer differs from the expected one, or its stream had a gap or a repeat
+//	cut       an attempt ended without an answer or refusal
+//	missing   no attempt was answered
+//	refused   an attempt was refused or cut
+//	unknown   no attempt was answered, and it is not known of at least one of them whether it ran
 var statistics = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
 	"doubles": func(l *load, o *outcome, journal standin.JournalSummary) bool {
 		return journal.Keys[l.plan.customer+"/"+o.key] > 1
@@ -291,6 +303,7 @@
 	return last == model.NotRun && journal.Keys[l.plan.customer+"/"+o.key] > 0
 }
 
+// hasWrongAnswer reports whether an answer differs from the one that the stand-in's endpoints give to the request.
 func hasWrongAnswer(l *load, o *outcome) bool {
 	pipeline, ok := bilbaoPipeline(l.plan.pipeline)
 	if !ok {
@@ -305,6 +318,7 @@
 	return false
 }
 
+// reasonCounts returns how many attempts ended with each reason.
 func (l *load) reasonCounts() map[model.Reason]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -317,7 +331,8 @@
 	return counts
 }
 
-// cmdAwait waits until all running nodes report a state, or until the sum of a metric over them reaches a minimum.
+// cmdAwait waits until all running nodes report a state of a member, a leaving endpoint or a settings revision, or until
+// the sum of a metric over them reaches a minimum. A node is not asked for its own state.
 //
 //	await metric NAME MINIMUM    await state MEMBER STATE
 //	await leaving ENDPOINT       await revision N
@@ -339,6 +354,7 @@
 	}))
 }
 
+// nodeReports reports whether a node reports what the arguments of the command await name.
 func (f *fleet) nodeReports(p *process, args []string) bool {
 	switch args[0] {
 	case "state":
@@ -366,6 +382,7 @@
 	}
 }
 
+// metricSum returns the sum of a metric over all running nodes. The name includes the labels.
 func (f *fleet) metricSum(name string) float64 {
 	sum := 0.0
 	for _, p := range f.nodes() {
@@ -402,6 +419,7 @@
 	}
 }
 
+// runCount returns the number of runs of an endpoint in the stand-in's journal.
 func (f *fleet) runCount(ts *testscript.TestScript, endpoint string) int {
 	var runs []standin.Run
 	ts.Check(f.platformGet("/journal/runs", &runs))
@@ -414,8 +432,9 @@
 	return n
 }
 
-// cmdChange makes operators change one document concurrently, through different nodes. It checks that exactly one of
-// them is applied as each revision and that each revision comes into force on all nodes: change COUNT RACERS.
+// cmdChange applies COUNT changes to one document, one after another. For each, RACERS operators submit changes
+// concurrently, through different nodes. It checks that exactly one of them is applied as each revision and that each
+// revision comes into force on all nodes: change COUNT RACERS.
 func cmdChange(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	count, err := strconv.Atoi(args[0])
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -24,6 +24,7 @@
 )
 
 const (
+	// fleetKey is the key of the fleet among the values of a script.
 	fleetKey = "fleet"
 	// maxWait limits the wait for a condition that is never met. No check depends on its value.
 	maxWait      = 2 * time.Minute
@@ -36,13 +37,14 @@
 )
 
 type (
-	// process is a process that a script started. exitCode is valid once done is closed.
+	// process is a process that a script started. done is closed when it exits; exitCode is valid from then on.
 	process struct {
-		name      string
-		cmd       *exec.Cmd
-		logPath   string
-		done      chan struct{}
-		exitCode  int
+		name     string
+		cmd      *exec.Cmd
+		logPath  string
+		done     chan struct{}
+		exitCode int
+		// addresses are those on which it listens: for a node, those for callers, operators and peers.
 		addresses []string
 	}
 
@@ -55,6 +57,7 @@
 
 	// fleet holds the processes and loads that a script has started.
 	fleet struct {
+		// dir holds the logs and address files of the processes. env is their environment.
 		dir             string
 		env             []string
 		mu              sync.Mutex
@@ -141,6 +144,7 @@
 	}
 }
 
+// close kills all processes and stops the balancer.
 func (f *fleet) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,6 +235,7 @@
 	return e, f.operatorGet(p, "/v1/endpoints", &e)
 }
 
+// operatorGet requests a path of a node's interface for operators.
 func (f *fleet) operatorGet(p *process, path string, result any) error {
 	c := &operator.Client{BaseURL: "http://" + p.addresses[1], Token: operatorsToken, HTTP: f.client}
 	return c.Get(context.Background(), path, result)
@@ -253,6 +258,7 @@
 	return s, f.platformGet("/journal/summary", &s)
 }
 
+// platformGet requests a path of the stand-in.
 func (f *fleet) platformGet(path string, result any) error {
 	res, err := f.client.Get("http://" + f.platformAddress + path)
 	if err != nil {
@@ -274,7 +280,7 @@
 	return res.Body.Close()
 }
 
-// waitFor polls until a condition holds, for at most maxWait.
+// waitFor polls until a condition holds. It fails after maxWait.
 func waitFor(condition func() bool) error {
 	for deadline := time.Now().Add(maxWait); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -21,8 +21,7 @@
 		pipeline string
 		token    string
 		customer string
-		// count is the number of requests, or of idempotency keys if requests have one. workers is the number of
-		// concurrent senders.
+		// count is the number of requests. workers is the number of goroutines that send them.
 		count   int
 		workers int
 		// keyForm is "" for no idempotency keys, "v7" for UUIDv7, "v4" for keys without a time.
@@ -41,20 +40,26 @@
 
 	// outcome collects the results of all attempts of one request.
 	outcome struct {
-		text      string
-		key       string
-		ids       []string
+		// text is the input of the request, unique to it.
+		text string
+		// key is the idempotency key; empty for none.
+		key string
+		ids []string
+		// notRunIDs are the request IDs of the attempts that were refused with the verdict NotRun.
 		notRunIDs []string
 		verdicts  []model.Verdict
-		reasons   []model.Reason
-		answers   []string
-		// cutAttempts counts attempts that ended without an answer or refusal.
+		// reasons holds an entry for each attempt: the reason of the refusal, empty for an answer, and Cut if there was
+		// neither.
+		reasons []model.Reason
+		answers []string
+		// cutAttempts is the number of attempts that ended without an answer or refusal.
 		cutAttempts int
 		// streamGaps is true if the tokens of a stream had a gap or a repeat.
 		streamGaps bool
 	}
 
-	// load is a load that is running or has ended. done is closed when it ends.
+	// load is a series of requests that is being sent or has ended. done is closed when it ends; ended is the number of
+	// requests that have ended.
 	load struct {
 		plan     loadPlan
 		done     chan struct{}
@@ -97,6 +102,7 @@
 	return l
 }
 
+// sendOne sends the request with index i and records its outcome.
 func (l *load) sendOne(client *http.Client, addresses func() []string, i int) {
 	o := &outcome{text: "load " + l.plan.pipeline + " " + uuid.NewString()}
 	switch l.plan.keyForm {
@@ -187,10 +193,12 @@
 	}
 }
 
+// ran reports whether an attempt was answered.
 func (o *outcome) ran() bool {
 	return slices.Contains(o.verdicts, model.Ran)
 }
 
+// refused reports whether an attempt was refused or ended without an answer or refusal.
 func (o *outcome) refused() bool {
 	return slices.ContainsFunc(o.reasons, func(r model.Reason) bool { return r != "" })
 }
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -30,7 +30,8 @@
 }
 
 // cmdOrders checks the journal of orders to engines: no order of an earlier lease holder follows one of a later holder,
-// no engine loaded an adapter more than MAXLOADS times, and at least MINHOLDERS holders sent orders:
+// no engine was ordered to load an adapter more than MAXLOADS times, and at least MINHOLDERS holders sent orders (each
+// holder has a fencing number of its own):
 // orders MAXLOADS MINHOLDERS.
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
 	var orders []standin.OrderRecord
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -12,6 +12,7 @@
 	"basilstall.example/basilstall/table"
 )
 
+// fleetSettingsFormat formats the fleet document with its retention in seconds, which differs between all changes.
 const fleetSettingsFormat = "Horizon: 4s\nRetention: %ds\n"
 
 // raceChanges makes changes one after another. In each, several operators submit changes with the same base revision
@@ -27,7 +28,7 @@
 		start := time.Now()
 		revision := uint64(0)
 		for revision == 0 {
-			// No operator wins if the base was read from a stale table. The replies then contain the current revision.
+			// No change is applied if the base was read from a stale table. The replies then contain the current revision.
 			if revision, base, err = f.raceOnce(base, racers, i); err != nil {
 				return longest, err
 			}
@@ -40,6 +41,7 @@
 	return longest, nil
 }
 
+// documentRevision returns the current revision of a settings document.
 func (f *fleet) documentRevision(path string) (uint64, error) {
 	nodes := f.nodes()
 	var doc model.Document
@@ -53,8 +55,8 @@
 	return 0, err
 }
 
-// raceOnce runs one race. It returns the revision of the winner, or zero and the current revision that the replies to
-// the losers contain.
+// raceOnce makes all operators submit a change with the same base revision. It returns the revision of the change that
+// was applied, or, if none was, zero and the current revision that the replies contain.
 func (f *fleet) raceOnce(base uint64, racers, round int) (revision, current uint64, err error) {
 	nodes := f.nodes()
 	results := make([]operator.ChangeResult, racers)
@@ -88,6 +90,8 @@
 	return checkOneWinner(results, errs)
 }
 
+// checkOneWinner returns the revision of the change that was applied, or zero and the greatest current revision that the
+// replies contain. It fails if several changes were applied or an outcome is still unknown.
 func checkOneWinner(results []operator.ChangeResult, errs []error) (revision, current uint64, err error) {
 	for i, result := range results {
 		if errs[i] != nil {
@@ -103,12 +107,12 @@
 			continue
 		}
 		if revision != 0 {
-			return 0, 0, fmt.Errorf("two operators won: revisions %d and %d", revision, result.Revision)
+			return 0, 0, fmt.Errorf("two changes were applied: revisions %d and %d", revision, result.Revision)
 		}
 		revision = result.Revision
 	}
 	if revision == 0 && current == 0 {
-		return 0, 0, fmt.Errorf("no operator won: %+v", results)
+		return 0, 0, fmt.Errorf("no change was applied and no reply has a current revision: %+v", results)
 	}
 	return revision, current, nil
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -24,7 +24,7 @@
 	// maxDomainCallsPerSecond is how many calls per second the nodes of a failure domain may make to a store that is
 	// down: four by each of the two designated readers (see kernel.SourceSelector), one attempt of another node each time
 	// that the readers were asked in vain, and the same number again for overlaps. maxUnsettledCallsPerSecond is the
-	// limit for a node that knows no other nodes: at first it calls for three tables and for its own row. A node counts
+	// limit for a node that knows no other nodes: at first it reads three tables and writes its own row. A node counts
 	// as unsettled for settleTime after a disturbance.
 	maxDomainCallsPerSecond    = 20
 	maxUnsettledCallsPerSecond = 6
