--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -408,7 +408,8 @@
 	}
 }
 
-// cmdQuiet checks that endpoints have had no runs since the command mark: quiet ENDPOINT...
+// cmdQuiet checks that endpoints have had no runs since the command mark: quiet ENDPOINT... With ! before it, it checks
+// that each has had some.
 func cmdQuiet(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -58,8 +58,9 @@
 	// fleet holds the processes and loads that a script has started.
 	fleet struct {
 		// dir holds the logs and address files of the processes. env is their environment.
-		dir             string
-		env             []string
+		dir string
+		env []string
+		// mu protects processes, the addresses of each, readyAddresses and closed.
 		mu              sync.Mutex
 		platformAddress string
 		processes       map[string]*process
@@ -199,13 +200,13 @@
 // inRotation returns the addresses to which callers are sent after one round of probes. If no node reports that it is
 // ready, silent nodes that were in rotation stay in it. The platform also keeps sending callers to some node in this
 // case, and a probe that a busy machine does not answer in time says nothing about the node.
-func inRotation(before []string, probes []probe) []string {
+func inRotation(previous []string, probes []probe) []string {
 	var ready, silent []string
 	for _, p := range probes {
 		switch {
 		case p.ready:
 			ready = append(ready, p.address)
-		case p.silent && slices.Contains(before, p.address):
+		case p.silent && slices.Contains(previous, p.address):
 			silent = append(silent, p.address)
 		}
 	}
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -19,6 +19,7 @@
 	// loadPlan configures a load.
 	loadPlan struct {
 		pipeline string
+		// token is the API token of the customer, customer the name as TEAM/CUSTOMER.
 		token    string
 		customer string
 		// count is the number of requests. workers is the number of goroutines that send them.
@@ -61,10 +62,11 @@
 	// load is a series of requests that is being sent or has ended. done is closed when it ends; ended is the number of
 	// requests that have ended.
 	load struct {
-		plan     loadPlan
-		done     chan struct{}
-		sent     atomic.Int64
-		ended    atomic.Int64
+		plan  loadPlan
+		done  chan struct{}
+		sent  atomic.Int64
+		ended atomic.Int64
+		// mu protects outcomes, and the outcome of each request while its attempts run.
 		mu       sync.Mutex
 		outcomes []*outcome
 	}
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -19,7 +19,7 @@
 // check compares the answers that callers received with the runs of the endpoints.
 func (c *cluster) check(cs *callers) {
 	cs.mu.Lock()
-	all := cs.requests
+	sent := cs.requests
 	cs.mu.Unlock()
 	runs := map[string][]endpointRun{}
 	for _, e := range c.endpoints {
@@ -31,21 +31,21 @@
 		}
 	}
 	requests := map[string]*sentRequest{}
-	for _, s := range all {
+	for _, s := range sent {
 		requests[s.ID] = s
 		c.checkAnswer(s, runs[s.ID])
 	}
 	c.checkRateCaps(requests)
 	c.checkPieceCalls()
 	c.checkCold()
-	for id, ran := range runs {
+	for id, requestRuns := range runs {
 		s := requests[id]
 		if s == nil {
-			run := ran[0].run
-			c.reportViolation("%q ran although no caller sent it: %s %s at %s, header %v", id, run.Method, run.URI, ran[0].endpoint.Name, run.Header)
+			run := requestRuns[0].run
+			c.reportViolation("%q ran although no caller sent it: %s %s at %s, header %v", id, run.Method, run.URI, requestRuns[0].endpoint.Name, run.Header)
 			continue
 		}
-		c.checkRuns(s, ran)
+		c.checkRuns(s, requestRuns)
 	}
 }
 
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -281,6 +281,7 @@
 	return nil
 }
 
+// handleLogLine copies a line to the log file and takes the address for callers from the line that reports the start.
 func (n *node) handleLogLine(line []byte) {
 	_, _ = n.logFile.Write(append(bytes.Clone(line), '\n'))
 	if !bytes.Contains(line, []byte("node started")) {
@@ -294,19 +295,21 @@
 	}
 }
 
+// address returns the address for callers of the running process; empty if it is not known.
 func (n *node) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.callerAddress
 }
 
+// recordDisturbance records that a fault began or ended at the process or its connections.
 func (n *node) recordDisturbance() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recordDisturbanceLocked()
 }
 
-// recordDisturbanceLocked records that a fault began or ended at the process or its connections. n.mu must be held.
+// recordDisturbanceLocked is recordDisturbance for callers that hold n.mu.
 func (n *node) recordDisturbanceLocked() {
 	n.disturbedAt = time.Now()
 	n.disturbances = append(n.disturbances, n.disturbedAt)
@@ -341,6 +344,7 @@
 	n.mu.Unlock()
 }
 
+// close kills all nodes and closes the endpoints, the store and all proxies.
 func (c *cluster) close() {
 	for _, n := range c.nodes {
 		n.signal(syscall.SIGCONT)
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -14,14 +14,14 @@
 	evacuationDelay = time.Second
 	// evacuatedDomain is the failure domain that is evacuated. Its endpoints are started for that purpose.
 	evacuatedDomain = "domain-emptied"
-	// maxColdRate is the number of requests per second that a cold engine can take. coldDuration is how long an engine is
+	// maxColdRate is the number of requests per second that a cold engine can serve. coldDuration is how long an engine is
 	// cold: longer than the nodes may take to learn of it.
 	maxColdRate  = int(standin.ColdRate)
 	coldDuration = slack + 4*time.Second
 )
 
 // evacuate starts an endpoint of each pool in a separate failure domain, evacuates the domain for longer than the
-// evacuation may take to apply, sometimes twice in quick succession, and takes it back.
+// evacuation may take to apply, sometimes twice in quick succession, and ends the evacuation.
 func evacuate(c *cluster, random *rand.Rand, duration time.Duration) {
 	if !c.evacuationMu.TryLock() {
 		return
--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -17,10 +17,10 @@
 	poisonMarker = "poison"
 	// repeatSeparator separates the subject from the number of the repeat in the ID of a poison request.
 	repeatSeparator = "#"
-	// quarantineDelay is the time after which nodes without faults apply the quarantine of a request. maxFurtherCrashes
+	// quarantineDelay is the time after which nodes without faults apply the quarantine of a request. maxCrashesAfterQuarantine
 	// is how many of its repeats may crash an endpoint nevertheless.
-	quarantineDelay   = 3 * time.Second
-	maxFurtherCrashes = 3
+	quarantineDelay           = 3 * time.Second
+	maxCrashesAfterQuarantine = 3
 	// meanRepeatInterval is the mean time between two repeats while faults are injected.
 	meanRepeatInterval = 200 * time.Millisecond
 	// repeatsPerNode is how many repeats are sent to each node once all faults have ended.
@@ -65,8 +65,8 @@
 	defer c.mu.Unlock()
 	ids := map[string]bool{}
 	for _, e := range c.endpoints {
-		if by := e.CrashedBy(); strings.HasPrefix(by, subject+repeatSeparator) {
-			ids[by] = true
+		if id := e.CrashedBy(); strings.HasPrefix(id, subject+repeatSeparator) {
+			ids[id] = true
 		}
 	}
 	return len(ids)
@@ -89,7 +89,7 @@
 // checkPoisonSubject sends repeats of one poison request to all nodes and checks how many of them crash an endpoint.
 func (c *cluster) checkPoisonSubject(cs *callers, subject string) {
 	route := strings.Split(subject, "-")[1]
-	before := c.crashCount(subject)
+	crashesBefore := c.crashCount(subject)
 	for range repeatsPerNode {
 		for _, n := range c.nodes {
 			previous := c.crashCount(subject)
@@ -100,8 +100,8 @@
 		}
 	}
 	// A request is quarantined only after CrashThreshold crashes.
-	allowed := max(0, kernel.CrashThreshold-before) + maxFurtherCrashes
-	if after := c.crashCount(subject) - before; after > allowed {
-		c.reportViolation("%s had crashed endpoints in %d repeats and crashed others in %d further repeats after all faults had ended", subject, before, after)
+	maxCrashes := max(0, kernel.CrashThreshold-crashesBefore) + maxCrashesAfterQuarantine
+	if furtherCrashes := c.crashCount(subject) - crashesBefore; furtherCrashes > maxCrashes {
+		c.reportViolation("%s had crashed endpoints in %d repeats and crashed others in %d further repeats after all faults had ended", subject, crashesBefore, furtherCrashes)
 	}
 }
