--- a/soak/poison_test.go
+++ b/soak/poison_test.go
@@ -17,8 +17,8 @@
 	poisonMarker = "poison"
 	// repeatSeparator separates the subject from the number of the repeat in the ID of a poison request.
 	repeatSeparator = "#"
-	// quarantineDelay is the time after which nodes without faults apply the quarantine of a request. maxCrashesAfterQuarantine
-	// is how many of its repeats may crash an endpoint nevertheless.
+	// quarantineDelay is the time after which nodes without faults apply the quarantine of a request.
+	// maxCrashesAfterQuarantine is how many of its repeats may crash an endpoint nevertheless.
 	quarantineDelay           = 3 * time.Second
 	maxCrashesAfterQuarantine = 3
 	// meanRepeatInterval is the mean time between two repeats while faults are injected.
