--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -12,7 +12,8 @@
 	"basilstall.example/basilstall/table"
 )
 
-// fleetSettingsFormat formats the fleet document with its retention in seconds, which differs between all changes.
+// fleetSettingsFormat formats the fleet document with its retention in seconds, which differs between the operators of a
+// race and between the races of one call of raceChanges.
 const fleetSettingsFormat = "Horizon: 4s\nRetention: %ds\n"
 
 // raceChanges makes changes one after another. In each, several operators submit changes with the same base revision
