--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -79,7 +79,7 @@
 func (b *batcher) updateRateCaps() {
 	b.mu.Lock()
 	for _, worker := range b.workers(b.relay.Registry()) {
-		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.PartialView(worker.Incarnation()).Cap)
+		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.FractionalView(worker.Incarnation()).Cap)
 	}
 	b.mu.Unlock()
 	b.startCalls()
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -25,7 +25,7 @@
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
-		Part:          r.rateCapShare,
+		Fraction:      r.rateCapShare,
 		Publish:       r.deps.PublishRateCap,
 		RequestPermit: r.requestCapPermit,
 		Changed:       r.batchers.updateRateCaps,
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -68,7 +68,7 @@
 		// refusedRequests holds the refused requests of the pools for which this node is the refusedRequestsCoordinator.
 		refusedRequests *refusedRequests
 		// quarantine holds back requests that crash the endpoints that run them.
-		quarantine *quarantine.Coordinator
+		quarantine *quarantine.Agent
 		// rateCaps limits what is sent to endpoints that state a rate cap.
 		rateCaps *ratecap.Limiter
 
@@ -112,7 +112,7 @@
 	r.remoteGroups = newRemoteGroups()
 	r.activeCalls = newCallTracker()
 	r.refusedRequests = newRefusedRequests()
-	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
+	r.quarantine = quarantine.NewAgent(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: deps.Connect, Store: deps.StoreQuarantine,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
