--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -20,9 +20,11 @@
 	// the connection.
 	callerDeadline = 3 * time.Second
 	callerTimeout  = 4 * time.Second
-	streamEvents   = 5
-	validKey       = "key-good"
-	invalidKey     = "key-never-held"
+	// streamEvents is the number of events in the answer of an endpoint on a stream route.
+	streamEvents = 5
+	// validKey is an API key that is valid throughout the run, invalidKey one that is never valid.
+	validKey   = "key-good"
+	invalidKey = "key-never-held"
 )
 
 type (
@@ -64,17 +66,18 @@
 	}
 }
 
+// pickKey returns a valid API key, or sometimes one that was revoked or never valid.
 func (cs *callers) pickKey(random *rand.Rand) string {
 	cs.cluster.mu.Lock()
 	defer cs.cluster.mu.Unlock()
 	if random.IntN(20) == 0 {
 		return invalidKey
 	}
-	if revoked := len(cs.cluster.revokedKeys); revoked > 0 && random.IntN(5) == 0 {
-		keys := slices.Sorted(maps.Keys(cs.cluster.revokedKeys))
+	if revoked := len(cs.cluster.revokedAPIKeys); revoked > 0 && random.IntN(5) == 0 {
+		keys := slices.Sorted(maps.Keys(cs.cluster.revokedAPIKeys))
 		return keys[random.IntN(revoked)]
 	}
-	return cs.cluster.keys[random.IntN(len(cs.cluster.keys))]
+	return cs.cluster.apiKeys[random.IntN(len(cs.cluster.apiKeys))]
 }
 
 // send sends one request and records the answer.
