--- a/caller/client.go
+++ b/caller/client.go
@@ -14,8 +14,8 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEventBytes bounds the length of a line in a stream.
-const maxEventBytes = 4 << 20
+// maxLineBytes bounds the length of a line in a stream.
+const maxLineBytes = 4 << 20
 
 type (
 	// Client sends requests to a node.
@@ -102,7 +102,7 @@
 // readStream reads events up to the final one. Their IDs must be consecutive, beginning with 0.
 func readStream(body io.Reader, onToken func(TokenBody)) (Result, error) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxEventBytes)
+	scanner.Buffer(nil, maxLineBytes)
 	var event string
 	next := 0
 	for scanner.Scan() {
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -199,7 +199,7 @@
 		f.selectorMu.Unlock()
 	}
 	if request.Hold > 0 && f.isStale() {
-		f.updates.Await(ctx, min(request.Hold, sourceLongPoll), func() bool { return !f.isStale() })
+		f.updates.Await(ctx, min(request.Hold, sourceLongPollTime), func() bool { return !f.isStale() })
 	}
 	reply := peer.FeedReply{Tables: map[string]kernel.Delta{}, Lost: f.storeLost()}
 	now := clock.Now()
--- a/follow/notices.go
+++ b/follow/notices.go
@@ -19,10 +19,10 @@
 	NoticesTable = "basilstall_notices"
 	// RateCapPrefix is the prefix of the keys of rows about rate caps.
 	RateCapPrefix = "rate-cap/"
-	// noticesHold is how long the store may delay its answer to a request for changes of NoticesTable. Changes are
+	// noticesMaxWait is how long the store may delay its answer to a request for changes of NoticesTable. Changes are
 	// answered at once. A connection that has become silent is given up soon after this time, and so within the time in
 	// which all nodes have to know a notice.
-	noticesHold = 2 * time.Second
+	noticesMaxWait = 2 * time.Second
 )
 
 // Notices passes the held requests and the rate caps in NoticesTable to the relay.
@@ -38,7 +38,7 @@
 
 // Table returns NoticesTable as a table to follow.
 func (n *Notices) Table() Table {
-	return Table{Name: NoticesTable, Hold: noticesHold, IgnoreAge: true, Apply: n.apply}
+	return Table{Name: NoticesTable, MaxWait: noticesMaxWait, IgnoreAge: true, Apply: n.apply}
 }
 
 func (n *Notices) apply(_ time.Time, rows []kernel.Row) {
--- a/follow/read.go
+++ b/follow/read.go
@@ -91,12 +91,12 @@
 		f.applyAnswer(t, startedAt, answer, true)
 		return nil
 	}
-	hold := t.Hold
+	maxWait := t.MaxWait
 	if t.down.Load() {
 		// The replica is old already: request an immediate answer.
-		hold = 0
+		maxWait = 0
 	}
-	answer, err := f.store.ReadChanges(ctx, t.Name, after, hold)
+	answer, err := f.store.ReadChanges(ctx, t.Name, after, maxWait)
 	// The changes may contain a row many times, the whole table contains it once: if the changes are too large for an
 	// answer, the whole table is read.
 	if errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrTooLong) {
--- a/follow/source.go
+++ b/follow/source.go
@@ -15,17 +15,17 @@
 const (
 	// peerPollInterval is the time between two requests to other nodes. It adds to the age of the tables.
 	peerPollInterval = 500 * time.Millisecond
-	// maxPeerSilence is how long an asked node may send nothing. An answer that is still being received may take
+	// peerIdleTimeout is how long an asked node may send nothing. An answer that is still being received may take
 	// longer, in the end up to maxPeerTimeout: the time that 10 Mbit/s, the bandwidth of the slowest links of hosts,
 	// take for the largest message.
-	maxPeerSilence = 400 * time.Millisecond
-	maxPeerTimeout = 7 * time.Second
+	peerIdleTimeout = 400 * time.Millisecond
+	maxPeerTimeout  = 7 * time.Second
 	// maxSourceAttempts is how many nodes are asked one after the other. The last one may delay its answer by
-	// sourceLongPoll while it waits for newer tables itself, and the next request follows after peerRetryInterval. All
-	// waiting nodes thus learn at once that the store is back.
-	maxSourceAttempts = 3
-	sourceLongPoll    = 400 * time.Millisecond
-	peerRetryInterval = 100 * time.Millisecond
+	// sourceLongPollTime while it waits for newer tables itself, and the next request follows after peerRetryInterval.
+	// All waiting nodes thus learn at once that the store is back.
+	maxSourceAttempts  = 3
+	sourceLongPollTime = 400 * time.Millisecond
+	peerRetryInterval  = 100 * time.Millisecond
 )
 
 // pollPeers requests changes from other nodes if this node does not read the store itself or the store does not answer
@@ -40,7 +40,7 @@
 	for attempt := 0; attempt < maxSourceAttempts && plan.Source != ""; attempt++ {
 		hold := time.Duration(0)
 		if plan.LongPoll || attempt == maxSourceAttempts-1 {
-			hold, attempt = sourceLongPoll, maxSourceAttempts
+			hold, attempt = sourceLongPollTime, maxSourceAttempts
 		}
 		sufficient := f.querySource(ctx, plan.Source, hold)
 		plan = f.plan()
@@ -109,7 +109,7 @@
 	defer cancel()
 	// A slow answer may be one that many nodes wait for, or a large one on a slow link. Reading the store meanwhile
 	// lets this node learn in time which endpoints are leaving.
-	slowTimer := time.AfterFunc(maxPeerSilence+hold, func() { f.setReadsStore(true, "the reader's answer is slow") })
+	slowTimer := time.AfterFunc(peerIdleTimeout+hold, func() { f.setReadsStore(true, "the reader's answer is slow") })
 	defer slowTimer.Stop()
 	request := peer.Feed{After: map[string]uint64{}, Unpacks: true, Node: f.options.Name, Hold: hold}
 	for _, t := range f.tables {
@@ -122,7 +122,7 @@
 	}
 	sentAt := clock.Now()
 	var reply peer.FeedReply
-	if err := f.relay.CallUnlessSilent(ctx, maxPeerSilence+hold, node, peer.KindFeed, request, &reply); err != nil {
+	if err := f.relay.CallUnlessSilent(ctx, peerIdleTimeout+hold, node, peer.KindFeed, request, &reply); err != nil {
 		f.recordFailure(node, "", err)
 		return kernel.SourceAnswer{}, err
 	}
--- a/follow/table.go
+++ b/follow/table.go
@@ -12,9 +12,9 @@
 	// Table is a table to follow. Apply is called by one goroutine at a time.
 	Table struct {
 		Name string
-		// Hold is how long the store may delay its answer to a request until there are changes. PollInterval is the
+		// MaxWait is how long the store may delay its answer to a request until there are changes. PollInterval is the
 		// pause between two requests.
-		Hold         time.Duration
+		MaxWait      time.Duration
 		PollInterval time.Duration
 		// IgnoreAge is true if the contents of the table stay in effect however long ago they were proven current. The
 		// age of the table then does not count in the decision which nodes read the store, and a starting node gets the
@@ -28,8 +28,8 @@
 	Store struct {
 		// ReadAll returns all rows of a table, and the version up to which they are complete.
 		ReadAll func(ctx context.Context, table string) (Answer, error)
-		// ReadChanges returns what changed after a version. If nothing did, it waits for the first change, up to hold.
-		ReadChanges func(ctx context.Context, table string, after uint64, hold time.Duration) (Answer, error)
+		// ReadChanges returns what changed after a version. If nothing did, it waits for the first change, up to maxWait.
+		ReadChanges func(ctx context.Context, table string, after uint64, maxWait time.Duration) (Answer, error)
 	}
 
 	// Answer is the store's answer about a table.
--- a/list/list.go
+++ b/list/list.go
@@ -48,8 +48,8 @@
 	var hosts model.HostList
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
-	ctx, silence := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
-	defer silence.Stop()
+	ctx, idleTimeout := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
+	defer idleTimeout.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+Path, nil)
 	if err != nil {
 		return hosts, errors.Wrap(err, "list: unable to make a request")
@@ -63,7 +63,7 @@
 	if res.StatusCode != http.StatusOK {
 		return hosts, errors.Errorf("list: unable to read: %s", res.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(silence.Reader(res.Body), maxListBytes)).Decode(&hosts); err != nil {
+	if err := json.NewDecoder(io.LimitReader(idleTimeout.Reader(res.Body), maxListBytes)).Decode(&hosts); err != nil {
 		return hosts, errors.Wrap(err, "list: unable to decode")
 	}
 	return hosts, nil
--- a/peer/client.go
+++ b/peer/client.go
@@ -81,19 +81,19 @@
 
 // Call sends a message to the peer at an address and decodes its reply into reply. The error is a *CallError.
 func (c *Client) Call(ctx context.Context, address string, kind Kind, message, reply any) error {
-	return c.callWithSilence(ctx, nil, address, kind, message, reply)
+	return c.roundTrip(ctx, nil, address, kind, message, reply)
 }
 
-// CallUnlessSilent is like Call, for replies that may be large: the call fails if nothing is received from the peer for
-// timeout, or when ctx is done.
-func (c *Client) CallUnlessSilent(ctx context.Context, timeout time.Duration, address string, kind Kind, message, reply any) error {
-	ctx, silence := clock.WithIdleTimeout(ctx, timeout, timeout)
-	defer silence.Stop()
-	return c.callWithSilence(ctx, silence, address, kind, message, reply)
+// CallWithIdleTimeout is like Call, for replies that may be large: the call fails if nothing is received from the peer
+// for timeout, or when ctx is done.
+func (c *Client) CallWithIdleTimeout(ctx context.Context, timeout time.Duration, address string, kind Kind, message, reply any) error {
+	ctx, idleTimeout := clock.WithIdleTimeout(ctx, timeout, timeout)
+	defer idleTimeout.Stop()
+	return c.roundTrip(ctx, idleTimeout, address, kind, message, reply)
 }
 
-// callWithSilence performs a call. If silence is not nil, it is reset whenever bytes are received on the connection.
-func (c *Client) callWithSilence(ctx context.Context, silence *clock.IdleTimeout, address string, kind Kind, message, reply any) error {
+// roundTrip performs a call. If idleTimeout is not nil, it is reset whenever bytes are received on the connection.
+func (c *Client) roundTrip(ctx context.Context, idleTimeout *clock.IdleTimeout, address string, kind Kind, message, reply any) error {
 	body, err := EncodeBody(message)
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
@@ -102,7 +102,7 @@
 	if err != nil {
 		return &CallError{Verdict: model.NotRun, Err: err}
 	}
-	frame, err := conn.call(ctx, silence, kind, body)
+	frame, err := conn.call(ctx, idleTimeout, kind, body)
 	if err != nil {
 		return err
 	}
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -25,8 +25,8 @@
 	// calls holds the channels of the calls that wait for a reply, by number.
 	calls map[uint64]chan Frame
 	// silences holds the timers of those calls that fail if nothing is received, by number. Each is also in calls.
-	silences   map[uint64]*clock.IdleTimeout
-	lastNumber uint64
+	idleTimeouts map[uint64]*clock.IdleTimeout
+	lastNumber   uint64
 	// writeMu keeps frames from being interleaved.
 	writeMu sync.Mutex
 	// lastReadAt is when bytes were last read, in Unix nanoseconds. It changes with each read, not with each frame: if
@@ -48,7 +48,7 @@
 }
 
 func newClientConn(raw net.Conn, silenceTimeout time.Duration) *clientConn {
-	c := &clientConn{conn: raw, silenceTimeout: silenceTimeout, calls: map[uint64]chan Frame{}, silences: map[uint64]*clock.IdleTimeout{}, done: make(chan struct{})}
+	c := &clientConn{conn: raw, silenceTimeout: silenceTimeout, calls: map[uint64]chan Frame{}, idleTimeouts: map[uint64]*clock.IdleTimeout{}, done: make(chan struct{})}
 	c.lastReadAt.Store(time.Now().UnixNano())
 	go func() {
 		defer c.close()
@@ -70,11 +70,11 @@
 			return
 		}
 		c.mu.Lock()
-		waiting := c.calls[frame.Number]
+		reply := c.calls[frame.Number]
 		delete(c.calls, frame.Number)
 		c.mu.Unlock()
-		if waiting != nil {
-			waiting <- frame
+		if reply != nil {
+			reply <- frame
 		}
 	}
 }
@@ -85,16 +85,16 @@
 	if n > 0 {
 		c.lastReadAt.Store(time.Now().UnixNano())
 		c.bytesRead.Add(int64(n))
-		c.resetSilences()
+		c.resetIdleTimeouts()
 	}
 	return n, err
 }
 
-func (c *clientConn) resetSilences() {
+func (c *clientConn) resetIdleTimeouts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, silence := range c.silences {
-		silence.Reset()
+	for _, idleTimeout := range c.idleTimeouts {
+		idleTimeout.Reset()
 	}
 }
 
@@ -139,23 +139,23 @@
 	return len(c.calls) > 0
 }
 
-// call sends a frame and waits for its reply. If silence is not nil, it is reset whenever bytes are received. The error
+// call sends a frame and waits for its reply. If idleTimeout is not nil, it is reset whenever bytes are received. The error
 // is a *CallError.
-func (c *clientConn) call(ctx context.Context, silence *clock.IdleTimeout, kind Kind, body []byte) (Frame, error) {
+func (c *clientConn) call(ctx context.Context, idleTimeout *clock.IdleTimeout, kind Kind, body []byte) (Frame, error) {
 	reply := make(chan Frame, 1)
 	bytesBefore := c.bytesRead.Load()
 	c.mu.Lock()
 	c.lastNumber++
 	number := c.lastNumber
 	c.calls[number] = reply
-	if silence != nil {
-		c.silences[number] = silence
+	if idleTimeout != nil {
+		c.idleTimeouts[number] = idleTimeout
 	}
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
 		delete(c.calls, number)
-		delete(c.silences, number)
+		delete(c.idleTimeouts, number)
 		c.mu.Unlock()
 	}()
 	select {
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -58,7 +58,7 @@
 // CallUnlessSilent calls another node by its name, for a reply that may be large. The call fails if nothing is
 // received from the node for the time given by silence.
 func (r *Relay) CallUnlessSilent(ctx context.Context, silence time.Duration, node string, kind peer.Kind, message, reply any) error {
-	return r.peers.CallUnlessSilent(ctx, silence, r.addressOf(node), kind, message, reply)
+	return r.peers.CallWithIdleTimeout(ctx, silence, r.addressOf(node), kind, message, reply)
 }
 
 // callNode calls another node by its name. A node that fails to answer is suspected, except if the call ended with
--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -229,7 +229,7 @@
 // start starts the process and reads where it listens from its log.
 func (n *node) start() error {
 	process := exec.Command(n.c.binary, "edge")
-	process.Env = append(os.Environ(), standin.BootVariable+"="+n.settingsPath())
+	process.Env = append(os.Environ(), standin.SettingsVariable+"="+n.settingsPath())
 	process.Stderr = n.log
 	// A node that outlives a soak that was killed asks its store's port for good, which another soak's endpoint may
 	// have by then: that endpoint was run, and no caller sent it.
--- a/table/store.go
+++ b/table/store.go
@@ -139,8 +139,8 @@
 func (s *Store) read(ctx context.Context, parameter, value string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxReadTime)
 	defer cancel()
-	ctx, silence := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
-	defer silence.Stop()
+	ctx, idleTimeout := clock.WithIdleTimeout(ctx, callTimeout, callTimeout)
+	defer idleTimeout.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.baseURL+RowsPath+"?"+url.Values{parameter: {value}}.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "table: unable to make a request")
@@ -156,7 +156,7 @@
 		return nil, errors.Wrap(ErrUnavailable, res.Status)
 	}
 	var rows []Row
-	if err := json.NewDecoder(io.LimitReader(silence.Reader(res.Body), maxRowsBytes)).Decode(&rows); err != nil {
+	if err := json.NewDecoder(io.LimitReader(idleTimeout.Reader(res.Body), maxRowsBytes)).Decode(&rows); err != nil {
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return rows, nil
