--- a/caller/message.go
+++ b/caller/message.go
@@ -50,8 +50,8 @@
 		Stages   []StageBody
 	}
 
-	// StageBody describes how one stage ran. Milliseconds includes the wait for a place at the pool;
-	// BusySeconds is the time in which endpoints worked for the stage, failed attempts included.
+	// StageBody describes how one stage ran. Milliseconds includes the time spent waiting for a slot in the pool.
+	// BusySeconds is the time in which endpoints worked for the stage, including failed attempts.
 	StageBody struct {
 		Stage        string
 		Endpoint     string
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -1,7 +1,8 @@
 // Package follow replicates tables of the platform's store to a node. In each failure domain one node reads the store.
 // The others ask that node or, if it has nothing newer, further ones, as kernel.SourceSelector decides. The store thus
 // gets few calls, also while it is unavailable, and a node that the store does not answer still gets the tables from
-// other nodes, with their age.
+// other nodes, with their age: the time since they were last proven current. An answer of the store proves that a table
+// was current when the request was sent.
 package follow
 
 import (
@@ -29,9 +30,9 @@
 	minRetryPause = 150 * time.Millisecond
 	maxRetryPause = 300 * time.Millisecond
 	retryJitter   = 0.25
-	// maxInitialRetryPause replaces maxRetryPause until all tables are known: after a common start without the store,
-	// no node knows any other one yet, and all of them ask the store. It also bounds the pause between attempts to
-	// write a node's row.
+	// maxInitialRetryPause replaces maxRetryPause until all tables are known: after a simultaneous start without the
+	// store, no node knows any other one yet, and all of them ask the store. It also bounds the pause between attempts
+	// to write a node's row.
 	maxInitialRetryPause = 1200 * time.Millisecond
 )
 
@@ -88,7 +89,7 @@
 		// mu guards replica and serialises calls of Apply.
 		mu      sync.Mutex
 		replica *kernel.Replica
-		// down is true while the store does not answer for this table.
+		// down is true while the store does not answer requests for this table.
 		down atomic.Bool
 	}
 )
--- a/follow/read.go
+++ b/follow/read.go
@@ -40,8 +40,8 @@
 }
 
 // decideRole waits until all tables are known, for roleCheckInterval at most, and then decides whether this node
-// continues to read the store. It reports whether this call made the decision, which is made only once. After a common
-// start, each node reads each table once and few continue to read.
+// continues to read the store. It reports whether this call made the decision, which is made only once. After a
+// simultaneous start, each node reads each table once and few continue to read.
 func (f *Follower) decideRole(ctx context.Context) bool {
 	decided := false
 	f.updates.Await(ctx, roleCheckInterval, f.allTablesKnown)
@@ -56,8 +56,8 @@
 	return decided
 }
 
-// waitForFirstTable waits if the store answers neither for a table nor for the first table, and reports whether it
-// waited. Requests for one table are enough to find out whether the store is back.
+// waitForFirstTable waits if the store answers requests neither for a table nor for the first table, and reports
+// whether it waited. Requests for one table are enough to find out whether the store is back.
 func (f *Follower) waitForFirstTable(ctx context.Context, t *followedTable) bool {
 	first := f.tables[0]
 	if t == first || !t.down.Load() || !first.down.Load() {
--- a/follow/source.go
+++ b/follow/source.go
@@ -33,7 +33,7 @@
 func (f *Follower) pollPeers(ctx context.Context) time.Duration {
 	if !f.allTablesKnown() && !f.storeLost() {
 		// The first copy of each table comes from the store. Otherwise one node would have to send the whole tables to
-		// all others after a common start.
+		// all others after a simultaneous start.
 		return peerPollInterval
 	}
 	plan := f.plan()
@@ -66,7 +66,8 @@
 	return f.selector.Plan(clock.Now(), f.relay.Reachable(), f.storeLost())
 }
 
-// querySource requests changes from a node and reports whether its answer is sufficient.
+// querySource requests changes from a node and reports whether its answer is sufficient, so that no further node is
+// asked. The node may delay its answer by hold while it waits for newer tables.
 func (f *Follower) querySource(ctx context.Context, source string, hold time.Duration) bool {
 	answer, err := f.fetchFromNode(ctx, source, hold)
 	// A node whose answer is still being received has not failed, but another one may have the changes sooner.
--- a/follow/table.go
+++ b/follow/table.go
@@ -12,8 +12,8 @@
 	// Table is a table to follow. Apply is called by one goroutine at a time.
 	Table struct {
 		Name string
-		// MaxWait is how long the store may delay its answer to a request until there are changes. PollInterval is the
-		// pause between two requests.
+		// MaxWait is how long the store may delay its answer to a request for changes until there are any.
+		// PollInterval is the pause between two requests.
 		MaxWait      time.Duration
 		PollInterval time.Duration
 		// IgnoreAge is true if the contents of the table stay in effect however long ago they were proven current. The
--- a/list/list.go
+++ b/list/list.go
@@ -57,14 +57,14 @@
 	res, err := c.client.Do(req)
 	if err != nil {
 		c.client.CloseIdleConnections()
-		return hosts, errors.Wrap(err, "list: unable to read")
+		return hosts, errors.Wrap(err, "list: unable to read the list")
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return hosts, errors.Errorf("list: unable to read: %s", res.Status)
+		return hosts, errors.Errorf("list: unable to read the list: %s", res.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(idleTimeout.Reader(res.Body), maxListBytes)).Decode(&hosts); err != nil {
-		return hosts, errors.Wrap(err, "list: unable to decode")
+		return hosts, errors.Wrap(err, "list: unable to decode the list")
 	}
 	return hosts, nil
 }
@@ -75,7 +75,7 @@
 	defer cancel()
 	body, err := json.Marshal(host)
 	if err != nil {
-		return errors.Wrap(err, "list: unable to encode")
+		return errors.Wrap(err, "list: unable to encode the entry of the host")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+HostsPath, bytes.NewReader(body))
 	if err != nil {
@@ -84,11 +84,11 @@
 	res, err := c.client.Do(req)
 	if err != nil {
 		c.client.CloseIdleConnections()
-		return errors.Wrap(err, "list: unable to announce")
+		return errors.Wrap(err, "list: unable to announce the host")
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return errors.Errorf("list: unable to announce: %s", res.Status)
+		return errors.Errorf("list: unable to announce the host: %s", res.Status)
 	}
 	return nil
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -44,7 +44,7 @@
 func (c *Client) SetDocument(ctx context.Context, path string, change Change) (ChangeResult, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
-		return ChangeResult{}, errors.Wrap(err, "operator: unable to encode")
+		return ChangeResult{}, errors.Wrap(err, "operator: unable to encode the change")
 	}
 	var result ChangeResult
 	err = c.do(ctx, http.MethodPut, "/v1/settings/"+path, body, &result)
@@ -79,13 +79,13 @@
 	defer res.Body.Close()
 	data, err := io.ReadAll(res.Body)
 	if err != nil {
-		return errors.Wrap(err, "operator: unable to read")
+		return errors.Wrap(err, "operator: unable to read the response")
 	}
 	if res.StatusCode != http.StatusOK {
 		return &ResponseError{Status: res.StatusCode, Body: data}
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return errors.Wrap(err, "operator: unable to decode")
+		return errors.Wrap(err, "operator: unable to decode the response")
 	}
 	return nil
 }
--- a/operator/message.go
+++ b/operator/message.go
@@ -14,15 +14,21 @@
 		Incarnation   string
 		FailureDomain string
 		Ready         bool
-		NotReady      string `json:",omitempty"`
-		Draining      bool
-		TableAnswers  bool
-		Revision      uint64
-		InFlight      int64
-		Era           uint64
-		EraMembers    []string
+		// NotReady is the reason if Ready is false.
+		NotReady string `json:",omitempty"`
+		Draining bool
+		// TableAnswers is false if the last call to the table failed.
+		TableAnswers bool
+		// Revision is the revision of the settings in force.
+		Revision uint64
+		// InFlight is the number of requests in flight.
+		InFlight int64
+		// Era is the number of the newest era (see kernel.Era), and EraMembers are its members.
+		Era        uint64
+		EraMembers []string
 		// EraFrom is the earliest key time of the newest era.
 		EraFrom time.Time
+		// Horizon is the end of the key time that has owners.
 		Horizon time.Time
 		// Keys is the number of keys in the node's ledger.
 		Keys    int
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -16,15 +16,16 @@
 // timeout.
 const pingIntervalRatio = 1.0 / 3
 
-// clientConn is a connection to a peer.
+// clientConn is a connection to a peer, with the calls in flight on it.
 type clientConn struct {
 	conn net.Conn
-	// silenceTimeout is that of the client.
+	// silenceTimeout is Client.silenceTimeout.
 	silenceTimeout time.Duration
 	mu             sync.Mutex
 	// calls holds the channels of the calls that wait for a reply, by number.
 	calls map[uint64]chan Frame
-	// silences holds the timers of those calls that fail if nothing is received, by number. Each is also in calls.
+	// idleTimeouts holds the timeouts of those calls that fail if nothing is received, by number. Each such call is
+	// also in calls.
 	idleTimeouts map[uint64]*clock.IdleTimeout
 	lastNumber   uint64
 	// writeMu keeps frames from being interleaved.
@@ -139,8 +140,8 @@
 	return len(c.calls) > 0
 }
 
-// call sends a frame and waits for its reply. If idleTimeout is not nil, it is reset whenever bytes are received. The error
-// is a *CallError.
+// call sends a frame and waits for its reply. If idleTimeout is not nil, it is reset whenever bytes are received. The
+// error is a *CallError.
 func (c *clientConn) call(ctx context.Context, idleTimeout *clock.IdleTimeout, kind Kind, body []byte) (Frame, error) {
 	reply := make(chan Frame, 1)
 	bytesBefore := c.bytesRead.Load()
--- a/table/encodings_test.go
+++ b/table/encodings_test.go
@@ -11,8 +11,8 @@
 	"basilstall.example/basilstall/table"
 )
 
-// Rows outlive the process that wrote them, and nodes of another build read them. The test fails where the key of a row
-// or a field in it gets another name.
+// Rows outlive the process that wrote them, and nodes of other builds read them. The keys of the rows and the fields in
+// them must therefore keep their names.
 func TestStoredRowsKeepTheirNames(t *testing.T) {
 	store, _ := newStore(t)
 	start := time.UnixMilli(1_700_000_000_000).UTC()
--- a/table/keys.go
+++ b/table/keys.go
@@ -19,7 +19,8 @@
 	Writer string
 	// Fingerprint identifies the contents of the request, so that another request with the same key is detected.
 	Fingerprint uint64
-	At          time.Time
+	// At is the time of the insert.
+	At time.Time
 }
 
 // InsertKeys inserts the rows whose keys do not exist yet. It takes one transaction, unless others insert the same keys
--- a/table/store_test.go
+++ b/table/store_test.go
@@ -108,8 +108,8 @@
 	must.EqOp(t, 2, doc.Revision)
 }
 
-// A time limit on the whole answer, instead of on the time without a byte, would end a read whose answer is too large
-// for its link, and it would fail each time that it is repeated. All documents of the settings are one answer.
+// A time limit on the whole answer, instead of on the time without a byte, would cancel a read whose answer is too large
+// for its link, each time that the read is repeated. All documents of the settings are read in one answer.
 func TestSnapshotOverSlowLink(t *testing.T) {
 	direct, s := newStore(t)
 	document := model.Document{Path: "teams/a", Operation: "1", YAML: strings.Repeat("# a long comment\n", 60_000)}
