--- a/table/store.go
+++ b/table/store.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// callTimeout bounds a transaction, in addition to the time that sending its bytes takes, and the time without a
-	// byte during a read. A silent connection must not block the users of the table, but a large document may take long
+	// callTimeout bounds the time of a transaction beyond that of sending its bytes, and the time for which a read may
+	// receive nothing. A silent connection must not block the users of the table, but a large document may take long
 	// over a slow link.
 	callTimeout = 2 * time.Second
 	// minLinkBytesPerSecond is the bandwidth of the slowest links of hosts, 10 Mbit/s.
