--- a/blame/blame.go
+++ b/blame/blame.go
@@ -30,7 +30,7 @@
 		Late       bool
 		RetryAfter float64
 		Stages     []Stage
-		Estimates  []Wait
+		Estimates  []Estimate
 	}
 
 	// Stage is a stage of a request: the estimated wait of its pieces and the actual one, in milliseconds.
@@ -43,7 +43,7 @@
 
 	// Wait is an estimate for which a request was refused: the wait at a pool, in milliseconds, and the share of the
 	// pool's room that was taken, from 0 to 1.
-	Wait struct {
+	Estimate struct {
 		Pool      string
 		Wait      float64
 		RoomTaken float64
@@ -145,7 +145,7 @@
 
 // longestWait names the pool with the longest estimated wait, and tells whether its room was nearly full.
 func (l Line) longestWait() string {
-	w := slices.MaxFunc(l.Estimates, func(a, b Wait) int { return int(a.Wait - b.Wait) })
+	w := slices.MaxFunc(l.Estimates, func(a, b Estimate) int { return int(a.Wait - b.Wait) })
 	if w.RoomTaken > 0.9 {
 		return "room of " + w.Pool
 	}
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -52,7 +52,7 @@
 	// outcome is the result of one unary call.
 	outcome struct {
 		attempt   int
-		target    *endpointState
+		endpoint  *endpointState
 		startedAt time.Time
 		elapsed   time.Duration
 		reply     model.StageReply
@@ -178,7 +178,7 @@
 }
 
 type startedCall struct {
-	target    *endpointState
+	endpoint  *endpointState
 	startedAt time.Time
 }
 
@@ -192,12 +192,12 @@
 	attempt := a.callCount
 	call := a.prepareCall()
 	target := a.target(e)
-	running[attempt] = startedCall{target: e, startedAt: startedAt}
+	running[attempt] = startedCall{endpoint: e, startedAt: startedAt}
 	a.excluded = append(a.excluded, e.name)
 	a.dispatcher.OnCall(a.pool.endpointOf(e))
 	go func() {
 		reply, err := a.dispatcher.Unary(ctx, target, call)
-		outcomes <- outcome{attempt: attempt, target: e, startedAt: startedAt, elapsed: time.Since(startedAt), reply: reply, err: err}
+		outcomes <- outcome{attempt: attempt, endpoint: e, startedAt: startedAt, elapsed: time.Since(startedAt), reply: reply, err: err}
 	}()
 	return true
 }
@@ -217,22 +217,22 @@
 func (a *attempts) handleOutcome(ctx context.Context, o outcome, running map[int]startedCall) (bool, error) {
 	now := time.Now()
 	a.busy += o.elapsed
-	a.recordPacing(o.startedAt, now, o.target, o.reply.Load, o.err == nil)
+	a.recordPacing(o.startedAt, now, o.endpoint, o.reply.Load, o.err == nil)
 	if o.err == nil {
 		a.mayHaveRun = true
-		a.reportLeaving(o.target, &o.reply.Load)
+		a.reportLeaving(o.endpoint, &o.reply.Load)
 		carry, err := a.job.Plugin.ParseReply(a.job.Work, o.reply)
 		if err == nil {
-			a.pool.recordSuccess(now, o.target, o.elapsed, &o.reply.Load)
+			a.pool.recordSuccess(now, o.endpoint, o.elapsed, &o.reply.Load)
 			a.carry = carry
-			a.endpointName = o.target.name
+			a.endpointName = o.endpoint.name
 			a.abandon(running)
 			return true, nil
 		}
 		o.err = &endpoint.Fault{Kind: endpoint.Status, Verdict: model.MayHaveRun, Err: err}
 	}
 	fault := asFault(o.err)
-	a.recordFault(now, o.target, fault)
+	a.recordFault(now, o.endpoint, fault)
 	if ctx.Err() != nil {
 		a.abandon(running)
 		return true, a.newRefusal(model.StageTimeout, fault)
@@ -300,9 +300,9 @@
 		a.mayHaveRun = true
 		waited := now.Sub(call.startedAt)
 		a.busy += waited
-		a.pool.recordFailure(now, call.target, waited > failureLatency)
+		a.pool.recordFailure(now, call.endpoint, waited > failureLatency)
 		a.dispatcher.metrics.CountEvent("ConnectionsRetired")
-		a.dispatcher.client.Retire(call.target.address)
+		a.dispatcher.client.Retire(call.endpoint.address)
 	}
 }
 
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -21,7 +21,7 @@
 			return e
 		}
 		if a.dispatcher.RequestPermit(ctx, a.pool.endpointOf(e)) {
-			a.pool.recordPermit(time.Now(), e)
+			a.pool.recordPermittedCall(time.Now(), e)
 			a.connectBy = now.Add(kernel.PermitLifetime)
 			return e
 		}
@@ -49,8 +49,8 @@
 	return false, 0
 }
 
-// recordPermit records that an endpoint is called with another node's permit.
-func (p *pool) recordPermit(now time.Time, e *endpointState) {
+// recordPermittedCall records that an endpoint is called with another node's permit.
+func (p *pool) recordPermittedCall(now time.Time, e *endpointState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.pacing.calledAt = now
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -18,9 +18,9 @@
 	fallbackLatency = 300 * time.Millisecond
 	medianQuantile  = 0.5
 	tailQuantile    = 0.9
-	// unlistedTTL is how long the pacing of an endpoint is kept after the list has dropped it: longer than the pause
+	// unlistedRetention is how long the pacing of an endpoint is kept after the list has dropped it: longer than the pause
 	// between two calls under the smallest rate cap.
-	unlistedTTL = 30 * time.Second
+	unlistedRetention = 30 * time.Second
 	// missingAdapterTTL is how long an engine that replied that it lacks an adapter gets no further calls for it.
 	missingAdapterTTL = time.Second
 	hedgeQuantile     = 0.95
@@ -154,7 +154,7 @@
 // rememberUnlisted keeps the pacing of endpoints that the list has dropped. Otherwise all nodes would call an endpoint
 // at once if its entry was missing from the list for a moment.
 func (p *pool) rememberUnlisted(now time.Time, removed map[string]*endpointState) {
-	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedTTL })
+	maps.DeleteFunc(p.unlisted, func(_ string, u unlistedEndpoint) bool { return now.Sub(u.unlistedAt) >= unlistedRetention })
 	for name, e := range removed {
 		p.unlisted[name] = unlistedEndpoint{address: e.address, pacing: e.pacing, unlistedAt: now}
 	}
--- a/dispatch/poolpick.go
+++ b/dispatch/poolpick.go
@@ -102,22 +102,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.endpoints, func(e *endpointState) bool {
-		return e.candidate.Endpoint.TakesWork() && p.mayCall(now, e, true)
+		return e.candidate.Endpoint.TakesWork() && p.admitsCall(now, e, true)
 	})
 }
 
-// mayCall reports whether rate caps and cold limits let this node call an endpoint now. With allowPermit, it also
+// admitsCall reports whether rate caps and cold limits let this node call an endpoint now. With allowPermit, it also
 // reports true if another node may be asked for a permit. No permit is requested for an ejected endpoint.
-func (p *pool) mayCall(now time.Time, e *endpointState, allowPermit bool) bool {
+func (p *pool) admitsCall(now time.Time, e *endpointState, allowPermit bool) bool {
 	endpoint := e.candidate.Endpoint
 	return p.admits(now, endpoint, e.pacing.calledAt) || allowPermit && !e.candidate.Health.Ejected() && p.mayRequestPermit(now, endpoint, e.pacing.calledAt)
 }
 
-// admittedCandidates returns the endpoints for which mayCall reports true.
+// admittedCandidates returns the endpoints for which admitsCall reports true.
 func (p *pool) admittedCandidates(now time.Time, allowPermit bool) []kernel.Candidate {
 	out := make([]kernel.Candidate, 0, len(p.endpoints))
 	for _, e := range p.endpoints {
-		if p.mayCall(now, e, allowPermit) {
+		if p.admitsCall(now, e, allowPermit) {
 			out = append(out, e.candidate)
 		}
 	}
--- a/kernel/mixedpool_test.go
+++ b/kernel/mixedpool_test.go
@@ -55,7 +55,7 @@
 			arrivals := f.arrivals(30*time.Second, func(*cappedFleet) {})
 			for _, takesOver := range []bool{false, true} {
 				q := cappedQueue{queue: newBatchQueue(4)}
-				q.queue.SetRateCap("worker-0", stated.WithPart(share))
+				q.queue.SetRateCap("worker-0", stated.WithFraction(share))
 				if takesOver {
 					q.queue.TakeOver(time.Unix(1000, 0))
 				}
--- a/kernel/ratecap.go
+++ b/kernel/ratecap.go
@@ -93,7 +93,7 @@
 
 // WithFraction returns the view of a sender that may use only a fraction of the cap, from 0 to 1.
 func (v CapView) WithFraction(fraction float64) CapView {
-	v.Cap = v.Cap.WithPart(fraction)
+	v.Cap = v.Cap.WithFraction(fraction)
 	return v
 }
 
--- a/model/ratecap.go
+++ b/model/ratecap.go
@@ -16,8 +16,8 @@
 	return RateCap{Stated: true, PerSecond: perSecond}
 }
 
-// WithPart returns the cap for a node that may use only a fraction of it, from 0 to 1.
-func (c RateCap) WithPart(fraction float64) RateCap {
+// WithFraction returns the cap for a node that may use only a fraction of it, from 0 to 1.
+func (c RateCap) WithFraction(fraction float64) RateCap {
 	c.PerSecond *= fraction
 	return c
 }
--- a/node/claims.go
+++ b/node/claims.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func (n *Node) coordinator() kernel.ClaimsCoordinator {
+func (n *Node) claimsCoordinator() kernel.ClaimsCoordinator {
 	fleet := n.Settings().Fleet
 	return kernel.ClaimsCoordinator{
 		Self:          n.member,
@@ -154,7 +154,7 @@
 }
 
 func (n *Node) writeClaims(now time.Time) {
-	coordinator := n.coordinator()
+	coordinator := n.claimsCoordinator()
 	row, version := n.claims.snapshot()
 	alive, stableSince := n.fleet.alive()
 	action := coordinator.Decide(now, row, alive, stableSince)
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -40,7 +40,7 @@
 				f.sendToAll(kind.pipeline)
 			}
 			calls := f.driveLoad(kind.pipeline, cold, 4*time.Second)
-			must.LessEq(t, rate, maxWithin(calls, time.Second))
+			must.LessEq(t, rate, maxCallsWithin(calls, time.Second))
 
 			f.platform.ClearFaults("")
 			f.await("the endpoint gets its share again", func() bool {
@@ -99,7 +99,7 @@
 	wg.Wait()
 	for _, e := range f.platform.Endpoints() {
 		if e.Pool == "encoders" {
-			must.LessEq(t, rate, maxWithin(f.callTimes(e.Name, began), time.Second), must.Sprint(e.Name))
+			must.LessEq(t, rate, maxCallsWithin(f.callTimes(e.Name, began), time.Second), must.Sprint(e.Name))
 		}
 	}
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -93,7 +93,7 @@
 		News:         n.fleet.membership.PendingUpdates(),
 		Revision:     n.Settings().Revision,
 		ClaimsNumber: n.claims.number(),
-		Notices:      n.notices.knownVersion(),
+		Notices:      n.notices.currentVersion(),
 	}
 }
 
--- a/node/grants.go
+++ b/node/grants.go
@@ -31,7 +31,7 @@
 // this node may run keys issued more than half of the firm horizon ahead.
 func (n *Node) requestGrants(now time.Time) {
 	row := n.claims.current()
-	firm := n.coordinator().FirmHorizon
+	firm := n.claimsCoordinator().FirmHorizon
 	if row.Number == 0 || n.claims.bound().Sub(now) > firm/2 {
 		return
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -33,30 +33,30 @@
 
 // Node is one process of the fleet: it accepts callers' requests and calls endpoints to serve them.
 type Node struct {
-	options     config.Options
-	member      kernel.Member
-	log         zerolog.Logger
-	metrics     *metric.Set
-	store       *table.Store
-	list        *list.Client
-	peers       *peer.Client
-	peerServer  *peer.Server
-	callers     *caller.Server
-	operators   *operator.Server
-	dispatcher  *dispatch.Dispatcher
-	records     *records
-	rateLimiter *rateLimiter
-	fleet       *fleet
-	claims      *claimsState
+	options        config.Options
+	member         kernel.Member
+	log            zerolog.Logger
+	metrics        *metric.Set
+	store          *table.Store
+	list           *list.Client
+	peers          *peer.Client
+	peerServer     *peer.Server
+	callerServer   *caller.Server
+	operatorServer *operator.Server
+	dispatcher     *dispatch.Dispatcher
+	records        *records
+	rateLimiter    *rateLimiter
+	fleet          *fleet
+	claims         *claimsState
 	// keys decides on requests with keys that this node owns. durableKeys remembers the durable keys whose rows in the
 	// table name this process as the writer.
-	keys        *keyLedger
-	durableKeys *keyLedger
-	committer   *committer
-	orderer     *orderController
+	keys            *keyLedger
+	durableKeys     *keyLedger
+	committer       *committer
+	orderController *orderController
 	// quarantine holds back requests that crash the endpoints that process them. rateCaps limits the calls to endpoints
 	// that state a rate cap. notices follows the table's row that publishes both to all nodes.
-	quarantine *quarantine.Coordinator
+	quarantine *quarantine.Agent
 	rateCaps   *ratecap.Limiter
 	notices    *notices
 	// coldRoles caches which cold endpoints this node may call.
@@ -94,28 +94,28 @@
 	metrics := metric.NewSet()
 	store := table.NewStore(options.Platform)
 	n := &Node{
-		options:     options,
-		member:      kernel.Member{Node: options.Name, Incarnation: incarnation.String(), Address: peerServer.Address()},
-		log:         log.With().Str("Node", options.Name).Logger(),
-		metrics:     metrics,
-		store:       store,
-		list:        list.NewClient(options.Platform),
-		peers:       peer.NewClient(options.Name, options.PeersToken),
-		peerServer:  peerServer,
-		dispatcher:  dispatch.NewDispatcher(options.FailureDomain, options.Plain, metrics),
-		records:     newRecords(),
-		rateLimiter: newRateLimiter(),
-		keys:        newKeyLedger(),
-		durableKeys: newKeyLedger(),
-		committer:   newCommitter(store),
-		orderer:     newOrderController(),
-		notices:     newNotices(),
-		coldRoles:   newColdRoleCache(now),
+		options:         options,
+		member:          kernel.Member{Node: options.Name, Incarnation: incarnation.String(), Address: peerServer.Address()},
+		log:             log.With().Str("Node", options.Name).Logger(),
+		metrics:         metrics,
+		store:           store,
+		list:            list.NewClient(options.Platform),
+		peers:           peer.NewClient(options.Name, options.PeersToken),
+		peerServer:      peerServer,
+		dispatcher:      dispatch.NewDispatcher(options.FailureDomain, options.Plain, metrics),
+		records:         newRecords(),
+		rateLimiter:     newRateLimiter(),
+		keys:            newKeyLedger(),
+		durableKeys:     newKeyLedger(),
+		committer:       newCommitter(store),
+		orderController: newOrderController(),
+		notices:         newNotices(),
+		coldRoles:       newColdRoleCache(now),
 	}
 	n.claims = newClaimsState(n.member)
 	n.fleet = &fleet{membership: kernel.NewMembership(now, n.member, options.FailureDomain)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.quarantine = n.newQuarantineCoordinator()
+	n.quarantine = n.newQuarantineAgent()
 	n.rateCaps = n.newRateCapLimiter()
 	settings := kernel.NewSettings()
 	n.settings.Store(&settings)
@@ -141,10 +141,10 @@
 
 func (n *Node) listen() error {
 	var err error
-	if n.callers, err = caller.NewServer(n.options.CallersListen, n.callerDependencies()); err != nil {
+	if n.callerServer, err = caller.NewServer(n.options.CallersListen, n.callerServerDependencies()); err != nil {
 		return err
 	}
-	if n.operators, err = operator.NewServer(n.options.OperatorsListen, n.options.OperatorsToken, n.operatorDependencies()); err != nil {
+	if n.operatorServer, err = operator.NewServer(n.options.OperatorsListen, n.options.OperatorsToken, n.operatorServerDependencies()); err != nil {
 		return err
 	}
 	n.peerServer.OnTokenRefused = func(remote string) {
@@ -195,10 +195,10 @@
 }
 
 // CallersAddress returns the address of the listener for callers.
-func (n *Node) CallersAddress() string { return n.callers.Address() }
+func (n *Node) CallersAddress() string { return n.callerServer.Address() }
 
 // OperatorsAddress returns the address of the listener for operators.
-func (n *Node) OperatorsAddress() string { return n.operators.Address() }
+func (n *Node) OperatorsAddress() string { return n.operatorServer.Address() }
 
 // PeersAddress returns the address of the listener for other nodes.
 func (n *Node) PeersAddress() string { return n.member.Address }
@@ -209,23 +209,23 @@
 // Close stops the node at once and aborts the requests in flight.
 func (n *Node) Close() {
 	n.cancel()
-	if n.callers != nil {
-		n.callers.Close()
+	if n.callerServer != nil {
+		n.callerServer.Close()
 	}
-	if n.operators != nil {
-		n.operators.Close()
+	if n.operatorServer != nil {
+		n.operatorServer.Close()
 	}
 	n.peerServer.Close()
 	n.peers.Close()
 	n.loops.Wait()
 	n.dispatcher.Close()
-	n.orderer.client.Close()
+	n.orderController.client.Close()
 	n.store.Close()
 	n.list.Close()
 }
 
 func (n *Node) shutdownCallerServer(ctx context.Context) {
-	n.callers.Shutdown(ctx)
+	n.callerServer.Shutdown(ctx)
 }
 
 // Ready reports whether the load balancer should send requests to this node, and if not, the reason.
--- a/node/notices.go
+++ b/node/notices.go
@@ -20,8 +20,8 @@
 	row table.Notices
 	// version is the version of row; 0 before the first read.
 	version uint64
-	// latestKnown is the newest version that is known to be in the table.
-	latestKnown uint64
+	// newestVersion is the newest version that is known to be in the table.
+	newestVersion uint64
 	// wakeup has room for one request to read the row.
 	wakeup chan struct{}
 }
@@ -34,8 +34,8 @@
 func (h *notices) requireVersion(version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.latestKnown = max(h.latestKnown, version)
-	if h.latestKnown <= h.version {
+	h.newestVersion = max(h.newestVersion, version)
+	if h.newestVersion <= h.version {
 		return
 	}
 	select {
@@ -44,8 +44,8 @@
 	}
 }
 
-// knownVersion returns the version of the row as last read.
-func (h *notices) knownVersion() uint64 {
+// currentVersion returns the version of the row as last read.
+func (h *notices) currentVersion() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version
@@ -70,7 +70,7 @@
 func (n *Node) recordNoticeWrite(err error) error {
 	n.recordTableResult(err)
 	if err == nil {
-		n.notices.requireVersion(n.notices.knownVersion() + 1)
+		n.notices.requireVersion(n.notices.currentVersion() + 1)
 	}
 	return err
 }
--- a/node/orders.go
+++ b/node/orders.go
@@ -43,9 +43,9 @@
 	return &orderController{pools: map[string]*poolOrders{}, client: engine.NewClient()}
 }
 
-// addDemand records the demand of a request for an adapter of a pool. It keeps the earliest deadline among the requests
+// addUnsentDemand records the demand of a request for an adapter of a pool. It keeps the earliest deadline among the requests
 // that wait for the adapter.
-func (o *orderController) addDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
+func (o *orderController) addUnsentDemand(pool string, demand kernel.Demand, loadInterval time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	p := o.pool(pool, loadInterval)
@@ -88,14 +88,14 @@
 	if waiting {
 		demand.Deadline = deadline
 	}
-	n.orderer.addDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
+	n.orderController.addUnsentDemand(pool, demand, n.Settings().Fleet.WeightLoadEvery)
 }
 
 // maintainAdapters maintains the leases of the pools with demand and sends orders to their engines, until the node
 // stops.
 func (n *Node) maintainAdapters() {
 	n.runPeriodically(orderInterval, func(ctx context.Context) {
-		for _, name := range n.orderer.activePools(time.Now()) {
+		for _, name := range n.orderController.activePools(time.Now()) {
 			n.maintainPool(ctx, name)
 		}
 	})
@@ -114,18 +114,18 @@
 }
 
 func (n *Node) leaseView(name string) kernel.LeaseView {
-	n.orderer.mu.Lock()
-	defer n.orderer.mu.Unlock()
-	if p := n.orderer.pools[name]; p != nil {
+	n.orderController.mu.Lock()
+	defer n.orderController.mu.Unlock()
+	if p := n.orderController.pools[name]; p != nil {
 		return p.lease
 	}
 	return kernel.LeaseView{}
 }
 
 func (n *Node) setLeaseView(name string, view kernel.LeaseView) {
-	n.orderer.mu.Lock()
-	defer n.orderer.mu.Unlock()
-	if p := n.orderer.pools[name]; p != nil {
+	n.orderController.mu.Lock()
+	defer n.orderController.mu.Unlock()
+	if p := n.orderController.pools[name]; p != nil {
 		p.lease = view
 	}
 }
@@ -174,10 +174,10 @@
 // sendDemands passes the unsent demand of a pool to the planner of the lease holder, which may be this node. If the
 // call fails, this demand is not sent again.
 func (n *Node) sendDemands(ctx context.Context, name string) {
-	n.orderer.mu.Lock()
-	p := n.orderer.pools[name]
+	n.orderController.mu.Lock()
+	p := n.orderController.pools[name]
 	if p == nil || len(p.unsentDemands) == 0 || p.lease.Lease.Number == 0 {
-		n.orderer.mu.Unlock()
+		n.orderController.mu.Unlock()
 		return
 	}
 	demands := make([]kernel.Demand, 0, len(p.unsentDemands))
@@ -186,9 +186,9 @@
 	}
 	clear(p.unsentDemands)
 	holder := p.lease.Lease.Holder
-	n.orderer.mu.Unlock()
+	n.orderController.mu.Unlock()
 	if holder.ID() == n.member.ID() {
-		n.addDemands(name, demands)
+		n.addPlannerDemands(name, demands)
 		return
 	}
 	var reply peer.Empty
@@ -197,12 +197,12 @@
 	}
 }
 
-// addDemands adds the demand of this or another node to the planner of a pool.
-func (n *Node) addDemands(name string, demands []kernel.Demand) {
+// addPlannerDemands adds the demand of this or another node to the planner of a pool.
+func (n *Node) addPlannerDemands(name string, demands []kernel.Demand) {
 	now := time.Now()
-	n.orderer.mu.Lock()
-	defer n.orderer.mu.Unlock()
-	p := n.orderer.pool(name, n.Settings().Fleet.WeightLoadEvery)
+	n.orderController.mu.Lock()
+	defer n.orderController.mu.Unlock()
+	p := n.orderController.pool(name, n.Settings().Fleet.WeightLoadEvery)
 	p.lastDemandAt = now
 	for _, d := range demands {
 		p.planner.AddDemand(now, d)
@@ -214,7 +214,7 @@
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
 	}
-	n.addDemands(message.Pool, message.Wanted)
+	n.addPlannerDemands(message.Pool, message.Wanted)
 	return peer.Empty{}, nil
 }
 
@@ -226,15 +226,15 @@
 	}
 	endpoints := n.dispatcher.Endpoints(name)
 	views := n.engineViews(ctx, endpoints)
-	n.orderer.mu.Lock()
-	p := n.orderer.pools[name]
+	n.orderController.mu.Lock()
+	p := n.orderController.pools[name]
 	if p == nil {
-		n.orderer.mu.Unlock()
+		n.orderController.mu.Unlock()
 		return
 	}
 	p.planner.LoadInterval = n.Settings().Fleet.WeightLoadEvery
 	orders := p.planner.Plan(time.Now(), views)
-	n.orderer.mu.Unlock()
+	n.orderController.mu.Unlock()
 	for _, order := range orders {
 		go n.sendOrder(ctx, name, order, endpoints)
 	}
@@ -248,7 +248,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			state, err := n.orderer.client.State(ctx, e.Address)
+			state, err := n.orderController.client.State(ctx, e.Address)
 			if err == nil {
 				reported[i] = kernel.EngineView{Name: e.Name, Adapters: state.Adapters, MaxAdapters: state.Most}
 			}
@@ -268,9 +268,9 @@
 // just before the order is sent.
 func (n *Node) sendOrder(ctx context.Context, name string, order kernel.Order, endpoints []model.Endpoint) {
 	defer func() {
-		n.orderer.mu.Lock()
-		defer n.orderer.mu.Unlock()
-		if p := n.orderer.pools[name]; p != nil {
+		n.orderController.mu.Lock()
+		defer n.orderController.mu.Unlock()
+		if p := n.orderController.pools[name]; p != nil {
 			p.planner.OrderEnded(order)
 		}
 	}()
@@ -284,7 +284,7 @@
 			return
 		}
 		n.metrics.CountEvent("OrderSent")
-		if err := n.orderer.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
+		if err := n.orderController.client.Order(ctx, e.Address, order, view.Lease.Number); err != nil {
 			n.metrics.CountEvent("OrderFailed")
 		}
 	}
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -13,11 +13,11 @@
 	"basilstall.example/basilstall/quarantine"
 )
 
-var errUnknownMember = errors.New("node: no such member")
+var errMemberUnavailable = errors.New("node: no such member")
 
-// newQuarantineCoordinator returns the quarantine coordinator of this node.
-func (n *Node) newQuarantineCoordinator() *quarantine.Coordinator {
-	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
+// newQuarantineAgent returns the quarantine coordinator of this node.
+func (n *Node) newQuarantineAgent() *quarantine.Agent {
+	return quarantine.NewAgent(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
 		Call:  n.callMember,
 		Connect: func(ctx context.Context, address string) error {
@@ -52,7 +52,7 @@
 			return n.peers.Call(ctx, m.Address, kind, message, reply)
 		}
 	}
-	return errUnknownMember
+	return errMemberUnavailable
 }
 
 // storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -119,7 +119,7 @@
 	return result.Refusal.Reason
 }
 
-func (f *fleet) crashes(pool string) int {
+func (f *fleet) crashCount(pool string) int {
 	return f.platform.Usage().Pools[pool].Crashes
 }
 
@@ -130,11 +130,11 @@
 	f.await("the request crashes endpoints", func() bool {
 		f.send(f.nodes[attempts%len(f.nodes)], pipeline, poisonText)
 		attempts++
-		return f.crashes(pool) >= crashesUntilHeld
+		return f.crashCount(pool) >= crashesUntilHeld
 	})
 }
 
-func (f *fleet) allNodesLearned() bool {
+func (f *fleet) allNodesLearnedHold() bool {
 	for _, n := range f.nodes {
 		if n.EventCount("QuarantineLearned") == 0 {
 			return false
@@ -157,11 +157,11 @@
 			f.platform.InjectFault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("other requests of the customer are served before the crashes"))
 			f.crashUntilHeld(kind.pool, kind.pipeline)
-			pollUntil(awaitTimeout, f.allNodesLearned)
+			pollUntil(awaitTimeout, f.allNodesLearnedHold)
 			for i := range 4 * len(f.nodes) {
 				f.send(f.nodes[i%len(f.nodes)], kind.pipeline, poisonText)
 			}
-			must.LessEq(t, crashesUntilHeld+maxCrashesPerAttempt, f.crashes(kind.pool))
+			must.LessEq(t, crashesUntilHeld+maxCrashesPerAttempt, f.crashCount(kind.pool))
 			for _, n := range f.nodes {
 				must.EqOp(t, model.Quarantined, f.send(n, kind.pipeline, poisonText))
 				f.await("other requests of the customer are served after the crashes", func() bool { return f.send(n, kind.pipeline, "usual") == "" })
@@ -175,12 +175,12 @@
 	f := newFleet(t, 2)
 	f.platform.InjectFault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 	f.crashUntilHeld("runners", "route-note")
-	pollUntil(awaitTimeout, f.allNodesLearned)
+	pollUntil(awaitTimeout, f.allNodesLearnedHold)
 	for i, n := range f.nodes {
 		n.Close()
 		f.nodes[i] = f.startNode(fmt.Sprint("later-", i))
 	}
 	f.await("the first node is ready", func() bool { ready, _ := f.nodes[0].Ready(); return ready })
-	pollUntil(awaitTimeout/2, f.allNodesLearned)
+	pollUntil(awaitTimeout/2, f.allNodesLearnedHold)
 	must.EqOp(t, model.Quarantined, f.send(f.nodes[0], "route-note", poisonText))
 }
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -89,8 +89,8 @@
 	return name, endpoints
 }
 
-// maxWithin returns the maximum number of moments that lie within one window. The moments are in ascending order.
-func maxWithin(moments []time.Time, window time.Duration) int {
+// maxCallsWithin returns the maximum number of moments that lie within one window. The moments are in ascending order.
+func maxCallsWithin(moments []time.Time, window time.Duration) int {
 	maxCount, oldest := 0, 0
 	for i, at := range moments {
 		for at.Sub(moments[oldest]) > window {
@@ -125,7 +125,7 @@
 			}
 			time.Sleep(capPropagationTime)
 			calls := f.driveLoad(kind.pipeline, capped, 2*capWindow)
-			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(calls, capWindow))
+			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCallsWithin(calls, capWindow))
 
 			f.platform.ClearFaults("")
 			f.await("the endpoint gets its share again", func() bool {
@@ -185,5 +185,5 @@
 	for _, n := range f.nodes {
 		f.await("node serves", func() bool { return f.send(n, "renewal", "usual") == "" })
 	}
-	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(f.callTimes("encoders-1", start), capWindow))
+	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCallsWithin(f.callTimes("encoders-1", start), capWindow))
 }
--- a/node/serve.go
+++ b/node/serve.go
@@ -14,7 +14,7 @@
 	"basilstall.example/basilstall/peer"
 )
 
-func (n *Node) callerDependencies() caller.Dependencies {
+func (n *Node) callerServerDependencies() caller.Dependencies {
 	return caller.Dependencies{
 		Authenticate: func(token string) (kernel.Caller, bool) { return n.Settings().Caller(token) },
 		Pipeline:     func(team, name string) (model.Pipeline, bool) { return n.Settings().Pipeline(team, name) },
@@ -27,7 +27,7 @@
 	}
 }
 
-func (n *Node) operatorDependencies() operator.Dependencies {
+func (n *Node) operatorServerDependencies() operator.Dependencies {
 	return operator.Dependencies{
 		Settings:          n.Settings,
 		Store:             n.store,
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -16,21 +16,21 @@
 		Kind:       model.Encode,
 		Path:       "/encode",
 		Prepare:    prepareEncode,
-		ParseReply: acceptEncode,
+		ParseReply: parseEncode,
 		Check:      checkNoOperation,
 	})
 	kernel.Register(kernel.Plugin{
 		Kind:       model.Retrieve,
 		Path:       "/retrieve",
 		Prepare:    prepareItems,
-		ParseReply: acceptItems,
+		ParseReply: parseItems,
 		Check:      checkNoOperation,
 	})
 	kernel.Register(kernel.Plugin{
 		Kind:       model.Rerank,
 		Path:       "/rerank",
 		Prepare:    prepareItems,
-		ParseReply: acceptItems,
+		ParseReply: parseItems,
 		Check:      checkNoOperation,
 	})
 }
@@ -39,7 +39,7 @@
 	return model.StageCall{Text: sc.Request.Input.Text}
 }
 
-func acceptEncode(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
+func parseEncode(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
 		return sc.Carry, errEmptyReply
 	}
@@ -52,7 +52,7 @@
 	return model.StageCall{Text: sc.Carry.Text, Items: sc.Carry.Items}
 }
 
-func acceptItems(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
+func parseItems(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if len(r.Items) == 0 {
 		return sc.Carry, errEmptyReply
 	}
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -57,7 +57,7 @@
 
 	// Coordinator is a node's part of the quarantine: it reports crashes, decides for the pools that the node
 	// coordinates, and holds requests back. It is safe for concurrent use.
-	Coordinator struct {
+	Agent struct {
 		name    string
 		deps    Dependencies
 		now     func() time.Time
@@ -65,28 +65,28 @@
 		metrics *metric.Set
 		ctx     context.Context
 
-		mu sync.Mutex
-		q  *kernel.Quarantine
+		mu         sync.Mutex
+		quarantine *kernel.Quarantine
 		// crashChecks holds the endpoints whose connections broke recently, by incarnation.
 		crashChecks map[string]*crashCheck
 		// actingUntil holds, by pool, until when this node acts for a coordinator that does not answer.
 		actingUntil map[string]time.Time
 		// notifying is the number of notifications in progress.
-		notifying int
+		activeNotifications int
 	}
 )
 
-// NewCoordinator returns a coordinator without any recorded crashes. Its background work ends with ctx.
-func NewCoordinator(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Coordinator {
-	return &Coordinator{
+// NewAgent returns a coordinator without any recorded crashes. Its background work ends with ctx.
+func NewAgent(ctx context.Context, name string, deps Dependencies, now func() time.Time, metrics *metric.Set, log zerolog.Logger) *Agent {
+	return &Agent{
 		name: name, deps: deps, now: now, log: log, metrics: metrics, ctx: ctx,
-		q: kernel.NewQuarantine(), crashChecks: map[string]*crashCheck{}, actingUntil: map[string]time.Time{},
+		quarantine: kernel.NewQuarantine(), crashChecks: map[string]*crashCheck{}, actingUntil: map[string]time.Time{},
 	}
 }
 
 // Admit decides whether a request may proceed. If trial is true, the request runs on trial, and CancelTrial must be
 // called if it is not sent after all.
-func (c *Coordinator) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
+func (c *Agent) Admit(ctx context.Context, digest model.Digest) (trial bool, refusal *model.Refusal) {
 	state, held, retryAfter := c.holdState(digest)
 	switch state {
 	case kernel.NotHeld:
@@ -106,7 +106,7 @@
 
 // Check is called right before a request is sent, and returns a refusal if the request has been held back since it
 // was admitted.
-func (c *Coordinator) Check(digest model.Digest) *model.Refusal {
+func (c *Agent) Check(digest model.Digest) *model.Refusal {
 	if state, _, retryAfter := c.holdState(digest); state != kernel.NotHeld {
 		return newRefusal(retryAfter)
 	}
@@ -117,21 +117,21 @@
 	return model.NewRefusal(model.NotRun, model.Quarantined, retryAfter, "endpoints ended that ran this request; it is held back")
 }
 
-func (c *Coordinator) holdState(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
+func (c *Agent) holdState(digest model.Digest) (kernel.HoldState, kernel.HeldRequest, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.q.Check(c.now(), digest)
+	return c.quarantine.Check(c.now(), digest)
 }
 
 // Len returns the number of requests that are held back.
-func (c *Coordinator) Len() int {
+func (c *Agent) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.q.Len()
+	return c.quarantine.Len()
 }
 
 // CancelTrial informs the coordinator that a request permitted to run on trial was not sent.
-func (c *Coordinator) CancelTrial(digest model.Digest) {
+func (c *Agent) CancelTrial(digest model.Digest) {
 	_, held, _ := c.holdState(digest)
 	if held.Digest == "" {
 		return
@@ -145,9 +145,9 @@
 
 // RecordAnswer records that an endpoint answered a request completely. If the request is suspected or held back, this
 // clears it, and its coordinators are informed.
-func (c *Coordinator) RecordAnswer(digest model.Digest) {
+func (c *Agent) RecordAnswer(digest model.Digest) {
 	c.mu.Lock()
-	suspected, pool := c.q.RecordAnswer(c.now(), digest)
+	suspected, pool := c.quarantine.RecordAnswer(c.now(), digest)
 	c.mu.Unlock()
 	if suspected {
 		c.clearAndNotify(digest, pool)
@@ -156,11 +156,11 @@
 
 // ApplyChange applies a change of the held requests, as read from the store, received from another node or decided
 // here.
-func (c *Coordinator) ApplyChange(change kernel.QuarantineChange) {
+func (c *Agent) ApplyChange(change kernel.QuarantineChange) {
 	for _, h := range change.Hold {
 		c.mu.Lock()
-		state, before, _ := c.q.Check(c.now(), h.Digest)
-		applied := c.q.ApplyHold(c.now(), h)
+		state, before, _ := c.quarantine.Check(c.now(), h.Digest)
+		applied := c.quarantine.ApplyHold(c.now(), h)
 		c.mu.Unlock()
 		if !applied {
 			c.clearAndNotify(h.Digest, h.Pool)
@@ -176,8 +176,8 @@
 	}
 	for _, digest := range change.Lift {
 		c.mu.Lock()
-		before, _, _ := c.q.Check(c.now(), digest)
-		c.q.Clear(digest)
+		before, _, _ := c.quarantine.Check(c.now(), digest)
+		c.quarantine.Clear(digest)
 		c.mu.Unlock()
 		if before != kernel.NotHeld {
 			c.metrics.CountEvent("QuarantineLifted")
@@ -189,17 +189,17 @@
 }
 
 // coordinators returns the nodes in the order in which they coordinate a pool. The first one decides.
-func (c *Coordinator) coordinators(pool string) []string {
+func (c *Agent) coordinators(pool string) []string {
 	return kernel.NodesByHash(pool, c.deps.Peers())
 }
 
 // coordinates reports whether this node is the coordinator of a pool.
-func (c *Coordinator) coordinates(pool string) bool {
+func (c *Agent) coordinates(pool string) bool {
 	return c.coordinators(pool)[0] == c.name
 }
 
 // scheduleEvaluation evaluates the suspects once all reports on the same crashes have arrived.
-func (c *Coordinator) scheduleEvaluation() {
+func (c *Agent) scheduleEvaluation() {
 	time.AfterFunc(kernel.EvaluationDelay+kernel.EvaluationDelay/10, func() {
 		if c.ctx.Err() != nil {
 			return
@@ -213,7 +213,7 @@
 			}
 			return decides[pool]
 		}
-		change := c.q.Evaluate(c.now(), coordinates)
+		change := c.quarantine.Evaluate(c.now(), coordinates)
 		c.mu.Unlock()
 		if len(change.Hold)+len(change.Lift) == 0 {
 			return
@@ -225,7 +225,7 @@
 
 // persist writes a change to the store in the background, and retries until this node or another one succeeds or
 // maxStoreAttempts is reached.
-func (c *Coordinator) persist(change kernel.QuarantineChange) {
+func (c *Agent) persist(change kernel.QuarantineChange) {
 	go func() {
 		for range maxStoreAttempts {
 			change = c.dropOutdated(change)
@@ -247,7 +247,7 @@
 
 // dropOutdated returns the part of a change that is still in force, so that a late write does not undo later
 // decisions.
-func (c *Coordinator) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
+func (c *Agent) dropOutdated(change kernel.QuarantineChange) kernel.QuarantineChange {
 	var out kernel.QuarantineChange
 	for _, h := range change.Hold {
 		if state, _, _ := c.holdState(h.Digest); state != kernel.NotHeld {
@@ -264,7 +264,7 @@
 
 // persistViaPeers asks other nodes, chosen at random, to write a change to the store, and reports whether one did.
 // Each node that is asked applies the change at once, so that it spreads even if the store answers no node.
-func (c *Coordinator) persistViaPeers(change kernel.QuarantineChange) bool {
+func (c *Agent) persistViaPeers(change kernel.QuarantineChange) bool {
 	remaining := maxStoreDelegates
 	peers := c.deps.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
--- a/quarantine/coordinator_test.go
+++ b/quarantine/coordinator_test.go
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		digest := model.NewDigest("poison")
-		node := f.coordinators["node-0"]
+		node := f.agents["node-0"]
 		f.mu.Lock()
 		f.partitioned["node-0"] = true
 		f.mu.Unlock()
@@ -163,7 +163,7 @@
 		f.partitioned["node-0"] = false
 		f.mu.Unlock()
 		time.Sleep(convergenceTime)
-		_, refusal = f.coordinators["node-1"].Admit(t.Context(), digest)
+		_, refusal = f.agents["node-1"].Admit(t.Context(), digest)
 		must.NotNil(t, refusal)
 	})
 }
@@ -183,7 +183,7 @@
 		}
 		time.Sleep(30 * time.Second)
 		held := 0
-		for _, c := range f.coordinators {
+		for _, c := range f.agents {
 			if c.Len() > 0 {
 				held++
 			}
--- a/quarantine/ends.go
+++ b/quarantine/ends.go
@@ -45,8 +45,8 @@
 	proof string
 	// reachable is true if a process accepted a connection at the address.
 	reachable bool
-	// connectTried is closed when the attempt to connect has ended.
-	connectTried chan struct{}
+	// connectDone is closed when the attempt to connect has ended.
+	connectDone chan struct{}
 	// reportScheduled is true while a report on the unreported requests is due.
 	reportScheduled bool
 }
@@ -54,7 +54,7 @@
 // RecordDisconnect records that the connection to an endpoint broke while the endpoint worked on requests, and
 // starts to check whether its process has ended. A live endpoint that resets a connection is no evidence against
 // the requests.
-func (c *Coordinator) RecordDisconnect(e model.Endpoint, digests ...model.Digest) {
+func (c *Agent) RecordDisconnect(e model.Endpoint, digests ...model.Digest) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 			c.metrics.CountEvent("EndpointEndUnknown")
 			return
 		}
-		check = &crashCheck{endpoint: e, brokeAt: now, connectTried: make(chan struct{})}
+		check = &crashCheck{endpoint: e, brokeAt: now, connectDone: make(chan struct{})}
 		c.crashChecks[e.Incarnation()] = check
 		go c.checkCrash(check)
 	}
@@ -85,7 +85,7 @@
 
 // HasCrashed reports whether an endpoint is known to have crashed after a connection to it broke. It waits for the
 // attempt to connect to the endpoint's address.
-func (c *Coordinator) HasCrashed(e model.Endpoint) bool {
+func (c *Agent) HasCrashed(e model.Endpoint) bool {
 	c.mu.Lock()
 	check := c.crashChecks[e.Incarnation()]
 	c.mu.Unlock()
@@ -93,7 +93,7 @@
 		return false
 	}
 	select {
-	case <-check.connectTried:
+	case <-check.connectDone:
 	case <-c.ctx.Done():
 		return false
 	}
@@ -104,12 +104,12 @@
 
 // checkCrash tries to connect to the endpoint to find out whether its process has ended, and removes the check after
 // listTimeout.
-func (c *Coordinator) checkCrash(check *crashCheck) {
+func (c *Agent) checkCrash(check *crashCheck) {
 	ctx, cancel := context.WithTimeout(c.ctx, connectTimeout)
 	err := c.deps.Connect(ctx, check.endpoint.Address)
 	cancel()
 	c.mu.Lock()
-	close(check.connectTried)
+	close(check.connectDone)
 	check.reachable = err == nil
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		c.confirmCrash(check, proofRefused)
@@ -125,7 +125,7 @@
 
 // ApplyEndpointList applies a new list of endpoints. It confirms the crash of endpoints that are unreachable and no
 // longer listed, and of those whose address belongs to another process.
-func (c *Coordinator) ApplyEndpointList(endpoints func(pool string) []model.Endpoint) {
+func (c *Agent) ApplyEndpointList(endpoints func(pool string) []model.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for incarnation, check := range c.crashChecks {
@@ -148,7 +148,7 @@
 
 // confirmCrash records that an endpoint's process has ended, and schedules the report on its requests. The caller
 // holds c.mu.
-func (c *Coordinator) confirmCrash(check *crashCheck, proof string) {
+func (c *Agent) confirmCrash(check *crashCheck, proof string) {
 	check.proof = proof
 	c.metrics.CountEvent("EndpointEnded")
 	c.scheduleReport(check)
@@ -156,7 +156,7 @@
 
 // scheduleReport reports the interrupted requests after reportDelay, so that those interrupted at about the same time
 // share a report. The caller holds c.mu.
-func (c *Coordinator) scheduleReport(check *crashCheck) {
+func (c *Agent) scheduleReport(check *crashCheck) {
 	if check.reportScheduled {
 		return
 	}
@@ -174,7 +174,7 @@
 
 // reportCrash reports a crash to the pool's coordinators, and records it on this node as well: if no other node can
 // be reached, this one decides.
-func (c *Coordinator) reportCrash(check *crashCheck, digests []model.Digest) {
+func (c *Agent) reportCrash(check *crashCheck, digests []model.Digest) {
 	incarnation, pool := check.endpoint.Incarnation(), check.endpoint.Pool
 	var names []string
 	for _, digest := range digests[:min(len(digests), maxLoggedDigests)] {
@@ -188,10 +188,10 @@
 	})
 }
 
-func (c *Coordinator) recordCrash(pool string, crash kernel.Crash, digests []model.Digest) {
+func (c *Agent) recordCrash(pool string, crash kernel.Crash, digests []model.Digest) {
 	c.mu.Lock()
 	for _, digest := range digests {
-		c.q.RecordCrash(c.now(), digest, pool, crash)
+		c.quarantine.RecordCrash(c.now(), digest, pool, crash)
 	}
 	c.mu.Unlock()
 	c.scheduleEvaluation()
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -50,9 +50,9 @@
 		t      *testing.T
 		random *rand.Rand
 
-		mu           sync.Mutex
-		coordinators map[string]*quarantine.Coordinator
-		names        []string
+		mu     sync.Mutex
+		agents map[string]*quarantine.Agent
+		names  []string
 		// partitioned nodes reach neither other nodes nor the store.
 		partitioned map[string]bool
 		// unresponsive nodes do not answer calls. Another node notices this only when it calls them.
@@ -90,7 +90,7 @@
 
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{
-		t: t, random: rand.New(rand.NewPCG(1, 1)), coordinators: map[string]*quarantine.Coordinator{},
+		t: t, random: rand.New(rand.NewPCG(1, 1)), agents: map[string]*quarantine.Agent{},
 		partitioned: map[string]bool{}, withoutStore: map[string]bool{}, unresponsive: map[string]bool{}, knownUnresponsive: map[[2]string]bool{}, crashed: map[string]bool{},
 	}
 	for i := range size {
@@ -101,7 +101,7 @@
 
 // startNode starts a node, which replaces any node of the same name, and which reads the store first.
 func (f *fleet) startNode(name string) {
-	node := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Dependencies{
+	node := quarantine.NewAgent(f.t.Context(), name, quarantine.Dependencies{
 		Peers: func() []kernel.Peer { return f.peers(name) },
 		Call: func(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 			return f.call(ctx, name, node, kind, message, reply)
@@ -110,10 +110,10 @@
 		Store:   func(_ context.Context, change kernel.QuarantineChange) error { return f.write(name, change) },
 	}, time.Now, metric.NewSet(), zerolog.Nop())
 	f.mu.Lock()
-	if f.coordinators[name] == nil {
+	if f.agents[name] == nil {
 		f.names = append(f.names, name)
 	}
-	f.coordinators[name] = node
+	f.agents[name] = node
 	held := f.held
 	f.mu.Unlock()
 	node.ApplyChange(kernel.QuarantineChange{Hold: held})
@@ -137,7 +137,7 @@
 		return err
 	}
 	f.mu.Lock()
-	node := f.coordinators[to]
+	node := f.agents[to]
 	partitioned := f.partitioned[from] || f.partitioned[to]
 	unresponsive := f.unresponsive[to]
 	f.calls++
@@ -184,10 +184,10 @@
 	}
 	f.writes++
 	f.held = change.Apply(f.held)
-	for name := range f.coordinators {
+	for name := range f.agents {
 		time.AfterFunc(propagationDelay, func() {
 			f.mu.Lock()
-			node, partitioned := f.coordinators[name], f.partitioned[name]
+			node, partitioned := f.agents[name], f.partitioned[name]
 			f.mu.Unlock()
 			if !partitioned {
 				node.ApplyChange(change)
@@ -198,12 +198,12 @@
 }
 
 // randomNode returns a node that is not partitioned.
-func (f *fleet) randomNode() *quarantine.Coordinator {
+func (f *fleet) randomNode() *quarantine.Agent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for {
 		if name := f.names[f.random.IntN(len(f.names))]; !f.partitioned[name] {
-			return f.coordinators[name]
+			return f.agents[name]
 		}
 	}
 }
--- a/quarantine/notify.go
+++ b/quarantine/notify.go
@@ -26,20 +26,20 @@
 
 // notify sends a message to the coordinators of a pool in the background. It looks them up again in each round,
 // because a node that has just started does not know the others yet, and one that is cut off cannot reach them.
-func (c *Coordinator) notify(pool string, kind peer.Kind, message func(lost bool) any) {
+func (c *Agent) notify(pool string, kind peer.Kind, message func(lost bool) any) {
 	n := &notification{pool: pool, kind: kind, message: message, notified: map[string]bool{c.name: true}}
 	c.mu.Lock()
-	if c.notifying >= maxNotifications {
+	if c.activeNotifications >= maxNotifications {
 		c.mu.Unlock()
 		c.metrics.CountEvent("CoordinatorNotInformed")
 		return
 	}
-	c.notifying++
+	c.activeNotifications++
 	c.mu.Unlock()
 	go func() {
 		defer func() {
 			c.mu.Lock()
-			c.notifying--
+			c.activeNotifications--
 			c.mu.Unlock()
 		}()
 		allNotified := false
@@ -58,7 +58,7 @@
 // notifyRound notifies, in parallel, the coordinators that have not been notified yet, and reports whether all have
 // been. If the first one does not answer, it informs the next one, which may not have noticed and would leave the
 // decision to the first.
-func (c *Coordinator) notifyRound(n *notification) bool {
+func (c *Agent) notifyRound(n *notification) bool {
 	coordinators := c.coordinators(n.pool)
 	coordinators = coordinators[:min(coordinatorsPerPool, len(coordinators))]
 	answered := make([]bool, len(coordinators))
@@ -89,7 +89,7 @@
 	return allNotified
 }
 
-func (c *Coordinator) call(node string, kind peer.Kind, message any) bool {
+func (c *Agent) call(node string, kind peer.Kind, message any) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, notifyTimeout)
 	defer cancel()
 	return c.deps.Call(ctx, node, kind, message, &peer.Empty{}) == nil
@@ -97,7 +97,7 @@
 
 // actAsCoordinator makes this node decide for a pool during actingDuration, because the pool's coordinator does not
 // answer.
-func (c *Coordinator) actAsCoordinator(pool string) {
+func (c *Agent) actAsCoordinator(pool string) {
 	c.mu.Lock()
 	c.actingUntil[pool] = c.now().Add(actingDuration)
 	c.mu.Unlock()
@@ -105,7 +105,7 @@
 }
 
 // clearAndNotify clears a request on this node and on its pool's coordinators, which remove its entry from the store.
-func (c *Coordinator) clearAndNotify(digest model.Digest, pool string) {
+func (c *Agent) clearAndNotify(digest model.Digest, pool string) {
 	coordinators := c.coordinators(pool)
 	c.applyClear(digest, slices.Contains(coordinators[:min(coordinatorsPerPool, len(coordinators))], c.name))
 	c.notify(pool, peer.KindClear, func(bool) any { return peer.Clear{Digest: digest} })
@@ -114,12 +114,12 @@
 // applyClear clears a request that was answered. If removeEntry is true, it also removes the request's entry from the
 // store. Each notified coordinator does so, as the first may not answer; other nodes do not, because many of them may
 // have seen an answer.
-func (c *Coordinator) applyClear(digest model.Digest, removeEntry bool) {
+func (c *Agent) applyClear(digest model.Digest, removeEntry bool) {
 	state, _, _ := c.holdState(digest)
 	change := kernel.QuarantineChange{Lift: []model.Digest{digest}}
 	c.ApplyChange(change)
 	c.mu.Lock()
-	c.q.Trust(c.now(), digest)
+	c.quarantine.Trust(c.now(), digest)
 	c.mu.Unlock()
 	if state != kernel.NotHeld && removeEntry {
 		c.persist(change)
@@ -128,7 +128,7 @@
 
 // requestTrial asks the coordinator of a request's pool for a trial. If the trial is denied, retryAfter is the time
 // after which the caller may retry, or zero if the coordinator did not answer.
-func (c *Coordinator) requestTrial(ctx context.Context, held kernel.HeldRequest) (permitted bool, retryAfter time.Duration) {
+func (c *Agent) requestTrial(ctx context.Context, held kernel.HeldRequest) (permitted bool, retryAfter time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	reply := c.sendTrial(ctx, held.Pool, peer.Trial{Digest: held.Digest})
@@ -137,7 +137,7 @@
 
 // sendTrial sends a trial message to the coordinator of a pool. If the coordinator does not answer, the reply is
 // zero.
-func (c *Coordinator) sendTrial(ctx context.Context, pool string, request peer.Trial) peer.TrialReply {
+func (c *Agent) sendTrial(ctx context.Context, pool string, request peer.Trial) peer.TrialReply {
 	coordinator := c.coordinators(pool)[0]
 	if coordinator == c.name {
 		return c.applyTrial(request)
@@ -150,28 +150,28 @@
 	return reply
 }
 
-func (c *Coordinator) applyTrial(request peer.Trial) peer.TrialReply {
+func (c *Agent) applyTrial(request peer.Trial) peer.TrialReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if request.Unused {
-		c.q.CancelTrial(request.Digest)
+		c.quarantine.CancelTrial(request.Digest)
 		return peer.TrialReply{}
 	}
-	permitted, retryAfter := c.q.StartTrial(c.now(), request.Digest)
+	permitted, retryAfter := c.quarantine.StartTrial(c.now(), request.Digest)
 	return peer.TrialReply{Permitted: permitted, RetryAfter: retryAfter}
 }
 
 // Handlers returns the handlers of the messages that other nodes send to the coordinator.
-func (c *Coordinator) Handlers() map[peer.Kind]peer.Handler {
+func (c *Agent) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
 		peer.KindCrash:           c.handleCrash,
 		peer.KindTrial:           c.handleTrial,
 		peer.KindClear:           c.handleClear,
-		peer.KindStoreQuarantine: c.handleHold,
+		peer.KindStoreQuarantine: c.handleStoreQuarantine,
 	}
 }
 
-func (c *Coordinator) handleCrash(_ context.Context, body []byte) (any, error) {
+func (c *Agent) handleCrash(_ context.Context, body []byte) (any, error) {
 	var m peer.Crash
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 	return peer.Empty{}, nil
 }
 
-func (c *Coordinator) handleTrial(_ context.Context, body []byte) (any, error) {
+func (c *Agent) handleTrial(_ context.Context, body []byte) (any, error) {
 	var m peer.Trial
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -191,7 +191,7 @@
 	return c.applyTrial(m), nil
 }
 
-func (c *Coordinator) handleClear(_ context.Context, body []byte) (any, error) {
+func (c *Agent) handleClear(_ context.Context, body []byte) (any, error) {
 	var m peer.Clear
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -200,7 +200,7 @@
 	return peer.Empty{}, nil
 }
 
-func (c *Coordinator) handleHold(ctx context.Context, body []byte) (any, error) {
+func (c *Agent) handleStoreQuarantine(ctx context.Context, body []byte) (any, error) {
 	var m peer.StoreQuarantine
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
--- a/ratecap/limiter.go
+++ b/ratecap/limiter.go
@@ -38,7 +38,7 @@
 		Listed func(incarnation string) bool
 		// Part returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
 		// size. It is nil if the whole cap may always be used.
-		Part func(incarnation string) float64
+		Fraction func(incarnation string) float64
 		// Publish informs all nodes of the cap that an endpoint states, or that it states none.
 		Publish func(ctx context.Context, incarnation string, stated model.RateCap) error
 		// RequestPermit asks another node for a permit to send one request to an endpoint of a pool. If the permit is
@@ -119,17 +119,17 @@
 	return kernel.CapView{}
 }
 
-// PartialView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
+// FractionalView returns an endpoint's cap, reduced to the part that all nodes together may use for requests. All pieces
 // together may use a part of the same size.
-func (l *Limiter) PartialView(incarnation string) kernel.CapView {
-	return l.partialView(incarnation, l.View(incarnation))
+func (l *Limiter) FractionalView(incarnation string) kernel.CapView {
+	return l.fractionalView(incarnation, l.View(incarnation))
 }
 
-func (l *Limiter) partialView(incarnation string, view kernel.CapView) kernel.CapView {
-	if !view.Cap.Stated || l.deps.Part == nil {
+func (l *Limiter) fractionalView(incarnation string, view kernel.CapView) kernel.CapView {
+	if !view.Cap.Stated || l.deps.Fraction == nil {
 		return view
 	}
-	return view.WithFraction(l.deps.Part(incarnation))
+	return view.WithFraction(l.deps.Fraction(incarnation))
 }
 
 // HasCap reports whether an endpoint states a cap.
@@ -139,7 +139,7 @@
 
 // Admits reports whether this node may send to an endpoint now, given when it last did.
 func (l *Limiter) Admits(now time.Time, e model.Endpoint, sentAt time.Time) bool {
-	view := l.PartialView(e.Incarnation())
+	view := l.FractionalView(e.Incarnation())
 	return !view.Cap.Stated || view.Due(now, sentAt, l.Rank(now, e.Incarnation()))
 }
 
@@ -152,7 +152,7 @@
 			continue
 		}
 		incarnation := e.Incarnation()
-		view := l.PartialView(incarnation)
+		view := l.FractionalView(incarnation)
 		if !view.Cap.Stated {
 			return nil
 		}
--- a/ratecap/permit.go
+++ b/ratecap/permit.go
@@ -91,6 +91,6 @@
 	if c == nil {
 		c = &endpointCap{}
 	}
-	c.issuer, granted, wait = c.issuer.Decide(now, l.partialView(incarnation, c.publisher.View), sentAt, rank)
+	c.issuer, granted, wait = c.issuer.Decide(now, l.fractionalView(incarnation, c.publisher.View), sentAt, rank)
 	return granted, wait
 }
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -41,7 +41,7 @@
 		// localityWait is how long the pieces wait for an endpoint in domain.
 		localityWait time.Duration
 		rank         int
-		askedAt      time.Time
+		firstSentAt  time.Time
 		due          time.Time
 		until        time.Time
 		// excluded names the nodes that did not answer, are leaving, or named another batcher.
@@ -80,9 +80,9 @@
 			b.setCurrentBatcher(node)
 			b.recordReport(result.report)
 			done := result.stageResult(req)
-			done.time.Batcher = node
+			done.timing.Batcher = node
 			if done.refusal == nil {
-				r.metrics.ObserveWaitError(req.pool, done.time.Estimate, done.time.Waited)
+				r.metrics.ObserveWaitError(req.pool, done.timing.Estimate, done.timing.Waited)
 			}
 			return done
 		}
@@ -136,15 +136,15 @@
 	}
 	done := stageResult{results: result.outcome.Made}
 	done.inputsFreed = result.outcome.InputsFreed
-	done.time.Waited = result.outcome.Waited
-	done.time.Estimate = result.report.wait
+	done.timing.Waited = result.outcome.Waited
+	done.timing.Estimate = result.report.wait
 	fault := result.outcome.Fault
 	if fault == "" && len(done.results) != len(req.pieces) {
 		// An incomplete set of results must not be used as an input.
 		fault = model.PieceFailed
 	}
 	if fault != "" {
-		done.time.Fault = fault
+		done.timing.Fault = fault
 		done.refusal = model.NewRefusal(model.NotRun, model.StageLate, kernel.ClampRetryAfter(max(result.report.wait, result.outcome.Wait, refusalRetryAfter)),
 			fmt.Sprintf("pool %s: pieces not made: %s", pool, fault))
 	}
@@ -212,7 +212,7 @@
 		Domain:       req.domain,
 		LocalityWait: req.localityWait,
 		Rank:         req.rank,
-		FirstSentAt:  req.askedAt,
+		FirstSentAt:  req.firstSentAt,
 		Due:          req.due,
 		Until:        req.until,
 	}
--- a/relay/batcher.go
+++ b/relay/batcher.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// pumpInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
+	// startCallsInterval is the longest time until startCalls runs again while pieces wait: a fraction of the time that
 	// a piece waits for an endpoint in its failure domain.
-	pumpInterval = 30 * time.Millisecond
+	startCallsInterval = 30 * time.Millisecond
 	// A call for pieces times out after callTimeoutFactor times its expected duration plus callGrace; its pieces
 	// are then requested from another endpoint.
 	callTimeoutFactor = 2.5
@@ -79,7 +79,7 @@
 func (b *batcher) updateRateCaps() {
 	b.mu.Lock()
 	for _, worker := range b.workers(b.relay.Registry()) {
-		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.PartialView(worker.Incarnation()).Cap)
+		b.queue.SetRateCap(worker.Incarnation(), b.relay.rateCaps.FractionalView(worker.Incarnation()).Cap)
 	}
 	b.mu.Unlock()
 	b.startCalls()
@@ -190,7 +190,7 @@
 		time.AfterFunc(batch.FetchTime(), b.freeFetchedInputs)
 	}
 	if pieces, _ := b.queue.Pending(); pieces > 0 {
-		b.timer.Reset(min(pumpInterval, max(time.Millisecond, b.queue.Spacing()/2)))
+		b.timer.Reset(min(startCallsInterval, max(time.Millisecond, b.queue.Spacing()/2)))
 	}
 }
 
--- a/relay/batchpeer.go
+++ b/relay/batchpeer.go
@@ -57,7 +57,7 @@
 		Domain:       req.domain,
 		LocalityWait: req.localityWait,
 		Rank:         req.rank,
-		AskedAgo:     now.Sub(req.askedAt),
+		AskedAgo:     now.Sub(req.firstSentAt),
 		DueIn:        req.due.Sub(now),
 		UntilIn:      req.until.Sub(now),
 		PassedOver:   req.excluded,
@@ -83,19 +83,19 @@
 // Handlers returns the handlers of the messages that other nodes send to this one.
 func (r *Relay) Handlers() map[peer.Kind]peer.Handler {
 	handlers := map[peer.Kind]peer.Handler{
-		peer.KindBatch:       r.answerBatch,
-		peer.KindBatchCancel: r.answerBatchCancel,
-		peer.KindRelease:     r.answerRelease,
-		peer.KindProbe:       r.answerProbe,
-		peer.KindCallerWait:  r.handleReturn,
-		peer.KindTakeOver:    r.answerTakeOver,
+		peer.KindBatch:       r.handleBatch,
+		peer.KindBatchCancel: r.handleBatchCancel,
+		peer.KindRelease:     r.handleRelease,
+		peer.KindProbe:       r.handleProbe,
+		peer.KindCallerWait:  r.handleCallerWait,
+		peer.KindTakeOver:    r.handleTakeOver,
 		peer.KindCapPermit:   r.handleCapPermit,
 	}
 	maps.Copy(handlers, r.quarantine.Handlers())
 	return handlers
 }
 
-func (r *Relay) answerBatch(ctx context.Context, body []byte) (any, error) {
+func (r *Relay) handleBatch(ctx context.Context, body []byte) (any, error) {
 	var m peer.Batch
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 	}, nil
 }
 
-func (r *Relay) answerBatchCancel(_ context.Context, body []byte) (any, error) {
+func (r *Relay) handleBatchCancel(_ context.Context, body []byte) (any, error) {
 	var m peer.BatchCancel
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 	return peer.Empty{}, nil
 }
 
-func (r *Relay) answerRelease(ctx context.Context, body []byte) (any, error) {
+func (r *Relay) handleRelease(ctx context.Context, body []byte) (any, error) {
 	var m peer.Release
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -172,7 +172,7 @@
 	return peer.Empty{}, nil
 }
 
-func (r *Relay) answerProbe(context.Context, []byte) (any, error) {
+func (r *Relay) handleProbe(context.Context, []byte) (any, error) {
 	return peer.ProbeReply{Leaving: r.Leaving()}, nil
 }
 
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -21,7 +21,7 @@
 		cold      kernel.ColdShare
 		announced func() []kernel.Peer
 		// caps limits what is sent to endpoints with rate caps.
-		caps *ratecap.Limiter
+		rateCaps *ratecap.Limiter
 		// allowPermits is true if endpoints may be chosen that require a permit of another node.
 		allowPermits bool
 	}
@@ -29,7 +29,7 @@
 	// sendState is the state of a node's sends to one endpoint.
 	sendState struct {
 		// lastSentAt is when the node last sent to the endpoint or granted another node a permit to do so.
-		sentAt time.Time
+		lastSentAt time.Time
 		// coldRole is whether the node may send while the endpoint is cold.
 		coldRole kernel.ColdRole
 	}
@@ -38,20 +38,20 @@
 func (r *Relay) sendLimits(pool string) sendLimits {
 	table := r.View().Table
 	traits, _ := table.Pool(pool)
-	return sendLimits{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.ColdLimits.FractionalShare(table.CapacityShare(pool), traits.ColdRate), announced: r.announcedPeers, caps: r.rateCaps}
+	return sendLimits{self: r.options.Name, startedAt: r.startedAt, leaving: r.Leaving(), cold: r.options.ColdLimits.FractionalShare(table.CapacityShare(pool), traits.ColdRate), announced: r.announcedPeers, rateCaps: r.rateCaps}
 }
 
 // admits reports whether this node may send a request to an endpoint now, and whether it needs a permit of another
 // node to do so.
 func (l sendLimits) admits(now time.Time, e model.Endpoint, s *endpointState) (admitted, needsPermit bool) {
 	switch {
-	case !l.admitsCold(now, e, &s.gate):
+	case !l.admitsCold(now, e, &s.sends):
 		return false, false
-	case l.caps.Admits(now, e, s.gate.sentAt):
+	case l.rateCaps.Admits(now, e, s.sends.lastSentAt):
 		return true, false
 	default:
 		// No permits are requested for the occasional probes of an ejected endpoint.
-		return l.allowPermits && !s.health.Ejected() && l.caps.MayRequestPermit(now, e.Incarnation()), true
+		return l.allowPermits && !s.health.Ejected() && l.rateCaps.MayRequestPermit(now, e.Incarnation()), true
 	}
 }
 
@@ -62,5 +62,5 @@
 	if s.coldRole.Expired(now) {
 		s.coldRole = s.coldRole.With(now, l.startedAt, !l.leaving && l.cold.IsSender(l.self, e, l.announced()))
 	}
-	return l.cold.DueForRole(now, s.coldRole, s.sentAt)
+	return l.cold.DueForRole(now, s.coldRole, s.lastSentAt)
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -55,7 +55,7 @@
 		line = line.Array("Estimates", stageEstimateArray(o.Estimates))
 	}
 	if len(o.Stages) > 0 {
-		line = line.Array("Stages", stageTimeArray(o.Stages))
+		line = line.Array("Stages", stageTimingArray(o.Stages))
 	}
 	switch {
 	case o.Refusal != nil:
@@ -69,11 +69,11 @@
 	}
 }
 
-// stageTimeArray marshals the times of a request's stages.
-type stageTimeArray []StageTiming
+// stageTimingArray marshals the times of a request's stages.
+type stageTimingArray []StageTiming
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (times stageTimeArray) MarshalZerologArray(a *zerolog.Array) {
+func (times stageTimingArray) MarshalZerologArray(a *zerolog.Array) {
 	for _, t := range times {
 		a.Dict(zerolog.Dict().Int("Stage", t.Stage).Str("Pool", t.Pool).Str("Batcher", t.Batcher).
 			Dur("Elapsed", t.Elapsed).Dur("Waited", t.Waited).Dur("Estimate", t.Estimate).Str("Fault", string(t.Fault)))
--- a/relay/permits_test.go
+++ b/relay/permits_test.go
@@ -14,8 +14,8 @@
 	"basilstall.example/basilstall/relay"
 )
 
-// permitHarness is a relay that needs the permit of another node to send to any endpoint of the pool, and that node.
-type permitHarness struct {
+// permitTestBed is a relay that needs the permit of another node to send to any endpoint of the pool, and that node.
+type permitTestBed struct {
 	*testBed
 	// granted is the other node's answer.
 	granted atomic.Bool
@@ -25,8 +25,8 @@
 	sent []string
 }
 
-func newPermitHarness(t *testing.T) *permitHarness {
-	h := &permitHarness{testBed: newTestBed(t)}
+func newPermitTestBed(t *testing.T) *permitTestBed {
+	h := &permitTestBed{testBed: newTestBed(t)}
 	sharer, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
 	t.Cleanup(func() { sharer.Close() })
@@ -60,7 +60,7 @@
 // request is refused with the time until this node's turn, and the permit is not requested again before.
 func TestRequestIsSentWithPermitOfAnotherNode(t *testing.T) {
 	t.Parallel()
-	h := newPermitHarness(t)
+	h := newPermitTestBed(t)
 	refusal := h.serve("/get/one").Refusal
 	must.NotNil(t, refusal)
 	must.EqOp(t, model.EndpointsCapped, refusal.Reason)
@@ -81,7 +81,7 @@
 // together with the next requests of the node that granted the permit.
 func TestExpiredPermitIsNotUsed(t *testing.T) {
 	t.Parallel()
-	h := newPermitHarness(t)
+	h := newPermitTestBed(t)
 	h.granted.Store(true)
 	time.Sleep(3 * time.Second)
 	attempts := 0
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -37,7 +37,7 @@
 		load   model.Load
 		loadAt time.Time
 		health kernel.Health
-		gate   sendState
+		sends  sendState
 	}
 
 	// choice is an endpoint chosen for one attempt, which already counts as in flight.
@@ -123,7 +123,7 @@
 	s := p.state(c.Endpoint.Incarnation())
 	_, needsPermit := gate.admits(now, c.Endpoint, s)
 	if !needsPermit {
-		s.gate.sentAt = now
+		s.sends.lastSentAt = now
 	}
 	s.inFlight++
 	s.pendingPrefillTokens += prefillTokens
@@ -137,7 +137,7 @@
 func (p *pool) recordPermittedSend(now time.Time, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(incarnation).gate.sentAt = now
+	p.state(incarnation).sends.lastSentAt = now
 }
 
 // grantPermit calls decide for whether another node may send to an endpoint in place of this node. A granted permit
@@ -146,9 +146,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.state(incarnation)
-	granted, wait = decide(now, incarnation, s.gate.sentAt)
+	granted, wait = decide(now, incarnation, s.sends.lastSentAt)
 	if granted {
-		s.gate.sentAt = now
+		s.sends.lastSentAt = now
 	}
 	return granted, wait
 }
@@ -159,7 +159,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.states[incarnation]; s != nil {
-		return s.gate.sentAt
+		return s.sends.lastSentAt
 	}
 	return time.Time{}
 }
--- a/relay/ratecaps.go
+++ b/relay/ratecaps.go
@@ -25,16 +25,16 @@
 			e, listed := r.Registry().Find(model.NameOfIncarnation(incarnation))
 			return listed && e.Incarnation() == incarnation
 		},
-		Part:          r.capPart,
+		Fraction:      r.rateCapShare,
 		Publish:       r.deps.PublishRateCap,
 		RequestPermit: r.requestCapPermit,
 		Changed:       r.batchers.updateRateCaps,
 	}, r.now, r.metrics, r.log)
 }
 
-// capPart returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
+// rateCapShare returns the part of an endpoint's cap, from 0 to 1, that requests may use; pieces may use a part of the same
 // size.
-func (r *Relay) capPart(incarnation string) float64 {
+func (r *Relay) rateCapShare(incarnation string) float64 {
 	e, _ := r.Registry().Find(model.NameOfIncarnation(incarnation))
 	return r.View().Table.CapacityShare(e.Pool)
 }
@@ -97,7 +97,7 @@
 	return reply, err
 }
 
-// recordRateCap records the rate cap in an answer to a request that was sent at sentAt. The absence of a cap counts
+// recordRateCap records the rate cap in an answer to a request that was sent at lastSentAt. The absence of a cap counts
 // only in a complete answer: a damaged one may have lost it.
 func (r *Relay) recordRateCap(sentAt time.Time, e model.Endpoint, stated model.RateCap, complete bool) {
 	if stated.Stated || complete {
--- a/relay/ratecaps_test.go
+++ b/relay/ratecaps_test.go
@@ -13,7 +13,7 @@
 
 // A node may learn of an endpoint's rate cap after it has chosen the endpoint, but before the connection is open. The
 // request has to go to another endpoint, without counting as a retry.
-func TestRequestMovesOnIfRateCapArrivesBeforeSend(t *testing.T) {
+func TestRateCapBeforeSendMovesRequest(t *testing.T) {
 	b := newTestBed(t)
 	var sent []string
 	capped := ""
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -63,7 +63,7 @@
 		// refusedRequests holds the refused requests of the pools that this node coordinates.
 		refusedRequests *refusedRequests
 		// quarantine holds back requests that crash the endpoints that run them.
-		quarantine *quarantine.Coordinator
+		quarantine *quarantine.Agent
 		// rateCaps limits what is sent to endpoints that state a rate cap.
 		rateCaps *ratecap.Limiter
 
@@ -107,7 +107,7 @@
 	r.remoteGroups = newRemoteGroups()
 	r.activeCalls = newCallTracker()
 	r.refusedRequests = newRefusedRequests()
-	r.quarantine = quarantine.NewCoordinator(r.ctx, options.Name, quarantine.Dependencies{
+	r.quarantine = quarantine.NewAgent(r.ctx, options.Name, quarantine.Dependencies{
 		Peers: r.Reachable, Call: r.callNode, Connect: deps.Connect, Store: deps.StoreQuarantine,
 	}, now, metrics, log)
 	metrics.Gauge("requests_held_back", func() float64 { return float64(r.quarantine.Len()) })
@@ -270,10 +270,10 @@
 	} else {
 		outcome = job.serveUnary(ctx)
 	}
-	outcome.Stages = job.stageTimes
+	outcome.Stages = job.stageTimings
 	f = job.forward
 	outcome.Late = f.Waited+outcome.FirstEventTime > admission.Route.Objective
-	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimes) == 0 {
+	if outcome.Refusal != nil && outcome.Refusal.Reason == model.StageLate && len(job.stageTimings) == 0 {
 		outcome.Estimates = job.estimates
 	}
 	switch {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -208,7 +208,7 @@
 
 // A batcher may answer late because a call takes long. Only a silent batcher counts as lost. Guards against a second
 // node that batches for the same pool at the same time.
-func TestLateGroupDoesNotSuspectBatcher(t *testing.T) {
+func TestLateBatcherIsNotSuspected(t *testing.T) {
 	b := newTestBed(t)
 	batcher, err := peer.NewServer("127.0.0.1:0", "")
 	must.NoError(t, err)
--- a/relay/returning.go
+++ b/relay/returning.go
@@ -87,8 +87,8 @@
 	return kernel.NodesByHash(stages[0].Pool, r.Reachable())[0]
 }
 
-// handleReturn handles a peer.Return: it records a refused request, or returns how long a caller has waited.
-func (r *Relay) handleReturn(_ context.Context, body []byte) (any, error) {
+// handleCallerWait handles a peer.Return: it records a refused request, or returns how long a caller has waited.
+func (r *Relay) handleCallerWait(_ context.Context, body []byte) (any, error) {
 	var message peer.CallerWait
 	if err := peer.DecodeBody(body, &message); err != nil {
 		return nil, err
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -39,7 +39,7 @@
 		// inputsFreed is true if the batcher has freed the inputs of the stage.
 		inputsFreed bool
 		refusal     *model.Refusal
-		time        StageTiming
+		timing      StageTiming
 	}
 )
 
@@ -57,7 +57,7 @@
 	for running > 0 {
 		result := <-finished
 		running--
-		j.stageTimes = append(j.stageTimes, result.time)
+		j.stageTimings = append(j.stageTimings, result.timing)
 		run.holdResults(result.stage, result.results)
 		if result.inputsFreed {
 			run.forgetInputs(result.stage)
@@ -95,7 +95,7 @@
 	groups := map[int]batchRequest{}
 	for i := range run.stages {
 		if kernel.PieceCount(j.forward, i) > 0 {
-			groups[i] = j.newPieceGroup(run, i)
+			groups[i] = j.newBatchRequest(run, i)
 		}
 	}
 	estimates := r.estimateWaits(ctx, run.stages, groups)
@@ -143,7 +143,7 @@
 			continue
 		}
 		running++
-		group := j.newPieceGroup(run, i)
+		group := j.newBatchRequest(run, i)
 		go func() {
 			defer j.relay.recoverPanic(func() {
 				finished <- stageResult{stage: i, refusal: model.NewRefusal(model.NotRun, model.StageFailed, kernel.ClampRetryAfter(0), "the stage failed")}
@@ -185,14 +185,14 @@
 	return true
 }
 
-// newPieceGroup returns the pieces of a stage.
-func (j *job) newPieceGroup(run *stageRun, stage int) batchRequest {
+// newBatchRequest returns the pieces of a stage.
+func (j *job) newBatchRequest(run *stageRun, stage int) batchRequest {
 	node := j.admission.Route.Stages[stage]
 	g := batchRequest{
 		pool:        run.queueName(stage),
 		domain:      run.prefixDomain,
 		resultBytes: node.ResultBytes,
-		askedAt:     j.relay.now(),
+		firstSentAt: j.relay.now(),
 		due:         run.plan.Due[stage],
 		until:       run.plan.Until[stage],
 		rank:        j.admission.Rank,
@@ -233,8 +233,8 @@
 	startedAt := j.relay.now()
 	result := j.relay.runGroup(ctx, group)
 	result.stage = stage
-	result.time.Stage = stage
-	result.time.Pool = group.pool
-	result.time.Elapsed = j.relay.now().Sub(startedAt)
+	result.timing.Stage = stage
+	result.timing.Pool = group.pool
+	result.timing.Elapsed = j.relay.now().Sub(startedAt)
 	return result
 }
--- a/relay/suspects.go
+++ b/relay/suspects.go
@@ -22,7 +22,7 @@
 		ctx   context.Context
 		probe func(node string) bool
 		// recovered is called when a node answers again.
-		recovered func(node string)
+		onRecovered func(node string)
 
 		mu    sync.Mutex
 		nodes map[string]bool
@@ -36,7 +36,7 @@
 )
 
 func newSuspects(ctx context.Context, probe func(string) bool, recovered func(string)) *suspects {
-	return &suspects{ctx: ctx, probe: probe, recovered: recovered, nodes: map[string]bool{}}
+	return &suspects{ctx: ctx, probe: probe, onRecovered: recovered, nodes: map[string]bool{}}
 }
 
 // suspect records that a node did not answer or is leaving, and starts to probe it. It returns false if the node was
@@ -84,7 +84,7 @@
 	delete(s.nodes, node)
 	s.mu.Unlock()
 	if suspected {
-		s.recovered(node)
+		s.onRecovered(node)
 	}
 }
 
--- a/relay/takeover.go
+++ b/relay/takeover.go
@@ -194,9 +194,9 @@
 	return nodes
 }
 
-// answerTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
+// handleTakeOver answers a node that batches for the pool or is about to: it hands the pool over, or names the
 // node that batches.
-func (b *batcher) answerTakeOver(m peer.TakeOver) peer.TakeOverReply {
+func (b *batcher) handleTakeOver(m peer.TakeOver) peer.TakeOverReply {
 	r := b.relay
 	b.mu.Lock()
 	active := b.active && r.now().Sub(b.lastGroupAt) < batcherIdleTimeout
@@ -230,7 +230,7 @@
 	r.log.Info().Str("Pool", b.queueName).Str("To", to).Int("Groups", len(moved)).Msg("batching handed over")
 }
 
-func (r *Relay) answerTakeOver(_ context.Context, body []byte) (any, error) {
+func (r *Relay) handleTakeOver(_ context.Context, body []byte) (any, error) {
 	var m peer.TakeOver
 	if err := peer.DecodeBody(body, &m); err != nil {
 		return nil, err
@@ -239,5 +239,5 @@
 	if b == nil {
 		return peer.TakeOverReply{}, nil
 	}
-	return b.answerTakeOver(m), nil
+	return b.handleTakeOver(m), nil
 }
--- a/relay/unary.go
+++ b/relay/unary.go
@@ -47,8 +47,8 @@
 		// permitUntil is when the other node's permit for the chosen endpoint expires; zero if no permit is needed.
 		permitUntil time.Time
 		// trial is true for a request that is held back and may run once.
-		trial      bool
-		stageTimes []StageTiming
+		trial        bool
+		stageTimings []StageTiming
 		// estimates are the estimates for the stages' pools at the arrival of the request.
 		estimates []StageEstimate
 	}
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	setupTimeout      = 20 * time.Second
-	setupPollInterval = 20 * time.Millisecond
-	readinessInterval = 100 * time.Millisecond
+	setupTimeout          = 20 * time.Second
+	setupPollInterval     = 20 * time.Millisecond
+	readinessPollInterval = 100 * time.Millisecond
 )
 
 // Setup runs a sample's stand-in and nodes in this process, and simulates the platform's load balancer in front of the
@@ -151,7 +151,7 @@
 		s.mu.Lock()
 		s.readyAddresses = ready
 		s.mu.Unlock()
-		time.Sleep(readinessInterval)
+		time.Sleep(readinessPollInterval)
 	}
 }
 
--- a/scenario/balance_test.go
+++ b/scenario/balance_test.go
@@ -10,7 +10,7 @@
 // been sent. How: no node answered one probe within 300 ms, and the load found no address to send to. Cause: the balancer's
 // part took silence of all nodes for nodes that are not ready. Proved by the reasons of these requests: none, not even that
 // of a broken connection.
-func TestCallersAreSentSomewhereWhileAllNodesAreSilent(t *testing.T) {
+func TestBalancerKeepsSilentNodesWhenNoneIsReady(t *testing.T) {
 	t.Parallel()
 	before := []string{"a", "b"}
 	for name, tc := range map[string]struct {
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -18,16 +18,16 @@
 	"basilstall.example/basilstall/standin"
 )
 
-// logTail is how much of a log is shown where a process ended badly, in bytes.
-const logTail = 6000
+// logTailBytes is how much of a log is shown where a process ended badly, in bytes.
+const logTailBytes = 6000
 
 // cmdStandin starts the stand-in: standin FILE.
 func cmdStandin(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	p, err := f.start("standin", "standin", "--config", ts.MkAbs(args[0]))
 	ts.Check(err)
-	f.platform = p.lines[0]
-	ts.Setenv("PLATFORM", f.platform)
+	f.platformAddress = p.addresses[0]
+	ts.Setenv("PLATFORM", f.platformAddress)
 }
 
 // cmdNode starts nodes: node NAMES DOMAINS [FLAGS...], both lists with commas.
@@ -36,24 +36,24 @@
 	domains := strings.Split(args[1], ",")
 	for i, name := range strings.Split(args[0], ",") {
 		flags := []string{
-			"serve", "--name", name, "--failure-domain", domains[i%len(domains)], "--platform", f.platform,
+			"serve", "--name", name, "--failure-domain", domains[i%len(domains)], "--platform", f.platformAddress,
 			"--operators-token", operatorsToken, "--peers-token", peersToken,
 		}
 		callers, operators, peers := f.listenAddresses(name)
 		flags = append(flags, "--callers-listen", callers, "--operators-listen", operators, "--peers-listen", peers)
 		p, err := f.start(name, append(flags, args[2:]...)...)
 		ts.Check(err)
-		ts.Setenv(name+"_CALLERS", p.lines[0])
-		ts.Setenv(name+"_OPERATORS", p.lines[1])
-		ts.Setenv(name+"_PEERS", p.lines[2])
+		ts.Setenv(name+"_CALLERS", p.addresses[0])
+		ts.Setenv(name+"_OPERATORS", p.addresses[1])
+		ts.Setenv(name+"_PEERS", p.addresses[2])
 	}
 }
 
 // listenAddresses returns where a node is to listen: on a host of its own at first, and at the same addresses when it is
 // started again, as on a replaced host.
 func (f *fleet) listenAddresses(name string) (callers, operators, peers string) {
-	if old := f.procs[name]; old != nil {
-		return old.lines[0], old.lines[1], old.lines[2]
+	if old := f.processes[name]; old != nil {
+		return old.addresses[0], old.addresses[1], old.addresses[2]
 	}
 	anyPort := net.JoinHostPort(standin.NewLoopbackHost(), "0")
 	return anyPort, anyPort, anyPort
@@ -79,23 +79,23 @@
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	for _, name := range strings.Split(args[0], ",") {
-		ts.Check(f.procs[name].cmd.Process.Signal(signals[args[1]]))
+		ts.Check(f.processes[name].cmd.Process.Signal(signals[args[1]]))
 	}
 }
 
 // cmdExited waits for a process to end: exited NAME [CODE].
 func cmdExited(ts *testscript.TestScript, _ bool, args []string) {
-	p := fleetOf(ts).procs[args[0]]
+	p := fleetOf(ts).processes[args[0]]
 	<-p.done
-	if len(args) > 1 && strconv.Itoa(p.code) != args[1] {
-		log, _ := os.ReadFile(p.log)
-		ts.Fatalf("%s exited with %d:\n%s", args[0], p.code, log[max(0, len(log)-logTail):])
+	if len(args) > 1 && strconv.Itoa(p.exitCode) != args[1] {
+		log, _ := os.ReadFile(p.logPath)
+		ts.Fatalf("%s exited with %d:\n%s", args[0], p.exitCode, log[max(0, len(log)-logTailBytes):])
 	}
 }
 
 // cmdOccupy takes the ports of a process that has ended, on 127.0.0.1, until the script ends: occupy NAME.
 func cmdOccupy(ts *testscript.TestScript, _ bool, args []string) {
-	for _, address := range fleetOf(ts).procs[args[0]].lines {
+	for _, address := range fleetOf(ts).processes[args[0]].addresses {
 		_, port, err := net.SplitHostPort(address)
 		ts.Check(err)
 		listener, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", port))
@@ -127,7 +127,7 @@
 		}
 		ts.Check(err)
 	}
-	err = fleetOf(ts).fault(fault)
+	err = fleetOf(ts).setFault(fault)
 	if fault.Target == "platform" {
 		// The platform's own answer is on a connection that has just gone silent.
 		return
@@ -141,7 +141,7 @@
 	if len(args) > 0 {
 		target = args[0]
 	}
-	ts.Check(fleetOf(ts).clear(target))
+	ts.Check(fleetOf(ts).clearFaults(target))
 }
 
 // cmdLoad starts a load: load NAME PIPELINE [count=N] [workers=N] [keys=v7|v4] [fan] [tries=N]
@@ -149,8 +149,8 @@
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	plan := loadPlan{
-		pipeline: args[1], token: sample.BilbaoToken, account: sample.BilbaoCustomer,
-		count: 100, workers: 8, tries: 1, tokens: 8,
+		pipeline: args[1], token: sample.BilbaoToken, customer: sample.BilbaoCustomer,
+		count: 100, workers: 8, maxAttempts: 1, maxTokens: 8,
 	}
 	addresses := f.callers
 	var err error
@@ -162,19 +162,19 @@
 		case "workers":
 			plan.workers, err = strconv.Atoi(value)
 		case "tries":
-			plan.tries, err = strconv.Atoi(value)
+			plan.maxAttempts, err = strconv.Atoi(value)
 		case "tokens":
-			plan.tokens, err = strconv.Atoi(value)
+			plan.maxTokens, err = strconv.Atoi(value)
 		case "pause":
 			plan.pause, err = time.ParseDuration(value)
 		case "keys":
-			plan.keys = value
+			plan.keyForm = value
 		case "fan":
-			plan.fan = true
+			plan.fanOut = true
 		case "stream":
 			plan.stream = true
 		case "numbers":
-			plan.numbers = true
+			plan.numberAttempts = true
 		case "via":
 			addresses = f.callersOf(strings.Split(value, ","))
 		default:
@@ -205,17 +205,17 @@
 	f := fleetOf(ts)
 	l := f.loads[args[0]]
 	<-l.done
-	got, err := f.figure(l, args[1])
+	got, err := f.statistic(l, args[1])
 	ts.Check(err)
 	want, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
 	ts.Logf("%s: %s is %g, wanted %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
-	if !compare(got, args[2], want) {
+	if !compareNumbers(got, args[2], want) {
 		ts.Fatalf("%s: %s is %g, wanted %s %s; reasons %v", args[0], args[1], got, args[2], args[3], l.reasonCounts())
 	}
 }
 
-func compare(got float64, operator string, want float64) bool {
+func compareNumbers(got float64, operator string, want float64) bool {
 	switch operator {
 	case "==":
 		return got == want
@@ -229,15 +229,15 @@
 }
 
 // figures are what a load can be asked: whether a request counts.
-var figures = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
+var statistics = map[string]func(l *load, o *outcome, journal standin.JournalSummary) bool{
 	"doubles": func(l *load, o *outcome, journal standin.JournalSummary) bool {
-		return journal.Keys[l.plan.account+"/"+o.key] > 1
+		return journal.Keys[l.plan.customer+"/"+o.key] > 1
 	},
-	"untrue": notRunUntrue,
+	"untrue": ranDespiteNotRun,
 	"wrong": func(l *load, o *outcome, _ standin.JournalSummary) bool {
-		return o.gaps || wrongAnswer(l, o)
+		return o.streamGaps || hasWrongAnswer(l, o)
 	},
-	"cut":     func(_ *load, o *outcome, _ standin.JournalSummary) bool { return o.cut > 0 },
+	"cut":     func(_ *load, o *outcome, _ standin.JournalSummary) bool { return o.cutAttempts > 0 },
 	"missing": func(_ *load, o *outcome, _ standin.JournalSummary) bool { return !o.ran() },
 	"refused": func(_ *load, o *outcome, _ standin.JournalSummary) bool { return o.refused() },
 	"unknown": func(_ *load, o *outcome, _ standin.JournalSummary) bool {
@@ -247,13 +247,13 @@
 
 // figure reads one figure of a load against the stand-in's journal: how many requests count,
 // or with the ending -share which part of them.
-func (f *fleet) figure(l *load, name string) (float64, error) {
+func (f *fleet) statistic(l *load, name string) (float64, error) {
 	journal, err := f.journal()
 	if err != nil {
 		return 0, err
 	}
 	name, share := strings.CutSuffix(name, "-share")
-	counts := figures[name]
+	counts := statistics[name]
 	if reason, ok := strings.CutPrefix(name, "reason-"); ok {
 		counts = func(_ *load, o *outcome, _ standin.JournalSummary) bool {
 			return slices.Contains(o.reasons, model.Reason(reason))
@@ -276,10 +276,10 @@
 	return n, nil
 }
 
-// notRunUntrue tells whether a request that was refused as NotRun was seen by an endpoint, or
+// ranDespiteNotRun tells whether a request that was refused as NotRun was seen by an endpoint, or
 // a key whose last word was NotRun has run.
-func notRunUntrue(l *load, o *outcome, journal standin.JournalSummary) bool {
-	for _, id := range o.notRunID {
+func ranDespiteNotRun(l *load, o *outcome, journal standin.JournalSummary) bool {
+	for _, id := range o.notRunIDs {
 		if journal.Requests[id] > 0 {
 			return true
 		}
@@ -288,15 +288,15 @@
 		return false
 	}
 	last := o.verdicts[len(o.verdicts)-1]
-	return last == model.NotRun && journal.Keys[l.plan.account+"/"+o.key] > 0
+	return last == model.NotRun && journal.Keys[l.plan.customer+"/"+o.key] > 0
 }
 
-func wrongAnswer(l *load, o *outcome) bool {
+func hasWrongAnswer(l *load, o *outcome) bool {
 	pipeline, ok := bilbaoPipeline(l.plan.pipeline)
 	if !ok {
 		return true
 	}
-	want := standin.ExpectedOutput(pipeline, model.Input{Text: o.text}, l.plan.tokens)
+	want := standin.ExpectedOutput(pipeline, model.Input{Text: o.text}, l.plan.maxTokens)
 	for _, answer := range o.answers {
 		if answer != want {
 			return true
@@ -331,7 +331,7 @@
 	}
 	ts.Check(waitFor(func() bool {
 		for _, p := range f.nodes() {
-			if !f.shows(p, args) {
+			if !f.nodeReports(p, args) {
 				return false
 			}
 		}
@@ -339,7 +339,7 @@
 	}))
 }
 
-func (f *fleet) shows(p *process, args []string) bool {
+func (f *fleet) nodeReports(p *process, args []string) bool {
 	switch args[0] {
 	case "state":
 		if p.name == args[1] {
@@ -387,7 +387,7 @@
 func cmdMark(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
-		f.runs[endpoint] = f.runsOf(ts, endpoint)
+		f.markedRuns[endpoint] = f.runCount(ts, endpoint)
 	}
 }
 
@@ -395,14 +395,14 @@
 func cmdQuiet(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	for _, endpoint := range args {
-		got := f.runsOf(ts, endpoint)
-		if (got == f.runs[endpoint]) == neg {
-			ts.Fatalf("%s ran %d times, and %d times before", endpoint, got, f.runs[endpoint])
+		got := f.runCount(ts, endpoint)
+		if (got == f.markedRuns[endpoint]) == neg {
+			ts.Fatalf("%s ran %d times, and %d times before", endpoint, got, f.markedRuns[endpoint])
 		}
 	}
 }
 
-func (f *fleet) runsOf(ts *testscript.TestScript, endpoint string) int {
+func (f *fleet) runCount(ts *testscript.TestScript, endpoint string) int {
 	var runs []standin.Run
 	ts.Check(f.platformGet("/journal/runs", &runs))
 	n := 0
@@ -423,7 +423,7 @@
 	ts.Check(err)
 	racers, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	slowest, err := f.race(count, racers)
+	slowest, err := f.raceChanges(count, racers)
 	ts.Check(err)
 	ts.Logf("%d changes by %d racing operators; slowest in force everywhere after %s", count, racers, slowest)
 }
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -25,11 +25,11 @@
 
 const (
 	fleetKey = "fleet"
-	// waitMost ends a wait for a condition that never comes; no verdict rests on it.
-	waitMost = 2 * time.Minute
-	pollWait = 20 * time.Millisecond
-	// balanceEvery is how often the balancer's part asks the nodes for their readiness.
-	balanceEvery = 50 * time.Millisecond
+	// maxWait ends a wait for a condition that never comes; no verdict rests on it.
+	maxWait      = 2 * time.Minute
+	pollInterval = 20 * time.Millisecond
+	// balanceInterval is how often the balancer's part asks the nodes for their readiness.
+	balanceInterval = 50 * time.Millisecond
 
 	operatorsToken = "scenario-operators"
 	peersToken     = "scenario-peers"
@@ -38,12 +38,12 @@
 type (
 	// process is one process that a script started.
 	process struct {
-		name  string
-		cmd   *exec.Cmd
-		log   string
-		done  chan struct{}
-		code  int
-		lines []string
+		name      string
+		cmd       *exec.Cmd
+		logPath   string
+		done      chan struct{}
+		exitCode  int
+		addresses []string
 	}
 
 	// probe is what came of the question whether a node is ready; silent where no answer came.
@@ -55,28 +55,28 @@
 
 	// fleet is what a script has started.
 	fleet struct {
-		dir      string
-		env      []string
-		mu       sync.Mutex
-		platform string
-		procs    map[string]*process
-		loads    map[string]*load
-		client   *http.Client
+		dir             string
+		env             []string
+		mu              sync.Mutex
+		platformAddress string
+		processes       map[string]*process
+		loads           map[string]*load
+		client          *http.Client
 		// prober asks for readiness; ready is what it learned.
-		prober *http.Client
-		ready  []string
-		closed bool
+		probeClient    *http.Client
+		readyAddresses []string
+		closed         bool
 		// runs remembers how often endpoints had run, for the command quiet.
-		runs map[string]int
+		markedRuns map[string]int
 	}
 )
 
 func newFleet(dir string, env []string) *fleet {
 	f := &fleet{
-		dir: dir, env: env, procs: map[string]*process{}, loads: map[string]*load{},
-		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
-		prober: &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
-		runs:   map[string]int{},
+		dir: dir, env: env, processes: map[string]*process{}, loads: map[string]*load{},
+		client:      &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+		probeClient: &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
+		markedRuns:  map[string]int{},
 	}
 	go f.balance()
 	return f
@@ -106,14 +106,14 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{name: name, cmd: cmd, log: logFile.Name(), done: make(chan struct{})}
+	p := &process{name: name, cmd: cmd, logPath: logFile.Name(), done: make(chan struct{})}
 	go func() {
 		_ = cmd.Wait()
-		p.code = cmd.ProcessState.ExitCode()
+		p.exitCode = cmd.ProcessState.ExitCode()
 		close(p.done)
 	}()
 	f.mu.Lock()
-	f.procs[name] = p
+	f.processes[name] = p
 	f.mu.Unlock()
 	err = waitFor(func() bool {
 		data, err := os.ReadFile(addresses)
@@ -121,12 +121,12 @@
 			return p.exited()
 		}
 		f.mu.Lock()
-		p.lines = strings.Fields(string(data))
+		p.addresses = strings.Fields(string(data))
 		f.mu.Unlock()
 		return true
 	})
-	if err == nil && len(p.lines) == 0 {
-		data, _ := os.ReadFile(p.log)
+	if err == nil && len(p.addresses) == 0 {
+		data, _ := os.ReadFile(p.logPath)
 		err = fmt.Errorf("%s exited: %s", name, data)
 	}
 	return p, err
@@ -145,7 +145,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		if !p.exited() {
 			_ = p.cmd.Process.Kill()
 			<-p.done
@@ -158,8 +158,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*process
-	for name, p := range f.procs {
-		if name != "standin" && len(p.lines) > 0 && !p.exited() {
+	for name, p := range f.processes {
+		if name != "standin" && len(p.addresses) > 0 && !p.exited() {
 			out = append(out, p)
 		}
 	}
@@ -171,7 +171,7 @@
 func (f *fleet) callers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.ready)
+	return slices.Clone(f.readyAddresses)
 }
 
 // balance follows the nodes' readiness as the platform's balancer does.
@@ -179,16 +179,16 @@
 	for {
 		var probes []probe
 		for _, p := range f.nodes() {
-			probes = append(probes, f.ask(p))
+			probes = append(probes, f.probe(p))
 		}
 		f.mu.Lock()
-		f.ready = inRotation(f.ready, probes)
+		f.readyAddresses = inRotation(f.readyAddresses, probes)
 		closed := f.closed
 		f.mu.Unlock()
 		if closed {
 			return
 		}
-		time.Sleep(balanceEvery)
+		time.Sleep(balanceInterval)
 	}
 }
 
@@ -212,32 +212,32 @@
 }
 
 // ask asks a node whether it is ready.
-func (f *fleet) ask(p *process) probe {
-	res, err := f.prober.Get("http://" + p.lines[0] + "/readyz")
+func (f *fleet) probe(p *process) probe {
+	res, err := f.probeClient.Get("http://" + p.addresses[0] + "/readyz")
 	if err != nil {
-		return probe{address: p.lines[0], silent: true}
+		return probe{address: p.addresses[0], silent: true}
 	}
 	defer res.Body.Close()
-	return probe{address: p.lines[0], ready: res.StatusCode == http.StatusOK}
+	return probe{address: p.addresses[0], ready: res.StatusCode == http.StatusOK}
 }
 
 func (f *fleet) status(p *process) (operator.Status, error) {
 	var s operator.Status
-	return s, f.operate(p, "/v1/status", &s)
+	return s, f.operatorGet(p, "/v1/status", &s)
 }
 
 func (f *fleet) endpoints(p *process) ([]dispatch.EndpointStatus, error) {
 	var e []dispatch.EndpointStatus
-	return e, f.operate(p, "/v1/endpoints", &e)
+	return e, f.operatorGet(p, "/v1/endpoints", &e)
 }
 
-func (f *fleet) operate(p *process, path string, into any) error {
-	c := &operator.Client{BaseURL: "http://" + p.lines[1], Token: operatorsToken, HTTP: f.client}
+func (f *fleet) operatorGet(p *process, path string, into any) error {
+	c := &operator.Client{BaseURL: "http://" + p.addresses[1], Token: operatorsToken, HTTP: f.client}
 	return c.Get(context.Background(), path, into)
 }
 
 func (f *fleet) metrics(p *process) string {
-	req, _ := http.NewRequest(http.MethodGet, "http://"+p.lines[1]+"/metrics", nil)
+	req, _ := http.NewRequest(http.MethodGet, "http://"+p.addresses[1]+"/metrics", nil)
 	req.Header.Set("Authorization", "Bearer "+operatorsToken)
 	res, err := f.client.Do(req)
 	if err != nil {
@@ -254,7 +254,7 @@
 }
 
 func (f *fleet) platformGet(path string, into any) error {
-	res, err := f.client.Get("http://" + f.platform + path)
+	res, err := f.client.Get("http://" + f.platformAddress + path)
 	if err != nil {
 		return err
 	}
@@ -262,12 +262,12 @@
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-func (f *fleet) fault(fault standin.Fault) error {
+func (f *fleet) setFault(fault standin.Fault) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
 		return err
 	}
-	res, err := f.client.Post("http://"+f.platform+"/faults", "application/json", bytes.NewReader(body))
+	res, err := f.client.Post("http://"+f.platformAddress+"/faults", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -276,12 +276,12 @@
 
 // waitFor polls until a condition holds.
 func waitFor(condition func() bool) error {
-	for end := time.Now().Add(waitMost); time.Now().Before(end); time.Sleep(pollWait) {
+	for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("the condition did not come within %s", waitMost)
+	return fmt.Errorf("the condition did not come within %s", maxWait)
 }
 
 var signals = map[string]syscall.Signal{
--- a/scenario/helpers_test.go
+++ b/scenario/helpers_test.go
@@ -28,7 +28,7 @@
 		for _, p := range f.nodes() {
 			for _, name := range names {
 				if p.name == name {
-					out = append(out, p.lines[0])
+					out = append(out, p.addresses[0])
 				}
 			}
 		}
@@ -36,8 +36,8 @@
 	}
 }
 
-func (f *fleet) clear(target string) error {
-	req, err := http.NewRequest(http.MethodDelete, "http://"+f.platform+"/faults?target="+target, nil)
+func (f *fleet) clearFaults(target string) error {
+	req, err := http.NewRequest(http.MethodDelete, "http://"+f.platformAddress+"/faults?target="+target, nil)
 	if err != nil {
 		return err
 	}
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -20,35 +20,35 @@
 	loadPlan struct {
 		pipeline string
 		token    string
-		account  string
+		customer string
 		// count is how many requests (or keys) are sent, by how many workers.
 		count   int
 		workers int
 		// keys is "" for none, "v7" for UUIDv7, "v4" for keys without a time.
-		keys string
+		keyForm string
 		// fan sends each key to all nodes at once instead of to one.
-		fan bool
+		fanOut bool
 		// tries bounds the tries of one key; each goes to another node.
-		tries   int
-		tokens  int
-		stream  bool
-		numbers bool
-		pause   time.Duration
+		maxAttempts    int
+		maxTokens      int
+		stream         bool
+		numberAttempts bool
+		pause          time.Duration
 	}
 
 	// outcome is all that the callers learned of one request or key.
 	outcome struct {
-		text     string
-		key      string
-		ids      []string
-		notRunID []string
-		verdicts []model.Verdict
-		reasons  []model.Reason
-		answers  []string
+		text      string
+		key       string
+		ids       []string
+		notRunIDs []string
+		verdicts  []model.Verdict
+		reasons   []model.Reason
+		answers   []string
 		// cut counts tries that ended without an answer or refusal.
-		cut int
+		cutAttempts int
 		// gaps is true if a stream had a gap or a repeat.
-		gaps bool
+		streamGaps bool
 	}
 
 	// load is a load that runs or ran.
@@ -77,7 +77,7 @@
 		go func() {
 			defer wg.Done()
 			for i := range work {
-				l.one(client, addresses, i)
+				l.sendOne(client, addresses, i)
 				time.Sleep(plan.pause)
 			}
 		}()
@@ -94,27 +94,27 @@
 	return l
 }
 
-func (l *load) one(client *http.Client, addresses func() []string, i int) {
+func (l *load) sendOne(client *http.Client, addresses func() []string, i int) {
 	o := &outcome{text: "load " + l.plan.pipeline + " " + uuid.NewString()}
-	switch l.plan.keys {
+	switch l.plan.keyForm {
 	case "v7":
 		o.key = uuid.Must(uuid.NewV7()).String()
 	case "v4":
 		o.key = uuid.NewString()
 	}
 	l.sent.Add(1)
-	if l.plan.fan {
+	if l.plan.fanOut {
 		var wg sync.WaitGroup
 		for _, address := range addresses() {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				l.try(client, address, o, 0)
+				l.attempt(client, address, o, 0)
 			}()
 		}
 		wg.Wait()
 	}
-	l.retry(client, addresses, o, i)
+	l.sendUntilRan(client, addresses, o, i)
 	l.ended.Add(1)
 	l.mu.Lock()
 	l.outcomes = append(l.outcomes, o)
@@ -122,8 +122,8 @@
 }
 
 // retry tries until the request ran, each time through another node.
-func (l *load) retry(client *http.Client, addresses func() []string, o *outcome, i int) {
-	for attempt := range l.plan.tries {
+func (l *load) sendUntilRan(client *http.Client, addresses func() []string, o *outcome, i int) {
+	for attempt := range l.plan.maxAttempts {
 		if o.ran() {
 			return
 		}
@@ -133,23 +133,23 @@
 		}
 		address := nodes[(i+attempt)%len(nodes)]
 		number := 0
-		if l.plan.numbers {
+		if l.plan.numberAttempts {
 			number = attempt + 1
 		}
-		wait := l.try(client, address, o, number)
-		if !o.ran() && attempt+1 < l.plan.tries {
+		wait := l.attempt(client, address, o, number)
+		if !o.ran() && attempt+1 < l.plan.maxAttempts {
 			time.Sleep(wait + time.Duration(rand.IntN(20))*time.Millisecond)
 		}
 	}
 }
 
 // try sends the request once and returns when to come back.
-func (l *load) try(client *http.Client, address string, o *outcome, number int) time.Duration {
+func (l *load) attempt(client *http.Client, address string, o *outcome, number int) time.Duration {
 	next := 0
 	gaps := false
 	call := caller.Call{
 		Pipeline: l.plan.pipeline, Key: o.key, Attempt: number,
-		Body: caller.RequestBody{Input: model.Input{Text: o.text, MaxTokens: l.plan.tokens}, Stream: l.plan.stream},
+		Body: caller.RequestBody{Input: model.Input{Text: o.text, MaxTokens: l.plan.maxTokens}, Stream: l.plan.stream},
 		OnToken: func(t caller.TokenBody) {
 			gaps = gaps || t.Index != next
 			next++
@@ -159,10 +159,10 @@
 	result, err := c.Send(context.Background(), call)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o.gaps = o.gaps || gaps
+	o.streamGaps = o.streamGaps || gaps
 	switch {
 	case err != nil:
-		o.cut++
+		o.cutAttempts++
 		o.verdicts = append(o.verdicts, model.MayHaveRun)
 		o.reasons = append(o.reasons, "Cut")
 		return 100 * time.Millisecond
@@ -178,7 +178,7 @@
 		o.verdicts = append(o.verdicts, r.Verdict)
 		o.reasons = append(o.reasons, r.Reason)
 		if r.Verdict == model.NotRun {
-			o.notRunID = append(o.notRunID, r.Request)
+			o.notRunIDs = append(o.notRunIDs, r.Request)
 		}
 		return time.Duration(r.RetryAfterMilliseconds) * time.Millisecond
 	}
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -12,15 +12,15 @@
 	"basilstall.example/basilstall/table"
 )
 
-const fleetDocument = "Horizon: 4s\nRetention: %ds\n"
+const fleetSettingsFormat = "Horizon: 4s\nRetention: %ds\n"
 
 // race makes changes one after another; in each, racing operators start from the same base
 // through different nodes. Just one may win. It returns the longest time until a change was
 // in force on all nodes.
-func (f *fleet) race(count, racers int) (time.Duration, error) {
+func (f *fleet) raceChanges(count, racers int) (time.Duration, error) {
 	var slowest time.Duration
 	for i := range count {
-		base, err := f.baseOf("fleet")
+		base, err := f.documentRevision("fleet")
 		if err != nil {
 			return slowest, err
 		}
@@ -40,15 +40,15 @@
 	return slowest, nil
 }
 
-func (f *fleet) baseOf(path string) (uint64, error) {
+func (f *fleet) documentRevision(path string) (uint64, error) {
 	nodes := f.nodes()
 	var doc model.Document
 	var err error
 	for range 50 {
-		if err = f.operate(nodes[0], "/v1/settings/"+path, &doc); err == nil {
+		if err = f.operatorGet(nodes[0], "/v1/settings/"+path, &doc); err == nil {
 			return doc.Revision, nil
 		}
-		time.Sleep(pollWait)
+		time.Sleep(pollInterval)
 	}
 	return 0, err
 }
@@ -64,7 +64,7 @@
 		go func() {
 			defer wg.Done()
 			c := &operator.Client{
-				BaseURL: "http://" + nodes[r%len(nodes)].lines[1],
+				BaseURL: "http://" + nodes[r%len(nodes)].addresses[1],
 				Token:   operatorsToken,
 				HTTP:    &http.Client{Timeout: 30 * time.Second},
 			}
@@ -72,7 +72,7 @@
 				Base:      base,
 				Operation: fmt.Sprintf("round-%d-racer-%d-of-%d", round, r, base),
 				Author:    fmt.Sprintf("racer-%d", r),
-				YAML:      fmt.Sprintf(fleetDocument, 600+round*racers+r),
+				YAML:      fmt.Sprintf(fleetSettingsFormat, 600+round*racers+r),
 			}
 			// An outcome that is unknown is asked for again by the operation's number.
 			for range 5 {
@@ -84,10 +84,10 @@
 		}()
 	}
 	wg.Wait()
-	return oneWinner(results, errs)
+	return checkOneWinner(results, errs)
 }
 
-func oneWinner(results []operator.ChangeResult, errs []error) (revision, newer uint64, err error) {
+func checkOneWinner(results []operator.ChangeResult, errs []error) (revision, newer uint64, err error) {
 	for i, result := range results {
 		if errs[i] != nil {
 			return 0, 0, errs[i]
--- a/service/service.go
+++ b/service/service.go
@@ -16,7 +16,7 @@
 		Kind:       model.Call,
 		Path:       "/call",
 		Prepare:    prepare,
-		ParseReply: accept,
+		ParseReply: parseReply,
 		Check:      check,
 	})
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-func accept(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
+func parseReply(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
 		return sc.Carry, errEmptyReply
 	}
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -13,75 +13,75 @@
 // have been left alone for a few seconds only.
 const slack = 8 * time.Second
 
-// addedPrefix begins the names of routes that are added during a run.
-const addedPrefix = "extra"
+// addedRoutePrefix begins the names of routes that are added during a run.
+const addedRoutePrefix = "extra"
 
 // check compares what callers saw with what endpoints did.
 func (c *cluster) check(cs *callers) {
 	cs.mu.Lock()
-	all := cs.all
+	all := cs.requests
 	cs.mu.Unlock()
-	runs := map[string][]ranAt{}
+	runs := map[string][]endpointRun{}
 	for _, s := range c.endpoints {
 		for _, id := range s.RequestsWithForeignInputs() {
-			c.breach("%s was given results of another request at %s", id, s.Name)
+			c.reportViolation("%s was given results of another request at %s", id, s.Name)
 		}
 		for _, run := range s.Runs() {
-			runs[run.ID] = append(runs[run.ID], ranAt{server: s, run: run})
+			runs[run.ID] = append(runs[run.ID], endpointRun{endpoint: s, run: run})
 		}
 	}
-	known := map[string]*sent{}
+	known := map[string]*sentRequest{}
 	for _, s := range all {
 		known[s.ID] = s
 		c.checkAnswer(s, runs[s.ID])
 	}
 	c.checkRateCaps(known)
-	c.checkPieces()
+	c.checkPieceCalls()
 	c.checkCold()
 	for id, ran := range runs {
 		s := known[id]
 		if s == nil {
 			run := ran[0].run
-			c.breach("%q was run, and no caller sent it: %s %s at %s, header %v", id, run.Method, run.URI, ran[0].server.Name, run.Header)
+			c.reportViolation("%q was run, and no caller sent it: %s %s at %s, header %v", id, run.Method, run.URI, ran[0].endpoint.Name, run.Header)
 			continue
 		}
 		c.checkRuns(s, ran)
 	}
 }
 
-// ranAt is a run with its endpoint.
-type ranAt struct {
-	server *server
-	run    standin.Run
+// endpointRun is a run with its endpoint.
+type endpointRun struct {
+	endpoint *endpoint
+	run      standin.Run
 }
 
 // checkAnswer checks what a caller was given.
-func (c *cluster) checkAnswer(s *sent, ran []ranAt) {
+func (c *cluster) checkAnswer(s *sentRequest, ran []endpointRun) {
 	if s.Status == http.StatusOK && s.Complete {
 		signed := false
 		for _, r := range ran {
 			signed = signed || s.Signature == r.run.Signature()
 		}
 		if !signed {
-			c.breach("%s got a success that no endpoint signed for it: %q", s.ID, s.Signature)
+			c.reportViolation("%s got a success that no endpoint signed for it: %q", s.ID, s.Signature)
 		}
-		if s.Answer.Body != expected(s) {
-			c.breach("%s got a success with another body: %q", s.ID, s.Answer.Body)
+		if s.Answer.Body != expectedBody(s) {
+			c.reportViolation("%s got a success with another body: %q", s.ID, s.Answer.Body)
 		}
 	}
-	if s.Status == http.StatusOK && !s.Complete && !strings.HasPrefix(expected(s), s.Answer.Body) {
-		c.breach("%s got a broken answer that isn't the beginning of its own: %q", s.ID, s.Answer.Body)
+	if s.Status == http.StatusOK && !s.Complete && !strings.HasPrefix(expectedBody(s), s.Answer.Body) {
+		c.reportViolation("%s got a broken answer that isn't the beginning of its own: %q", s.ID, s.Answer.Body)
 	}
 	if s.Status == http.StatusServiceUnavailable && s.Route != "get" && s.Route != "res" && len(ran) > 0 {
-		c.breach("%s was told that it did not run, and ran", s.ID)
+		c.reportViolation("%s was told that it did not run, and ran", s.ID)
 	}
-	if s.APIKey == goodKey && !addedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
-		c.breach("%s got %d although its key and route always stood", s.ID, s.Status)
+	if s.APIKey == validKey && !isAddedRoute(s.Route) && (s.Status == http.StatusUnauthorized || s.Status == http.StatusNotFound) {
+		c.reportViolation("%s got %d although its key and route always stood", s.ID, s.Status)
 	}
 }
 
-func expected(s *sent) string {
-	if s.Route == "post" || s.Route == "get" || addedRoute(s.Route) {
+func expectedBody(s *sentRequest) string {
+	if s.Route == "post" || s.Route == "get" || isAddedRoute(s.Route) {
 		return "answer " + s.ID
 	}
 	var b strings.Builder
@@ -92,51 +92,51 @@
 }
 
 // checkRuns checks what endpoints were asked for.
-func (c *cluster) checkRuns(s *sent, ran []ranAt) {
+func (c *cluster) checkRuns(s *sentRequest, ran []endpointRun) {
 	if len(ran) > 1 && (s.Route == "post" || s.Route == "gen") {
-		c.breach("%s ran %d times", s.ID, len(ran))
+		c.reportViolation("%s ran %d times", s.ID, len(ran))
 	}
 	if len(ran) > 2 {
-		c.breach("%s ran on %d endpoints, two are allowed", s.ID, len(ran))
+		c.reportViolation("%s ran on %d endpoints, two are allowed", s.ID, len(ran))
 	}
 	for _, r := range ran {
-		c.checkRun(s, r)
+		c.checkEndpointRun(s, r)
 	}
 }
 
-func (c *cluster) checkRun(s *sent, r ranAt) {
+func (c *cluster) checkEndpointRun(s *sentRequest, r endpointRun) {
 	if r.run.URI != s.URI() || r.run.Body != s.Call.Body() {
-		c.breach("%s reached an endpoint changed: %s %q", s.ID, r.run.URI, r.run.Body)
+		c.reportViolation("%s reached an endpoint changed: %s %q", s.ID, r.run.URI, r.run.Body)
 	}
 	if r.run.Customer() != standin.Customer || r.run.Credentials() != "" {
-		c.breach("%s reached an endpoint with customer %q", s.ID, r.run.Customer())
+		c.reportViolation("%s reached an endpoint with customer %q", s.ID, r.run.Customer())
 	}
-	if s.APIKey == badKey {
-		c.breach("%s ran with a key that nobody ever held", s.ID)
+	if s.APIKey == invalidKey {
+		c.reportViolation("%s ran with a key that nobody ever held", s.ID)
 	}
 	if s.Route == "gen" && len(r.run.Inputs()) != 3 {
-		c.breach("%s ran with inputs %q", s.ID, r.run.Inputs())
+		c.reportViolation("%s ran with inputs %q", s.ID, r.run.Inputs())
 	}
-	unlisted := r.server.unlistedAt
-	if !unlisted.IsZero() && s.at.After(unlisted.Add(drain+slack)) {
-		c.breach("%s was sent to %s, which had left %v before", s.ID, r.server.Name, s.at.Sub(unlisted))
+	unlisted := r.endpoint.unlistedAt
+	if !unlisted.IsZero() && s.sentAt.After(unlisted.Add(drainPeriod+slack)) {
+		c.reportViolation("%s was sent to %s, which had left %v before", s.ID, r.endpoint.Name, s.sentAt.Sub(unlisted))
 	}
-	c.checkEvacuated(s.ID, r.run.StartedAt, r.server)
-	if at, gone := c.revokedAt(s.APIKey); gone && s.at.After(at.Add(revoke)) {
-		c.breach("%s ran although its key was taken away %v before it was sent", s.ID, s.at.Sub(at))
+	c.checkEvacuated(s.ID, r.run.StartedAt, r.endpoint)
+	if at, gone := c.revokedAt(s.APIKey); gone && s.sentAt.After(at.Add(revocationPeriod)) {
+		c.reportViolation("%s ran although its key was taken away %v before it was sent", s.ID, s.sentAt.Sub(at))
 	}
 }
 
-// addedRoute tells whether a route has not always stood.
-func addedRoute(route string) bool {
-	return strings.HasPrefix(route, addedPrefix)
+// isAddedRoute tells whether a route has not always stood.
+func isAddedRoute(route string) bool {
+	return strings.HasPrefix(route, addedRoutePrefix)
 }
 
 // checkRecovery waits until all nodes serve again, the newest route among the others.
 func (c *cluster) checkRecovery(cs *callers, phase string, patience time.Duration) {
 	routes := []string{"get", "gen"}
-	if c.added > 0 {
-		routes = append(routes, fmt.Sprint(addedPrefix, c.added-1))
+	if c.addedRoutes > 0 {
+		routes = append(routes, fmt.Sprint(addedRoutePrefix, c.addedRoutes-1))
 	}
 	for _, n := range c.nodes {
 		served := 0
@@ -144,10 +144,10 @@
 		end := time.Now().Add(patience)
 		for i := 0; served < 5; i++ {
 			if time.Now().After(end) {
-				c.breach("%s does not serve after all faults have ended: %v", n.name, failures)
+				c.reportViolation("%s does not serve after all faults have ended: %v", n.name, failures)
 				break
 			}
-			s := cs.send(n, fmt.Sprintf("%s-%s-%d", phase, n.name, i), routes[i%len(routes)], goodKey)
+			s := cs.send(n, fmt.Sprintf("%s-%s-%d", phase, n.name, i), routes[i%len(routes)], validKey)
 			if s.Status == http.StatusOK && s.Complete {
 				served++
 				continue
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -12,55 +12,57 @@
 
 // fault is something that is done to the cluster and undone after a while.
 type fault struct {
-	name string
-	run  func(c *cluster, random *rand.Rand, last time.Duration)
+	name   string
+	inject func(c *cluster, random *rand.Rand, last time.Duration)
 }
 
 const (
-	// noticedAfter is how long the store is away until all nodes have noticed, and countedFor how long its calls
+	// outageNoticeTime is how long the store is away until all nodes have noticed, and callCountTime how long its calls
 	// are counted then.
-	noticedAfter = 4 * time.Second
-	countedFor   = 2 * time.Second
-	// callsOfDomain is how many calls a second the nodes of a failure domain may make: two that ask four times,
-	// and one try in each round; and as many once more for what overlaps. callsOfUnsettled is that of a node
+	outageNoticeTime = 4 * time.Second
+	callCountTime    = 2 * time.Second
+	// maxDomainCallsPerSecond is how many calls a second the nodes of a failure domain may make: two that ask four times,
+	// and one try in each round; and as many once more for what overlaps. maxUnsettledCallsPerSecond is that of a node
 	// that knows no others: three tables at first and its own row.
-	callsOfDomain    = 20
-	callsOfUnsettled = 6
-	settledAfter     = 10 * time.Second
+	maxDomainCallsPerSecond    = 20
+	maxUnsettledCallsPerSecond = 6
+	settleTime                 = 10 * time.Second
 )
 
 // faults are what a soak draws from. Each run gets a goroutine of its own, so they overlap.
 var faults = []fault{
-	{"kill", func(c *cluster, random *rand.Rand, last time.Duration) { c.restart(random, last, syscall.SIGKILL) }},
-	{"terminate", func(c *cluster, random *rand.Rand, last time.Duration) { c.restart(random, last/4, syscall.SIGTERM) }},
-	{"pause", pause},
-	{"reload", func(c *cluster, random *rand.Rand, _ time.Duration) { c.anyNode(random).signal(syscall.SIGHUP) }},
-	{"store fails", storeFails},
+	{"kill", func(c *cluster, random *rand.Rand, last time.Duration) { c.restartNode(random, last, syscall.SIGKILL) }},
+	{"terminate", func(c *cluster, random *rand.Rand, last time.Duration) {
+		c.restartNode(random, last/4, syscall.SIGTERM)
+	}},
+	{"pause", pauseNode},
+	{"reload", func(c *cluster, random *rand.Rand, _ time.Duration) { c.randomNode(random).signal(syscall.SIGHUP) }},
+	{"store fails", failStore},
 	{"store compacts", func(c *cluster, _ *rand.Rand, _ time.Duration) { c.store.Compact() }},
-	{"store link", storeLink},
-	{"node link", nodeLink},
-	{"reader cut off", readerCutOff},
-	{"endpoint fails", endpointFails},
-	{"endpoint link", endpointLink},
-	{"endpoint leaves", endpointLeaves},
-	{"endpoint starts again", endpointStartsAgain},
-	{"foreign entries", foreignEntries},
-	{"routing changes", routingChanges},
-	{"routes added", routesAdded},
-	{"key taken away", keyTaken},
-	{"key taken away behind a cut", keyTakenBehindACut},
-	{"store away", storeAway},
-	{"poison requests", poisonRequests},
-	{"evacuation", evacuation},
-	{"cold endpoint", coldEndpoint},
-	{"rate cap", rateCap},
+	{"store link", disturbStoreLink},
+	{"node link", disturbNodeLink},
+	{"reader cut off", cutOffReader},
+	{"endpoint fails", failEndpoint},
+	{"endpoint link", disturbEndpointLink},
+	{"endpoint leaves", replaceEndpoint},
+	{"endpoint starts again", restartEndpoint},
+	{"foreign entries", putInvalidEntries},
+	{"routing changes", changeRouting},
+	{"routes added", addRoutes},
+	{"key taken away", revokeKey},
+	{"key taken away behind a cut", revokeKeyDuringCut},
+	{"store away", takeStoreDown},
+	{"poison requests", sendPoisonRequests},
+	{"evacuation", evacuate},
+	{"cold endpoint", makeEngineCold},
+	{"rate cap", applyRateCaps},
 }
 
-func (c *cluster) anyNode(random *rand.Rand) *node {
+func (c *cluster) randomNode(random *rand.Rand) *node {
 	return c.nodes[random.IntN(len(c.nodes))]
 }
 
-func (c *cluster) anyServer(random *rand.Rand) *server {
+func (c *cluster) randomEndpoint(random *rand.Rand) *endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names := make([]string, 0, len(c.endpoints))
@@ -71,11 +73,11 @@
 	return c.endpoints[names[random.IntN(len(names))]]
 }
 
-// serversOf returns the endpoints of a pool that are there.
-func (c *cluster) serversOf(pool string) []*server {
+// listedEndpoints returns the endpoints of a pool that are there.
+func (c *cluster) listedEndpoints(pool string) []*endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*server
+	var out []*endpoint
 	for _, s := range c.endpoints {
 		if s.pool == pool && s.unlistedAt.IsZero() {
 			out = append(out, s)
@@ -85,11 +87,11 @@
 }
 
 // restart ends a node's process and starts it again.
-func (c *cluster) restart(random *rand.Rand, down time.Duration, s syscall.Signal) {
-	n := c.anyNode(random)
+func (c *cluster) restartNode(random *rand.Rand, down time.Duration, s syscall.Signal) {
+	n := c.randomNode(random)
 	n.mu.Lock()
-	busy := !n.wanted
-	n.wanted = false
+	busy := !n.shouldRun
+	n.shouldRun = false
 	n.mu.Unlock()
 	if busy {
 		return
@@ -98,50 +100,50 @@
 	n.stop(s)
 	time.Sleep(down)
 	if err := n.start(); err != nil {
-		c.breach("%s can't be started: %v", n.name, err)
+		c.reportViolation("%s can't be started: %v", n.name, err)
 	}
 }
 
-func pause(c *cluster, random *rand.Rand, last time.Duration) {
-	n := c.anyNode(random)
+func pauseNode(c *cluster, random *rand.Rand, last time.Duration) {
+	n := c.randomNode(random)
 	n.signal(syscall.SIGSTOP)
 	time.Sleep(last)
 	n.signal(syscall.SIGCONT)
 }
 
-func storeFails(c *cluster, random *rand.Rand, last time.Duration) {
+func failStore(c *cluster, random *rand.Rand, last time.Duration) {
 	c.store.SetFault([]standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent, standin.StoreReplyLost}[random.IntN(3)])
 	time.Sleep(last)
 	c.store.SetFault(standin.StoreHealthy)
 }
 
-// storeAway takes the store away for longer than nodes trust what they know, and counts the calls that it gets
+// takeStoreDown takes the store away for longer than nodes trust what they know, and counts the calls that it gets
 // from nodes that have noticed: they must not grow with the nodes.
-func storeAway(c *cluster, random *rand.Rand, _ time.Duration) {
-	if !c.away.TryLock() {
+func takeStoreDown(c *cluster, random *rand.Rand, _ time.Duration) {
+	if !c.outageMu.TryLock() {
 		return
 	}
-	defer c.away.Unlock()
+	defer c.outageMu.Unlock()
 	c.store.SetFault([]standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent}[random.IntN(2)])
 	defer c.store.SetFault(standin.StoreHealthy)
-	time.Sleep(noticedAfter)
+	time.Sleep(outageNoticeTime)
 	before, began := c.store.Calls(), time.Now()
-	time.Sleep(countedFor)
+	time.Sleep(callCountTime)
 	calls, took := c.store.Calls()-before, time.Since(began).Seconds()
-	most := took*float64(callsOfDomain*domains+callsOfUnsettled*c.unsettled()) + 20
+	most := took*float64(maxDomainCallsPerSecond*failureDomainCount+maxUnsettledCallsPerSecond*c.unsettledNodes()) + 20
 	if float64(calls) > most {
-		c.breach("the store got %d calls in %.1f s while it was away, with %d nodes, %d of them unsettled", calls, took, len(c.nodes), c.unsettled())
+		c.reportViolation("the store got %d calls in %.1f s while it was away, with %d nodes, %d of them unsettled", calls, took, len(c.nodes), c.unsettledNodes())
 	}
 }
 
 // unsettled counts the nodes that may not know the others, or not reach them.
-func (c *cluster) unsettled() int {
+func (c *cluster) unsettledNodes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	unsettled := 0
 	for _, n := range c.nodes {
 		n.mu.Lock()
-		if !n.wanted || time.Since(n.troubledAt) < settledAfter {
+		if !n.shouldRun || time.Since(n.disturbedAt) < settleTime {
 			unsettled++
 		}
 		n.mu.Unlock()
@@ -149,76 +151,76 @@
 	return unsettled
 }
 
-func storeLink(c *cluster, random *rand.Rand, last time.Duration) {
-	n := c.anyNode(random)
-	n.trouble()
-	spoil(n.link, random, last)
-	n.trouble()
+func disturbStoreLink(c *cluster, random *rand.Rand, last time.Duration) {
+	n := c.randomNode(random)
+	n.recordDisturbance()
+	disturbLink(n.storeProxy, random, last)
+	n.recordDisturbance()
 }
 
-// nodeLink spoils the way of other nodes to one.
-func nodeLink(c *cluster, random *rand.Rand, last time.Duration) {
-	n := c.anyNode(random)
-	n.trouble()
-	spoil(n.peers, random, last)
-	n.trouble()
+// disturbNodeLink spoils the way of other nodes to one.
+func disturbNodeLink(c *cluster, random *rand.Rand, last time.Duration) {
+	n := c.randomNode(random)
+	n.recordDisturbance()
+	disturbLink(n.peerProxy, random, last)
+	n.recordDisturbance()
 }
 
-// readerCutOff cuts a node off from the store for long, while it answers other nodes, and makes
+// cutOffReader cuts a node off from the store for long, while it answers other nodes, and makes
 // an endpoint leave meanwhile.
-func readerCutOff(c *cluster, random *rand.Rand, last time.Duration) {
-	n := c.anyNode(random)
-	n.trouble()
-	n.link.setFault([]proxyFault{linkDeaf, linkMute}[random.IntN(2)])
+func cutOffReader(c *cluster, random *rand.Rand, last time.Duration) {
+	n := c.randomNode(random)
+	n.recordDisturbance()
+	n.storeProxy.setFault([]linkFault{linkBlockedToServer, linkBlockedFromServer}[random.IntN(2)])
 	time.Sleep(last)
-	endpointLeaves(c, random, last)
-	time.Sleep(drain + time.Second)
-	n.link.setFault(linkFine)
-	n.trouble()
+	replaceEndpoint(c, random, last)
+	time.Sleep(drainPeriod + time.Second)
+	n.storeProxy.setFault(linkOK)
+	n.recordDisturbance()
 }
 
-func endpointLink(c *cluster, random *rand.Rand, last time.Duration) {
-	spoil(c.anyServer(random).proxy, random, last)
+func disturbEndpointLink(c *cluster, random *rand.Rand, last time.Duration) {
+	disturbLink(c.randomEndpoint(random).proxy, random, last)
 }
 
 // spoil resets or silences the open connections of a link, or cuts or slows the link for a while.
-func spoil(p *proxy, random *rand.Rand, last time.Duration) {
+func disturbLink(p *proxy, random *rand.Rand, last time.Duration) {
 	switch random.IntN(3) {
 	case 0:
 		p.resetAll()
 	case 1:
 		p.silenceAll()
 	default:
-		p.setFault(linkFine + 1 + proxyFault(random.IntN(int(linkFaults)-1)))
+		p.setFault(linkOK + 1 + linkFault(random.IntN(int(linkFaultCount)-1)))
 		time.Sleep(last)
-		p.setFault(linkFine)
+		p.setFault(linkOK)
 	}
 }
 
-func endpointFails(c *cluster, random *rand.Rand, last time.Duration) {
-	s := c.anyServer(random)
+func failEndpoint(c *cluster, random *rand.Rand, last time.Duration) {
+	s := c.randomEndpoint(random)
 	s.SetFault(standin.EndpointHealthy + 1 + standin.EndpointFault(random.IntN(int(standin.EndpointUnsigned))))
 	time.Sleep(last)
 	s.SetFault(standin.EndpointHealthy)
 }
 
-// endpointLeaves replaces an endpoint: the new one is listed first, the old one drains.
-func endpointLeaves(c *cluster, random *rand.Rand, last time.Duration) {
-	old := c.anyServer(random)
+// replaceEndpoint replaces an endpoint: the new one is listed first, the old one drains.
+func replaceEndpoint(c *cluster, random *rand.Rand, last time.Duration) {
+	old := c.randomEndpoint(random)
 	c.mu.Lock()
 	left := !old.unlistedAt.IsZero()
-	c.extra++
-	name := fmt.Sprintf("%s-%d", old.pool, c.extra+100)
+	c.sequence++
+	name := fmt.Sprintf("%s-%d", old.pool, c.sequence+100)
 	c.mu.Unlock()
 	if left {
 		return
 	}
-	if err := c.newServer(name, old.pool); err != nil {
-		c.breach("an endpoint can't be started: %v", err)
+	if err := c.startEndpoint(name, old.pool); err != nil {
+		c.reportViolation("an endpoint can't be started: %v", err)
 		return
 	}
 	if random.IntN(2) == 0 {
-		c.list(old, true)
+		c.writeEntry(old, true)
 		time.Sleep(last / 2)
 	}
 	c.mu.Lock()
@@ -227,12 +229,12 @@
 	c.store.RemoveEndpoint(old.Name)
 }
 
-// endpointStartsAgain restarts an endpoint under its name, at times behind a cut.
-func endpointStartsAgain(c *cluster, random *rand.Rand, last time.Duration) {
-	s := c.anyServer(random)
+// restartEndpoint restarts an endpoint under its name, at times behind a cut.
+func restartEndpoint(c *cluster, random *rand.Rand, last time.Duration) {
+	s := c.randomEndpoint(random)
 	cut := random.IntN(2) == 0
 	if cut {
-		s.proxy.setFault([]proxyFault{linkDeaf, linkMute}[random.IntN(2)])
+		s.proxy.setFault([]linkFault{linkBlockedToServer, linkBlockedFromServer}[random.IntN(2)])
 		time.Sleep(last / 2)
 	}
 	s.Restart()
@@ -242,89 +244,89 @@
 	time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 	c.mu.Lock()
 	if s.unlistedAt.IsZero() {
-		c.list(s, false)
+		c.writeEntry(s, false)
 	}
 	c.mu.Unlock()
 	time.Sleep(last / 2)
-	s.proxy.setFault(linkFine)
+	s.proxy.setFault(linkOK)
 }
 
-// foreignEntries puts entries that name no endpoint among the others, and over one for a moment.
-func foreignEntries(c *cluster, random *rand.Rand, last time.Duration) {
+// putInvalidEntries puts entries that name no endpoint among the others, and over one for a moment.
+func putInvalidEntries(c *cluster, random *rand.Rand, last time.Duration) {
 	bad := standin.BadEntries()
 	for range 3 {
 		c.store.Put("servers", fmt.Sprint("foreign-", random.IntN(5)), bad[random.IntN(len(bad))])
 	}
 	time.Sleep(last)
-	s := c.anyServer(random)
+	s := c.randomEndpoint(random)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.unlistedAt.IsZero() {
 		c.store.Put("servers", s.Name, bad[random.IntN(len(bad))])
-		c.list(s, false)
+		c.writeEntry(s, false)
 	}
 }
 
-// routingChanges writes several versions in quick succession.
-func routingChanges(c *cluster, random *rand.Rand, _ time.Duration) {
+// changeRouting writes several versions in quick succession.
+func changeRouting(c *cluster, random *rand.Rand, _ time.Duration) {
 	for range 1 + random.IntN(4) {
 		c.mu.Lock()
-		c.extra++
+		c.sequence++
 		c.mu.Unlock()
-		c.configure()
+		c.writeRouting()
 		time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
 	}
 }
 
-// routesAdded adds many routes: after a few times the routing takes a narrow link longer than a question
+// addRoutes adds many routes: after a few times the routing takes a narrow link longer than a question
 // about it usually does.
-func routesAdded(c *cluster, random *rand.Rand, _ time.Duration) {
+func addRoutes(c *cluster, random *rand.Rand, _ time.Duration) {
 	c.mu.Lock()
-	c.extra += 500 + random.IntN(1500)
+	c.sequence += 500 + random.IntN(1500)
 	c.mu.Unlock()
-	c.configure()
+	c.writeRouting()
 }
 
-// keyTaken gives a key and takes it away again.
-func keyTaken(c *cluster, _ *rand.Rand, last time.Duration) {
+// revokeKey gives a key and takes it away again.
+func revokeKey(c *cluster, _ *rand.Rand, last time.Duration) {
 	c.mu.Lock()
-	c.extra++
-	key := fmt.Sprint("key-", c.extra)
-	c.keys = append(c.keys, key)
+	c.sequence++
+	key := fmt.Sprint("key-", c.sequence)
+	c.apiKeys = append(c.apiKeys, key)
 	c.mu.Unlock()
-	c.configure()
+	c.writeRouting()
 	time.Sleep(last)
 	c.mu.Lock()
-	c.keys = slices.DeleteFunc(c.keys, func(k string) bool { return k == key })
+	c.apiKeys = slices.DeleteFunc(c.apiKeys, func(k string) bool { return k == key })
 	c.mu.Unlock()
-	c.configure()
+	c.writeRouting()
 	c.mu.Lock()
-	c.revoked[key] = time.Now()
+	c.revokedAPIKeys[key] = time.Now()
 	c.mu.Unlock()
 }
 
-// keyTakenBehindACut takes a key away while a node hears nothing from the store, or is paused, for
+// revokeKeyDuringCut takes a key away while a node hears nothing from the store, or is paused, for
 // longer than the key may go on working.
-func keyTakenBehindACut(c *cluster, random *rand.Rand, last time.Duration) {
-	n := c.anyNode(random)
-	n.trouble()
+func revokeKeyDuringCut(c *cluster, random *rand.Rand, last time.Duration) {
+	n := c.randomNode(random)
+	n.recordDisturbance()
 	cut := time.AfterFunc(last/2, func() {
 		if random.IntN(3) == 0 {
 			n.signal(syscall.SIGSTOP)
 			return
 		}
-		n.link.setFault([]proxyFault{linkDeaf, linkMute}[random.IntN(2)])
+		n.storeProxy.setFault([]linkFault{linkBlockedToServer, linkBlockedFromServer}[random.IntN(2)])
 	})
-	keyTaken(c, random, last)
-	time.Sleep(revoke + time.Second)
+	revokeKey(c, random, last)
+	time.Sleep(revocationPeriod + time.Second)
 	cut.Stop()
-	n.link.setFault(linkFine)
+	n.storeProxy.setFault(linkOK)
 	n.signal(syscall.SIGCONT)
 }
 
 func (c *cluster) revokedAt(key string) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, ok := c.revoked[key]
+	at, ok := c.revokedAPIKeys[key]
 	return at, ok
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// proxyFault is what is wrong with a link.
-type proxyFault int
+// linkFault is what is wrong with a link.
+type linkFault int
 
 const (
-	linkFine proxyFault = iota
+	linkOK linkFault = iota
 	// linkSlow holds every part back for a while.
 	linkSlow
-	// linkDeaf passes nothing on towards the server, linkMute nothing from it.
-	linkDeaf
-	linkMute
-	linkFaults
+	// linkBlockedToServer passes nothing on towards the server, linkBlockedFromServer nothing from it.
+	linkBlockedToServer
+	linkBlockedFromServer
+	linkFaultCount
 )
 
 const (
-	// linkDelay is how long a slow link holds a part back.
-	linkDelay = 80 * time.Millisecond
-	// linkRate is what a narrow link carries of a server's answers, in bytes a second: 10 Mbit/s, the least
+	// slowLinkDelay is how long a slow link holds a part back.
+	slowLinkDelay = 80 * time.Millisecond
+	// narrowLinkRate is what a narrow link carries of a server's answers, in bytes a second: 10 Mbit/s, the least
 	// that hosts have. What outgrows it is to come all the same.
-	linkRate = 1_250_000
+	narrowLinkRate = 1_250_000
 )
 
 // proxy passes connections on to a server and spoils them on demand.
 type proxy struct {
 	listener net.Listener
-	// narrow tells that answers share linkRate; line is held while some of one are under way.
-	narrow bool
-	line   sync.Mutex
+	// narrow tells that answers share narrowLinkRate; line is held while some of one are under way.
+	narrow      bool
+	bandwidthMu sync.Mutex
 
 	mu     sync.Mutex
 	target string
-	fault  proxyFault
-	conns  map[net.Conn]*link
+	fault  linkFault
+	conns  map[net.Conn]*proxyConn
 }
 
 // link is one connection through a proxy.
-type link struct {
+type proxyConn struct {
 	server net.Conn
 	// silent is closed for a connection that is to pass nothing on for good, while new ones
 	// work; gone once either end is closed.
-	silent, gone         chan struct{}
-	silentOnce, goneOnce sync.Once
+	silent, closed        chan struct{}
+	silentOnce, closeOnce sync.Once
 }
 
-func (l *link) end() {
-	l.goneOnce.Do(func() { close(l.gone) })
+func (l *proxyConn) close() {
+	l.closeOnce.Do(func() { close(l.closed) })
 }
 
-// newNarrowProxy returns a proxy whose answers share linkRate.
+// newNarrowProxy returns a proxy whose answers share narrowLinkRate.
 func newNarrowProxy(target string) (*proxy, error) {
 	p, err := newProxy(target)
 	if err == nil {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, conns: map[net.Conn]*link{}}
+	p := &proxy{listener: listener, target: target, conns: map[net.Conn]*proxyConn{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -88,7 +88,7 @@
 	p.target = target
 }
 
-func (p *proxy) setFault(f proxyFault) {
+func (p *proxy) setFault(f linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
@@ -102,7 +102,7 @@
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
-		l.end()
+		l.close()
 		_ = conn.Close()
 		_ = l.server.Close()
 	}
@@ -131,13 +131,13 @@
 		_ = client.Close()
 		return
 	}
-	l := &link{server: server, silent: make(chan struct{}), gone: make(chan struct{})}
+	l := &proxyConn{server: server, silent: make(chan struct{}), closed: make(chan struct{})}
 	p.mu.Lock()
 	p.conns[client] = l
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(server, client, l, linkDeaf) })
-	both.Go(func() { p.pass(client, server, l, linkMute) })
+	both.Go(func() { p.forward(server, client, l, linkBlockedToServer) })
+	both.Go(func() { p.forward(client, server, l, linkBlockedFromServer) })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.conns, client)
@@ -145,19 +145,19 @@
 }
 
 // pass copies one direction. What a cut link held back is passed on when the cut heals.
-func (p *proxy) pass(to, from net.Conn, l *link, cut proxyFault) {
+func (p *proxy) forward(to, from net.Conn, l *proxyConn, cut linkFault) {
 	defer to.Close()
 	defer from.Close()
-	defer l.end()
+	defer l.close()
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !p.hold(l, cut) {
+			if !p.waitWhileBlocked(l, cut) {
 				return
 			}
-			if p.narrow && cut == linkMute {
-				p.carry(n)
+			if p.narrow && cut == linkBlockedFromServer {
+				p.throttle(n)
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
@@ -170,35 +170,35 @@
 }
 
 // carry takes the time that a narrow link needs for some bytes.
-func (p *proxy) carry(bytes int) {
-	p.line.Lock()
-	defer p.line.Unlock()
-	time.Sleep(time.Duration(bytes) * time.Second / linkRate)
+func (p *proxy) throttle(bytes int) {
+	p.bandwidthMu.Lock()
+	defer p.bandwidthMu.Unlock()
+	time.Sleep(time.Duration(bytes) * time.Second / narrowLinkRate)
 }
 
 // hold waits while a link passes nothing on; false means that it has ended.
-func (p *proxy) hold(l *link, cut proxyFault) bool {
+func (p *proxy) waitWhileBlocked(l *proxyConn, cut linkFault) bool {
 	for {
 		p.mu.Lock()
 		fault := p.fault
 		p.mu.Unlock()
 		pause := 20 * time.Millisecond
 		if fault == linkSlow {
-			pause = linkDelay
+			pause = slowLinkDelay
 		}
 		select {
-		case <-l.gone:
+		case <-l.closed:
 			return false
 		case <-l.silent:
-			<-l.gone
+			<-l.closed
 			return false
 		default:
 		}
-		if fault == linkFine || (fault != cut && fault != linkSlow) {
+		if fault == linkOK || (fault != cut && fault != linkSlow) {
 			return true
 		}
 		select {
-		case <-l.gone:
+		case <-l.closed:
 			return false
 		case <-time.After(pause):
 		}
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -33,11 +33,11 @@
 
 	// Journal records runs and orders for checks in tests and replays. It is safe for concurrent use.
 	Journal struct {
-		mu             sync.Mutex
-		runs           []Run
-		orders         []OrderRecord
-		runsByKey      map[string]int
-		callsByRequest map[string]int
+		mu            sync.Mutex
+		runs          []Run
+		orders        []OrderRecord
+		runsByKey     map[string]int
+		runsByRequest map[string]int
 	}
 
 	// JournalSummary holds the numbers of runs by key and by request.
@@ -50,13 +50,13 @@
 )
 
 func newJournal() *Journal {
-	return &Journal{runsByKey: map[string]int{}, callsByRequest: map[string]int{}}
+	return &Journal{runsByKey: map[string]int{}, runsByRequest: map[string]int{}}
 }
 
 func (j *Journal) addRun(r Run) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.callsByRequest[r.Request]++
+	j.runsByRequest[r.Request]++
 	if r.Key != "" {
 		j.runsByKey[r.Customer+"/"+r.Key]++
 	}
@@ -93,7 +93,7 @@
 	for key, n := range j.runsByKey {
 		s.Keys[key] = n
 	}
-	for request, n := range j.callsByRequest {
+	for request, n := range j.runsByRequest {
 		s.Requests[request] = n
 	}
 	return s
