--- a/soak/cluster_test.go
+++ b/soak/cluster_test.go
@@ -247,7 +247,7 @@
 // start starts the process and reads the address on which it listens from its log.
 func (n *node) start() error {
 	process := exec.Command(n.cluster.binary, "edge")
-	process.Env = append(os.Environ(), standin.BootVariable+"="+n.settingsPath())
+	process.Env = append(os.Environ(), standin.SettingsVariable+"="+n.settingsPath())
 	process.Stderr = n.logFile
 	// The process must not outlive the test. A node that is left over from a killed test would keep calling the port of
 	// its store. An endpoint of another test may get this port and would report runs that no caller sent.
