--- a/cli/cli.go
+++ b/cli/cli.go
@@ -23,8 +23,8 @@
 // The exit codes.
 const (
 	ExitOK = 0
-	// ExitFailed: the command ran and failed: a refusal, a conflicting change or an outcome that was
-	// not reached.
+	// ExitFailed: the command ran and failed: a refusal, a conflicting change, or an outcome that a replay did
+	// not reach.
 	ExitFailed = 1
 	// ExitUsage: the command line or a file is invalid; nothing was done.
 	ExitUsage = 2
@@ -56,7 +56,7 @@
 	stderr io.Writer
 	// nodeConfigFile is the --config file of serve, which ff reads. Other commands read their files themselves.
 	nodeConfigFile *string
-	// signals receives SIGTERM and SIGINT.
+	// signals receives SIGTERM and SIGINT, and in the edge command also SIGHUP.
 	signals chan os.Signal
 }
 
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -13,11 +13,11 @@
 	"basilstall.example/basilstall/quarantine"
 )
 
-var errUnknownMember = errors.New("node: no such member")
+var errMemberUnavailable = errors.New("node: member unknown or not alive")
 
-// newQuarantineCoordinator returns the quarantine coordinator of this node.
-func (n *Node) newQuarantineCoordinator() *quarantine.Coordinator {
-	return quarantine.NewCoordinator(n.ctx, n.member.Node, quarantine.Dependencies{
+// newQuarantineAgent returns this node's part of the quarantine.
+func (n *Node) newQuarantineAgent() *quarantine.Agent {
+	return quarantine.NewAgent(n.ctx, n.member.Node, quarantine.Dependencies{
 		Peers: n.coordinatorPeers,
 		Call:  n.callMember,
 		Connect: func(ctx context.Context, address string) error {
@@ -44,7 +44,8 @@
 	return peers
 }
 
-// callMember calls the live member on the named node and decodes its answer into reply.
+// callMember calls the live member on the named node and decodes its answer into reply. It returns errMemberUnavailable
+// if no live member is known there.
 func (n *Node) callMember(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 	members, _ := n.fleet.alive()
 	for _, m := range members {
@@ -52,11 +53,11 @@
 			return n.peers.Call(ctx, m.Address, kind, message, reply)
 		}
 	}
-	return errUnknownMember
+	return errMemberUnavailable
 }
 
-// storeQuarantineChange writes a change of the held requests to the table. Heartbeats inform the other nodes that there
-// is a new version to read.
+// storeQuarantineChange writes a change of the held requests to the notices row of the table. Heartbeats inform the
+// other nodes that there is a new version to read.
 func (n *Node) storeQuarantineChange(ctx context.Context, change kernel.QuarantineChange) error {
 	return n.recordNoticeWrite(n.store.ChangeHeld(ctx, change))
 }
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -24,8 +24,8 @@
 	awaitTimeout = 20 * time.Second
 	// poisonText marks the requests that crash each endpoint that starts to run them.
 	poisonText = "poison"
-	// crashesUntilHeld is the number of endpoints that a request may crash before it is held back. maxCrashesPerAttempt
-	// is how many more an attempt may crash that is in progress at that time.
+	// crashesUntilHeld is the number of endpoints that a request may crash before it is held back; see
+	// kernel.CrashThreshold. maxCrashesPerAttempt is how many more an attempt may crash that is in progress at that time.
 	crashesUntilHeld     = 3
 	maxCrashesPerAttempt = 3
 	// restartTime is how long the process of a crashed endpoint takes to restart: far longer than a node takes to detect
@@ -33,7 +33,7 @@
 	restartTime = 3 * time.Second
 )
 
-// fleet is a set of nodes with the project's own interface, and a stand-in for the platform and its endpoints.
+// fleet is a set of nodes, and a stand-in for the platform's list, table and endpoints that they use.
 type fleet struct {
 	t        *testing.T
 	platform *standin.Standin
@@ -119,7 +119,8 @@
 	return result.Refusal.Reason
 }
 
-func (f *fleet) crashes(pool string) int {
+// crashCount returns how many endpoints of a pool have crashed.
+func (f *fleet) crashCount(pool string) int {
 	return f.platform.Usage().Pools[pool].Crashes
 }
 
@@ -130,11 +131,12 @@
 	f.await("the request crashes endpoints", func() bool {
 		f.send(f.nodes[attempts%len(f.nodes)], pipeline, poisonText)
 		attempts++
-		return f.crashes(pool) >= crashesUntilHeld
+		return f.crashCount(pool) >= crashesUntilHeld
 	})
 }
 
-func (f *fleet) allNodesLearned() bool {
+// allNodesLearnedHold reports whether each node has learned that a request is held back.
+func (f *fleet) allNodesLearnedHold() bool {
 	for _, n := range f.nodes {
 		if n.EventCount("QuarantineLearned") == 0 {
 			return false
@@ -157,11 +159,11 @@
 			f.platform.InjectFault(standin.Fault{Target: kind.pool, Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 			must.EqOp(t, "", f.send(f.nodes[0], kind.pipeline, "usual"), must.Sprint("other requests of the customer are served before the crashes"))
 			f.crashUntilHeld(kind.pool, kind.pipeline)
-			pollUntil(awaitTimeout, f.allNodesLearned)
+			pollUntil(awaitTimeout, f.allNodesLearnedHold)
 			for i := range 4 * len(f.nodes) {
 				f.send(f.nodes[i%len(f.nodes)], kind.pipeline, poisonText)
 			}
-			must.LessEq(t, crashesUntilHeld+maxCrashesPerAttempt, f.crashes(kind.pool))
+			must.LessEq(t, crashesUntilHeld+maxCrashesPerAttempt, f.crashCount(kind.pool))
 			for _, n := range f.nodes {
 				must.EqOp(t, model.Quarantined, f.send(n, kind.pipeline, poisonText))
 				f.await("other requests of the customer are served after the crashes", func() bool { return f.send(n, kind.pipeline, "usual") == "" })
@@ -175,12 +177,12 @@
 	f := newFleet(t, 2)
 	f.platform.InjectFault(standin.Fault{Target: "runners", Kind: standin.FaultCrash, Text: poisonText, Delay: restartTime})
 	f.crashUntilHeld("runners", "route-note")
-	pollUntil(awaitTimeout, f.allNodesLearned)
+	pollUntil(awaitTimeout, f.allNodesLearnedHold)
 	for i, n := range f.nodes {
 		n.Close()
 		f.nodes[i] = f.startNode(fmt.Sprint("later-", i))
 	}
 	f.await("the first node is ready", func() bool { ready, _ := f.nodes[0].Ready(); return ready })
-	pollUntil(awaitTimeout/2, f.allNodesLearned)
+	pollUntil(awaitTimeout/2, f.allNodesLearnedHold)
 	must.EqOp(t, model.Quarantined, f.send(f.nodes[0], "route-note", poisonText))
 }
--- a/node/ratecap_test.go
+++ b/node/ratecap_test.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// capWindow is the length of the windows in which the calls to an endpoint are counted.
+	// capWindow is the length of the windows in which the calls to an endpoint are counted. In each of them, 1.5 times
+	// the calls of the stated rate and 5 more are allowed.
 	capWindow = 4 * time.Second
 	// rankSettleTime is longer than the 8 s that nodes wait before they rely on a membership change; see
 	// kernel.SettledNodes.
@@ -89,11 +90,11 @@
 	return name, endpoints
 }
 
-// maxWithin returns the maximum number of moments that lie within one window. The moments are in ascending order.
-func maxWithin(moments []time.Time, window time.Duration) int {
+// maxCallsWithin returns the maximum number of times that lie within one window. The times are in ascending order.
+func maxCallsWithin(times []time.Time, window time.Duration) int {
 	maxCount, oldest := 0, 0
-	for i, at := range moments {
-		for at.Sub(moments[oldest]) > window {
+	for i, at := range times {
+		for at.Sub(times[oldest]) > window {
 			oldest++
 		}
 		maxCount = max(maxCount, i+1-oldest)
@@ -125,7 +126,7 @@
 			}
 			time.Sleep(capPropagationTime)
 			calls := f.driveLoad(kind.pipeline, capped, 2*capWindow)
-			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(calls, capWindow))
+			must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCallsWithin(calls, capWindow))
 
 			f.platform.ClearFaults("")
 			f.await("the endpoint gets its share again", func() bool {
@@ -169,7 +170,7 @@
 }
 
 // Each node serves requests for a pool whose endpoints all state rate caps, also if it does not share one of the caps.
-// If only the nodes that share a cap could use it, 12 of 400 nodes would serve a pool of three such endpoints.
+// Four nodes share each cap: if only they could use it, 12 of 400 nodes would serve a pool of three such endpoints.
 func TestEveryNodeServesWhenAllEndpointsHaveRateCaps(t *testing.T) {
 	t.Parallel()
 	const perSecond = 2.0
@@ -185,5 +186,5 @@
 	for _, n := range f.nodes {
 		f.await("node serves", func() bool { return f.send(n, "renewal", "usual") == "" })
 	}
-	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxWithin(f.callTimes("encoders-1", start), capWindow))
+	must.LessEq(t, int(1.5*perSecond*capWindow.Seconds()+5), maxCallsWithin(f.callTimes("encoders-1", start), capWindow))
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -23,16 +23,17 @@
 )
 
 const (
+	// fleetSize is the number of nodes of a large fleet.
 	fleetSize = 400
 	// concurrentRequests is the number of other requests that run at an endpoint, each sent by a random node.
 	concurrentRequests = 60
-	// propagationDelay is the time until all nodes learn of a write to the store.
+	// propagationDelay is the time from a write to the store until all nodes learn of it.
 	propagationDelay = 500 * time.Millisecond
 	// failureDetectionTime is the time after which a node that does not answer is considered lost.
 	failureDetectionTime = 600 * time.Millisecond
 	// convergenceTime is the time within which all nodes hold back a request after its third crash.
 	convergenceTime = 3 * time.Second
-	// maxLateAttempts bounds the attempts that reach an endpoint later than that.
+	// maxLateAttempts bounds the attempts that reach an endpoint more than convergenceTime after that crash.
 	maxLateAttempts = 3
 	// popularInterval is the interval at which a popular request is sent.
 	popularInterval = 100 * time.Millisecond
@@ -44,15 +45,15 @@
 var errUnreachable = errors.New("node unreachable")
 
 type (
-	// fleet simulates nodes whose coordinators call each other within the process, and the store that they write to. It
-	// runs on the clock of a synctest bubble. Endpoints exist only as names.
+	// fleet simulates nodes whose agents call each other within the process, and the store that they write to. It runs
+	// on the clock of a synctest bubble. Endpoints exist only as names.
 	fleet struct {
 		t      *testing.T
 		random *rand.Rand
 
-		mu           sync.Mutex
-		coordinators map[string]*quarantine.Coordinator
-		names        []string
+		mu     sync.Mutex
+		agents map[string]*quarantine.Agent
+		names  []string
 		// partitioned nodes reach neither other nodes nor the store.
 		partitioned map[string]bool
 		// unresponsive nodes do not answer calls. Another node notices this only when it calls them.
@@ -66,12 +67,13 @@
 		// crashed holds the addresses at which no process listens.
 		crashed          map[string]bool
 		endpointsStarted int
-		calls            int
-		bytes            int
-		writes           int
+		// calls and bytes count the messages between nodes and their bytes; writes counts the writes to the store.
+		calls  int
+		bytes  int
+		writes int
 	}
 
-	// sendResult is the result of sending a request once.
+	// sendResult is the result of sending a request once: it reached an endpoint, or was refused as held back.
 	sendResult struct {
 		reached bool
 		refused bool
@@ -90,7 +92,7 @@
 
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{
-		t: t, random: rand.New(rand.NewPCG(1, 1)), coordinators: map[string]*quarantine.Coordinator{},
+		t: t, random: rand.New(rand.NewPCG(1, 1)), agents: map[string]*quarantine.Agent{},
 		partitioned: map[string]bool{}, withoutStore: map[string]bool{}, unresponsive: map[string]bool{}, knownUnresponsive: map[[2]string]bool{}, crashed: map[string]bool{},
 	}
 	for i := range size {
@@ -101,7 +103,7 @@
 
 // startNode starts a node, which replaces any node of the same name, and which reads the store first.
 func (f *fleet) startNode(name string) {
-	node := quarantine.NewCoordinator(f.t.Context(), name, quarantine.Dependencies{
+	node := quarantine.NewAgent(f.t.Context(), name, quarantine.Dependencies{
 		Peers: func() []kernel.Peer { return f.peers(name) },
 		Call: func(ctx context.Context, node string, kind peer.Kind, message, reply any) error {
 			return f.call(ctx, name, node, kind, message, reply)
@@ -110,10 +112,10 @@
 		Store:   func(_ context.Context, change kernel.QuarantineChange) error { return f.write(name, change) },
 	}, time.Now, metric.NewSet(), zerolog.Nop())
 	f.mu.Lock()
-	if f.coordinators[name] == nil {
+	if f.agents[name] == nil {
 		f.names = append(f.names, name)
 	}
-	f.coordinators[name] = node
+	f.agents[name] = node
 	held := f.held
 	f.mu.Unlock()
 	node.ApplyChange(kernel.QuarantineChange{Hold: held})
@@ -137,7 +139,7 @@
 		return err
 	}
 	f.mu.Lock()
-	node := f.coordinators[to]
+	node := f.agents[to]
 	partitioned := f.partitioned[from] || f.partitioned[to]
 	unresponsive := f.unresponsive[to]
 	f.calls++
@@ -184,10 +186,10 @@
 	}
 	f.writes++
 	f.held = change.Apply(f.held)
-	for name := range f.coordinators {
+	for name := range f.agents {
 		time.AfterFunc(propagationDelay, func() {
 			f.mu.Lock()
-			node, partitioned := f.coordinators[name], f.partitioned[name]
+			node, partitioned := f.agents[name], f.partitioned[name]
 			f.mu.Unlock()
 			if !partitioned {
 				node.ApplyChange(change)
@@ -198,12 +200,12 @@
 }
 
 // randomNode returns a node that is not partitioned.
-func (f *fleet) randomNode() *quarantine.Coordinator {
+func (f *fleet) randomNode() *quarantine.Agent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for {
 		if name := f.names[f.random.IntN(len(f.names))]; !f.partitioned[name] {
-			return f.coordinators[name]
+			return f.agents[name]
 		}
 	}
 }
@@ -266,7 +268,7 @@
 		}
 		time.Sleep(interval)
 		for _, d := range concurrent {
-			must.False(f.t, f.send(d, false).refused, must.Sprint("requests that ran beside the cause must be served"))
+			must.False(f.t, f.send(d, false).refused, must.Sprint("requests that ran at the same endpoint as the poison request must be served"))
 		}
 	}
 	return stats
--- a/ratecap/limiter_test.go
+++ b/ratecap/limiter_test.go
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// await waits until all limiters have learned that the endpoint states a cap, or that it states none.
+// await waits until all limiters have learned that the endpoint states a cap (stated is true) or that it states none.
 func (f *fleet) await(t *testing.T, stated bool) {
 	t.Helper()
-	all := func() bool {
+	allLearned := func() bool {
 		for _, l := range f.limiters {
 			if l.HasCap("engine") != stated {
 				return false
@@ -72,7 +72,7 @@
 		}
 		return true
 	}
-	for deadline := time.Now().Add(awaitTimeout); !all(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); !allLearned(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("not all limiters learned of the change in time")
 		}
@@ -97,6 +97,7 @@
 		f.limiters[1].RecordAnswer(time.Now(), e, model.RateCap{})
 		f.await(t, false)
 		must.Nil(t, f.limiters[0].AdmitPool(time.Now(), "engines", []model.Endpoint{e}, func(string) time.Time { return time.Now() }))
+		// At most one write by each of the 3 nodes for each of the 2 changes.
 		must.LessEq(t, 6, f.writes)
 	}
 }
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -59,7 +59,7 @@
 // CallUnlessSilent calls another node by its name, for a reply that may be large. The call fails if nothing is
 // received from the node for timeout.
 func (r *Relay) CallUnlessSilent(ctx context.Context, timeout time.Duration, node string, kind peer.Kind, message, reply any) error {
-	return r.peers.CallUnlessSilent(ctx, timeout, r.addressOf(node), kind, message, reply)
+	return r.peers.CallWithIdleTimeout(ctx, timeout, r.addressOf(node), kind, message, reply)
 }
 
 // callNode calls another node by its name. A node that fails to answer is suspected, except if the call ended with
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -24,6 +24,7 @@
 )
 
 const (
+	// fleetKey is the key of the fleet among the values of a script.
 	fleetKey = "fleet"
 	// maxWait limits the wait for a condition that is never met. No check depends on its value.
 	maxWait      = 2 * time.Minute
@@ -36,13 +37,14 @@
 )
 
 type (
-	// process is a process that a script started. exitCode is valid once done is closed.
+	// process is a process that a script started. done is closed when it exits; exitCode is valid from then on.
 	process struct {
-		name      string
-		cmd       *exec.Cmd
-		logPath   string
-		done      chan struct{}
-		exitCode  int
+		name     string
+		cmd      *exec.Cmd
+		logPath  string
+		done     chan struct{}
+		exitCode int
+		// addresses are those on which it listens: for a node, those for callers, operators and peers.
 		addresses []string
 	}
 
@@ -55,13 +57,15 @@
 
 	// fleet holds the processes and loads that a script has started.
 	fleet struct {
-		dir       string
-		env       []string
-		mu        sync.Mutex
-		platform  string
-		processes map[string]*process
-		loads     map[string]*load
-		client    *http.Client
+		// dir holds the logs and address files of the processes. env is their environment.
+		dir string
+		env []string
+		// mu protects processes, the addresses of each, readyAddresses and closed.
+		mu              sync.Mutex
+		platformAddress string
+		processes       map[string]*process
+		loads           map[string]*load
+		client          *http.Client
 		// probeClient sends readiness probes. readyAddresses are the addresses to which the balancer sends callers.
 		probeClient    *http.Client
 		readyAddresses []string
@@ -141,6 +145,7 @@
 	}
 }
 
+// close kills all processes and stops the balancer.
 func (f *fleet) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,13 +200,13 @@
 // inRotation returns the addresses to which callers are sent after one round of probes. If no node reports that it is
 // ready, silent nodes that were in rotation stay in it. The platform also keeps sending callers to some node in this
 // case, and a probe that a busy machine does not answer in time says nothing about the node.
-func inRotation(before []string, probes []probe) []string {
+func inRotation(previous []string, probes []probe) []string {
 	var ready, silent []string
 	for _, p := range probes {
 		switch {
 		case p.ready:
 			ready = append(ready, p.address)
-		case p.silent && slices.Contains(before, p.address):
+		case p.silent && slices.Contains(previous, p.address):
 			silent = append(silent, p.address)
 		}
 	}
@@ -231,6 +236,7 @@
 	return e, f.operatorGet(p, "/v1/endpoints", &e)
 }
 
+// operatorGet requests a path of a node's interface for operators.
 func (f *fleet) operatorGet(p *process, path string, result any) error {
 	c := &operator.Client{BaseURL: "http://" + p.addresses[1], Token: operatorsToken, HTTP: f.client}
 	return c.Get(context.Background(), path, result)
@@ -253,8 +259,9 @@
 	return s, f.platformGet("/journal/summary", &s)
 }
 
+// platformGet requests a path of the stand-in.
 func (f *fleet) platformGet(path string, result any) error {
-	res, err := f.client.Get("http://" + f.platform + path)
+	res, err := f.client.Get("http://" + f.platformAddress + path)
 	if err != nil {
 		return err
 	}
@@ -267,14 +274,14 @@
 	if err != nil {
 		return err
 	}
-	res, err := f.client.Post("http://"+f.platform+"/faults", "application/json", bytes.NewReader(body))
+	res, err := f.client.Post("http://"+f.platformAddress+"/faults", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	return res.Body.Close()
 }
 
-// waitFor polls until a condition holds, for at most maxWait.
+// waitFor polls until a condition holds. It fails after maxWait.
 func waitFor(condition func() bool) error {
 	for deadline := time.Now().Add(maxWait); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
