--- a/follow/source.go
+++ b/follow/source.go
@@ -122,7 +122,7 @@
 	}
 	sentAt := clock.Now()
 	var reply peer.FeedReply
-	if err := f.relay.CallUnlessSilent(ctx, maxPeerSilence+hold, node, peer.KindFeed, request, &reply); err != nil {
+	if err := f.relay.CallWithIdleTimeout(ctx, maxPeerSilence+hold, node, peer.KindFeed, request, &reply); err != nil {
 		f.recordFailure(node, "", err)
 		return kernel.SourceAnswer{}, err
 	}
--- a/relay/nodes.go
+++ b/relay/nodes.go
@@ -56,9 +56,9 @@
 	return false
 }
 
-// CallUnlessSilent calls another node by its name, for a reply that may be large. The call fails if nothing is
+// CallWithIdleTimeout calls another node by its name, for a reply that may be large. The call fails if nothing is
 // received from the node for timeout.
-func (r *Relay) CallUnlessSilent(ctx context.Context, timeout time.Duration, node string, kind peer.Kind, message, reply any) error {
+func (r *Relay) CallWithIdleTimeout(ctx context.Context, timeout time.Duration, node string, kind peer.Kind, message, reply any) error {
 	return r.peers.CallUnlessSilent(ctx, timeout, r.addressOf(node), kind, message, reply)
 }
 
