--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -72,7 +72,7 @@
 		crashChecks map[string]*crashCheck
 		// actingUntil holds, by pool, until when this node decides in place of a coordinator that does not answer.
 		actingUntil map[string]time.Time
-		// notifying is the number of notifications in progress.
+		// activeNotifications is the number of notifications in progress.
 		activeNotifications int
 	}
 )
