--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -29,7 +29,8 @@
 		pool       *pool
 		job        Job
 		deadline   time.Time
-		carry      model.StageOutput
+		// stageOutput is the output of the preceding stage, updated with the results of this one.
+		stageOutput model.StageOutput
 
 		// callCount is how many calls were started.
 		callCount int
@@ -66,7 +67,7 @@
 		Endpoint: a.endpointName,
 		Attempts: a.callCount,
 		Busy:     a.busy,
-		Tokens:   a.carry.Tokens,
+		Tokens:   a.stageOutput.Tokens,
 	}
 }
 
@@ -222,10 +223,10 @@
 	if o.err == nil {
 		a.mayHaveRun = true
 		a.reportLeaving(o.endpoint, &o.reply.Load)
-		carry, err := a.job.Plugin.ParseReply(a.job.Work, o.reply)
+		output, err := a.job.Plugin.ParseReply(a.job.Work, o.reply)
 		if err == nil {
 			a.pool.recordSuccess(now, o.endpoint, o.elapsed, &o.reply.Load)
-			a.carry = carry
+			a.stageOutput = output
 			a.endpointName = o.endpoint.name
 			a.abandon(running)
 			return true, nil
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -74,8 +74,8 @@
 
 	// Result is the result of a stage.
 	Result struct {
-		// Carry is the output carried over to the next stage.
-		Carry  model.StageOutput
+		// Output is what the next stage gets as StageContext.Previous.
+		Output model.StageOutput
 		Timing model.StageTiming
 	}
 
@@ -229,7 +229,7 @@
 		return Result{}, waitRefusal(ctx, p, estimate)
 	}
 	defer p.release()
-	a := &attempts{dispatcher: d, pool: p, job: job, deadline: req.Deadline, carry: job.Work.Carry}
+	a := &attempts{dispatcher: d, pool: p, job: job, deadline: req.Deadline, stageOutput: job.Work.Previous}
 	var err error
 	if job.Plugin.Streams {
 		err = a.runStream(ctx)
@@ -238,7 +238,7 @@
 	}
 	timing := a.timing()
 	timing.Elapsed = time.Since(start)
-	return Result{Carry: a.carry, Timing: timing}, err
+	return Result{Output: a.stageOutput, Timing: timing}, err
 }
 
 // Listed reports whether an incarnation of an endpoint is listed.
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -46,7 +46,7 @@
 		err := a.streamCall(ctx, e, &output)
 		if err == nil {
 			a.endpointName = e.name
-			a.carry.Output = output.String()
+			a.stageOutput.Output = output.String()
 			a.reportAdapterDemand(false)
 			return nil
 		}
@@ -67,7 +67,7 @@
 	if !a.takeRetry(fault) {
 		return a.newRefusal(model.StageFailed, fault)
 	}
-	if a.carry.Tokens > 0 {
+	if a.stageOutput.Tokens > 0 {
 		a.dispatcher.metrics.CountRetry(model.RetryResume, a.pool.name)
 	}
 	// A reused connection without progress may itself be at fault: the endpoint may get one more call, on a new
@@ -111,7 +111,7 @@
 	startedAt := time.Now()
 	a.callCount++
 	call := a.prepareCall()
-	call.From = a.carry.Tokens
+	call.From = a.stageOutput.Tokens
 	target := a.target(e)
 	target.Timeout = a.tokenTimeout(startedAt)
 	lastTokenAt := startedAt
@@ -127,16 +127,16 @@
 		if event.Final {
 			return a.checkTokenCount(event)
 		}
-		if event.Index < a.carry.Tokens {
+		if event.Index < a.stageOutput.Tokens {
 			a.dispatcher.metrics.CountEvent("TokenRepeated")
 			return nil
 		}
-		if event.Index > a.carry.Tokens {
+		if event.Index > a.stageOutput.Tokens {
 			return errMissingToken
 		}
 		a.observeToken(startedAt, lastTokenAt, now)
 		lastTokenAt = now
-		a.carry.Tokens++
+		a.stageOutput.Tokens++
 		output.WriteString(event.Text)
 		if a.job.Emit != nil {
 			a.job.Emit(model.Token{Index: event.Index, Text: event.Text})
@@ -175,7 +175,7 @@
 }
 
 func (a *attempts) checkTokenCount(event model.TokenEvent) error {
-	if event.Count != a.carry.Tokens {
+	if event.Count != a.stageOutput.Tokens {
 		return errMissingToken
 	}
 	return nil
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -30,7 +30,7 @@
 }
 
 func prompt(sc kernel.StageContext) string {
-	parts := append([]string{sc.Request.Input.Text}, sc.Carry.Items...)
+	parts := append([]string{sc.Request.Input.Text}, sc.Previous.Items...)
 	return strings.Join(parts, "\n")
 }
 
--- a/kernel/cold_test.go
+++ b/kernel/cold_test.go
@@ -32,7 +32,7 @@
 		name string
 		// knownPeers are the nodes that this one knows of.
 		knownPeers []kernel.Peer
-		sends      bool
+		isSender   bool
 		sentAt     time.Time
 	}
 )
@@ -68,9 +68,9 @@
 		for i := range f.nodes {
 			n := &f.nodes[i]
 			if elapsed == 0 || elapsed == coldDisruptionAt {
-				n.sends = share.IsSender(n.name, e, n.knownPeers)
+				n.isSender = share.IsSender(n.name, e, n.knownPeers)
 			}
-			if !n.sends || !share.Due(now, n.sentAt) {
+			if !n.isSender || !share.Due(now, n.sentAt) {
 				continue
 			}
 			n.sentAt = now
@@ -106,7 +106,7 @@
 	},
 	"a sender leaves and half of the nodes do not know of it": func(f *coldFleet) {
 		all := f.nodes[0].knownPeers
-		sender := slices.IndexFunc(f.nodes, func(n coldNode) bool { return n.sends })
+		sender := slices.IndexFunc(f.nodes, func(n coldNode) bool { return n.isSender })
 		left := slices.DeleteFunc(slices.Clone(all), func(p kernel.Peer) bool { return p.Name == f.nodes[sender].name })
 		for i := range f.nodes {
 			if f.rng.IntN(2) == 0 {
--- a/kernel/plugin.go
+++ b/kernel/plugin.go
@@ -20,8 +20,8 @@
 	StageContext struct {
 		Request model.Request
 		Stage   model.Stage
-		// Carry is the output of the preceding stage, zero for the first stage.
-		Carry model.StageOutput
+		// Previous is the output of the preceding stage, zero for the first stage.
+		Previous model.StageOutput
 	}
 
 	// Plugin implements one kind of stage. It does no I/O: it prepares the call and interprets the reply. Package
--- a/node/runner.go
+++ b/node/runner.go
@@ -35,10 +35,10 @@
 		return model.Answer{}, p, refusal
 	}
 	customer, _ := n.Settings().Customer(req.Team, req.Customer)
-	var carry model.StageOutput
+	var output model.StageOutput
 	for i, stage := range pipeline.Stages {
 		job := dispatch.Job{
-			Work:        kernel.StageContext{Request: req, Stage: stage, Carry: carry},
+			Work:        kernel.StageContext{Request: req, Stage: stage, Previous: output},
 			LaterStages: n.dispatcher.Estimates(req, customer.Weight, pipeline.Stages[i+1:]),
 			Weight:      customer.Weight,
 			Trial:       trial,
@@ -60,10 +60,10 @@
 		}
 		p.mayHaveRun = true
 		p.nonIdempotentSent = p.nonIdempotentSent || stage.NonIdempotent
-		carry = result.Carry
+		output = result.Output
 	}
 	n.quarantine.RecordAnswer(req.Digest())
-	return n.newAnswer(req, carry, p), p, nil
+	return n.newAnswer(req, output, p), p, nil
 }
 
 // afterFailure returns the progress after a stage failed with err.
@@ -85,14 +85,14 @@
 	return refusal
 }
 
-func (n *Node) newAnswer(req model.Request, carry model.StageOutput, p progress) model.Answer {
+func (n *Node) newAnswer(req model.Request, output model.StageOutput, p progress) model.Answer {
 	return model.Answer{
 		ID:       req.ID,
 		Pipeline: req.Pipeline,
 		Verdict:  model.Ran,
-		Output:   carry.Output,
-		Tokens:   carry.Tokens,
-		Checksum: strconv.FormatUint(xxhash.Sum64String(carry.Output), 16),
+		Output:   output.Output,
+		Tokens:   output.Tokens,
+		Checksum: strconv.FormatUint(xxhash.Sum64String(output.Output), 16),
 		Stages:   p.stages,
 		RanOn:    n.options.Name,
 	}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -41,24 +41,24 @@
 
 func parseEncode(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
-		return sc.Carry, errEmptyReply
+		return sc.Previous, errEmptyReply
 	}
-	carry := sc.Carry
-	carry.Text = r.Text
-	return carry, nil
+	output := sc.Previous
+	output.Text = r.Text
+	return output, nil
 }
 
 func prepareItems(sc kernel.StageContext) model.StageCall {
-	return model.StageCall{Text: sc.Carry.Text, Items: sc.Carry.Items}
+	return model.StageCall{Text: sc.Previous.Text, Items: sc.Previous.Items}
 }
 
 func parseItems(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if len(r.Items) == 0 {
-		return sc.Carry, errEmptyReply
+		return sc.Previous, errEmptyReply
 	}
-	carry := sc.Carry
-	carry.Items = r.Items
-	return carry, nil
+	output := sc.Previous
+	output.Items = r.Items
+	return output, nil
 }
 
 func checkNoOperation(s model.Stage) string {
--- a/service/service.go
+++ b/service/service.go
@@ -22,7 +22,7 @@
 }
 
 func prepare(sc kernel.StageContext) model.StageCall {
-	text := sc.Carry.Output
+	text := sc.Previous.Output
 	if text == "" {
 		text = sc.Request.Input.Text
 	}
@@ -35,11 +35,11 @@
 
 func parseReply(sc kernel.StageContext, r model.StageReply) (model.StageOutput, error) {
 	if r.Text == "" {
-		return sc.Carry, errEmptyReply
+		return sc.Previous, errEmptyReply
 	}
-	carry := sc.Carry
-	carry.Output = r.Text
-	return carry, nil
+	output := sc.Previous
+	output.Output = r.Text
+	return output, nil
 }
 
 func check(s model.Stage) string {
