--- a/relay/relay.go
+++ b/relay/relay.go
@@ -222,16 +222,16 @@
 
 // ApplyEvacuationChange applies a change of the evacuated failure domains.
 func (r *Relay) ApplyEvacuationChange(change kernel.EvacuationChange) {
-	evacuations, news := r.Registry().Evacuations().With(r.now(), change)
-	if len(news.Evacuated) == 0 && len(news.Restored) == 0 {
+	evacuations, effective := r.Registry().Evacuations().With(r.now(), change)
+	if len(effective.Evacuated) == 0 && len(effective.Restored) == 0 {
 		return
 	}
 	r.UpdateRegistry(func(before kernel.Registry) kernel.Registry { return before.WithEvacuations(evacuations) })
-	for _, domain := range news.Evacuated {
+	for _, domain := range effective.Evacuated {
 		r.metrics.CountEvent("DomainEvacuated")
 		r.log.Info().Str("Domain", domain).Int64("InFlight", r.InFlight()).Msg("failure domain evacuated")
 	}
-	for _, domain := range news.Restored {
+	for _, domain := range effective.Restored {
 		r.metrics.CountEvent("DomainTakenBack")
 		r.log.Info().Str("Domain", domain).Msg("failure domain taken back")
 	}
