--- a/caller/refusal.go
+++ b/caller/refusal.go
@@ -10,7 +10,7 @@
 	"basilstall.example/basilstall/model"
 )
 
-// statusByReason maps reasons to HTTP status codes.
+// statusByReason maps the reasons of refusals to HTTP status codes.
 var statusByReason = map[model.Reason]int{
 	model.BadRequest:       http.StatusBadRequest,
 	model.Unauthorized:     http.StatusUnauthorized,
